--- a/crates/emulate/benches/slopes.rs
+++ b/crates/emulate/benches/slopes.rs
@@ -16,7 +16,7 @@
 use place::fleet::seat::LeadSeat;
 use place::limits::budget::BudgetBounds;
 use place::placing::choice::ByteCosts;
-use place::placing::load::{LoadWord, short_name};
+use place::placing::load::{LoadWord, short_id};
 use place::prelude::*;
 use place::rank::stable_hash;
 use place::request::ServerOutcome;
@@ -263,7 +263,7 @@
         });
         let own = median(5, 10, || drop(black_box(placer.own_load(now))));
         let names: Vec<u32> = (0..4)
-            .map(|number| short_name(stable_hash(servers[number].id.as_bytes())))
+            .map(|number| short_id(stable_hash(servers[number].id.as_bytes())))
             .collect();
         let mut at = now;
         let place = median(7, 20, || {
@@ -293,7 +293,7 @@
         let mut placer = placer(&servers, now);
         let names: Vec<u32> = servers
             .iter()
-            .map(|server| short_name(stable_hash(server.id.as_bytes())))
+            .map(|server| short_id(stable_hash(server.id.as_bytes())))
             .collect();
         let list = |entry: usize| -> LoadWord {
             let busy = (0..4).map(|turn| (names[(entry * 4 + turn) % count], 1));
--- a/crates/place/src/catalog/mod.rs
+++ b/crates/place/src/catalog/mod.rs
@@ -13,7 +13,7 @@
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-use crate::catalog::index::{NearPlaces, ServiceIndex};
+use crate::catalog::index::{ServiceIndex, TopServersByLocality};
 use crate::catalog::outage::{RegistryOutage, VanishedRow};
 use crate::catalog::table::RecordTable;
 use crate::departure::{Departure, DepartureBook};
@@ -61,7 +61,7 @@
 
     /// Sets where the entry stands that uses this catalog.
     #[must_use]
-    pub fn with_place(mut self, domain: &str, region: &str) -> Self {
+    pub fn with_location(mut self, domain: &str, region: &str) -> Self {
         self.trips = TripBook::new(domain, region);
         self
     }
@@ -243,70 +243,75 @@
         service: &str,
     ) -> impl Iterator<Item = (ServerHandle, &ServerRecord)> {
         let index = self.table.service(service);
-        let slots = index.into_iter().flat_map(ServiceIndex::slots);
-        slots.filter_map(|slot| self.open_at(slot))
+        let record_indexes = index.into_iter().flat_map(ServiceIndex::record_indexes);
+        record_indexes.filter_map(|record_index| self.open_by_index(record_index))
     }
 
-    /// The server whose record is at `slot`, where it may take new requests by the registry's
+    /// The server whose record is at `record_index`, where it may take new requests by the registry's
     /// word.
-    pub(crate) fn open_at(&self, slot: usize) -> Option<(ServerHandle, &ServerRecord)> {
-        let record = self.table.at(slot)?;
-        let handle = ServerHandle::new(slot, record.hash);
-        self.closed_by(record).is_none().then_some((handle, record))
+    pub(crate) fn open_by_index(
+        &self,
+        record_index: usize,
+    ) -> Option<(ServerHandle, &ServerRecord)> {
+        let record = self.table.by_index(record_index)?;
+        let handle = ServerHandle::new(record_index, record.hash);
+        self.closed_reason(record)
+            .is_none()
+            .then_some((handle, record))
     }
 
     /// The servers of `service` nearest to `object` in each place of `scope`.
-    pub(crate) fn nearest(
+    pub(crate) fn top_servers(
         &mut self,
         service: &str,
         object: u64,
         scope: RankScope,
-    ) -> Option<NearPlaces> {
+    ) -> Option<TopServersByLocality> {
         let index = self.table.service_mut(service)?;
-        Some(index.nearest(object, scope))
+        Some(index.top_servers(object, scope))
     }
 
     /// Number of servers of `service`, also of those that may not get requests.
-    pub(crate) fn servers_of(&self, service: &str) -> usize {
+    pub(crate) fn server_count(&self, service: &str) -> usize {
         self.table.service(service).map_or(0, ServiceIndex::len)
     }
 
     /// Slots of the smallest server of `service`.
-    pub(crate) fn least_slots(&self, service: &str) -> u32 {
+    pub(crate) fn min_slots(&self, service: &str) -> u32 {
         let index = self.table.service(service);
-        index.map_or(1, ServiceIndex::least_slots)
+        index.map_or(1, ServiceIndex::min_slots)
     }
 
     /// Indexes of the records of servers that entries tell each other of as `name`.
-    pub(crate) fn named(&self, name: u32) -> impl Iterator<Item = usize> {
-        self.table.named(name)
+    pub(crate) fn indexes_by_short_id(&self, name: u32) -> impl Iterator<Item = usize> {
+        self.table.indexes_by_short_id(name)
     }
 
-    /// The record at `slot`, for changes.
-    pub(crate) fn at_mut(&mut self, slot: usize) -> Option<&mut ServerRecord> {
-        self.table.at_mut(slot)
+    /// The record at `record_index`, for changes.
+    pub(crate) fn by_index_mut(&mut self, record_index: usize) -> Option<&mut ServerRecord> {
+        self.table.by_index_mut(record_index)
     }
 
     /// Rises with each server that joins.
-    pub(crate) fn joined(&self) -> u64 {
-        self.table.joined()
+    pub(crate) fn join_count(&self) -> u64 {
+        self.table.join_count()
     }
 
     /// Records looked at since the start: what decisions cost as servers become many.
-    pub fn examined(&self) -> u64 {
-        self.table.examined()
+    pub fn records_examined(&self) -> u64 {
+        self.table.records_examined()
     }
 
     /// Whether a request that was placed at the server may still be sent there. Making a
     /// connection takes time, in which the server may have begun to leave.
     pub fn may_send(&self, handle: ServerHandle) -> bool {
         let record = self.get(handle);
-        record.is_some_and(|record| self.closed_by(record).is_none())
+        record.is_some_and(|record| self.closed_reason(record).is_none())
     }
 
     /// Whether the server of `record` may get requests.
     pub fn condition(&self, now: Instant, record: &ServerRecord) -> ServerCondition {
-        if let Some(condition) = self.closed_by(record) {
+        if let Some(condition) = self.closed_reason(record) {
             condition
         } else if record.is_paused(now) {
             ServerCondition::Unreachable
@@ -318,7 +323,7 @@
     }
 
     /// Whose word keeps all requests from the server of `record`, where there is such.
-    fn closed_by(&self, record: &ServerRecord) -> Option<ServerCondition> {
+    fn closed_reason(&self, record: &ServerRecord) -> Option<ServerCondition> {
         if record.entry.state == EntryState::Draining {
             Some(ServerCondition::Leaving)
         } else if record.overwritten {
--- a/crates/place/src/catalog/table.rs
+++ b/crates/place/src/catalog/table.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use crate::catalog::index::{IndexMember, ServiceIndex};
-use crate::placing::load::short_name;
+use crate::placing::load::short_id;
 use crate::server::ServerRecord;
 
 /// Names a record for as long as the server is known.
@@ -29,107 +29,109 @@
 #[derive(Debug, Default)]
 pub(super) struct RecordTable {
     /// Places of failure domains and regions in the order of their names.
-    places: PlaceIds,
+    localities: LocalityIds,
     records: Vec<Option<ServerRecord>>,
     /// Records that are empty: a server that joins doesn't look for one.
     free: Vec<usize>,
     by_id: HashMap<String, usize>,
     by_service: HashMap<String, ServiceIndex>,
-    by_name: BTreeSet<(u32, usize)>,
-    joined: u64,
-    examined: Cell<u64>,
+    by_short_id: BTreeSet<(u32, usize)>,
+    join_count: u64,
+    records_examined: Cell<u64>,
 }
 
 impl RecordTable {
     /// An empty table; `domains` maps each failure domain to its region.
     pub(super) fn new(domains: &HashMap<String, String>) -> Self {
         Self {
-            places: PlaceIds::new(domains),
+            localities: LocalityIds::new(domains),
             ..Self::default()
         }
     }
 
     /// Adds the record of a server that isn't known.
     pub(super) fn insert(&mut self, record: ServerRecord) {
-        let slot = self.free.pop().unwrap_or_else(|| {
+        let record_index = self.free.pop().unwrap_or_else(|| {
             self.records.push(None);
             self.records.len() - 1
         });
         let member = IndexMember {
-            slot,
+            record_index,
             hash: record.hash,
-            region: self.places.region(&record.region),
-            domain: self.places.domain(&record.entry.domain),
+            region: self.localities.region(&record.region),
+            domain: self.localities.domain(&record.entry.domain),
             slots: record.entry.slots,
         };
-        self.by_name.insert((short_name(record.hash), slot));
-        self.by_id.insert(record.entry.id.clone(), slot);
+        self.by_short_id
+            .insert((short_id(record.hash), record_index));
+        self.by_id.insert(record.entry.id.clone(), record_index);
         let service = record.entry.service.clone();
         self.by_service.entry(service).or_default().insert(member);
-        self.records[slot] = Some(record);
-        self.joined += 1;
+        self.records[record_index] = Some(record);
+        self.join_count += 1;
     }
 
     /// Removes the server `id`; whether it was known.
     pub(super) fn remove(&mut self, id: &str) -> bool {
-        let Some(slot) = self.by_id.remove(id) else {
+        let Some(record_index) = self.by_id.remove(id) else {
             return false;
         };
-        let Some(record) = self.records[slot].take() else {
+        let Some(record) = self.records[record_index].take() else {
             return false;
         };
-        self.free.push(slot);
-        self.by_name.remove(&(short_name(record.hash), slot));
+        self.free.push(record_index);
+        self.by_short_id
+            .remove(&(short_id(record.hash), record_index));
         if let Some(servers) = self.by_service.get_mut(&record.entry.service) {
-            servers.remove(slot);
+            servers.remove(record_index);
         }
         true
     }
 
     /// The record behind `handle`, unless the server is gone.
     pub(super) fn get(&self, handle: ServerHandle) -> Option<&ServerRecord> {
-        let record = self.at(handle.index)?;
+        let record = self.by_index(handle.index)?;
         (record.hash == handle.hash).then_some(record)
     }
 
     /// The same for changes.
     pub(super) fn get_mut(&mut self, handle: ServerHandle) -> Option<&mut ServerRecord> {
-        let record = self.at_mut(handle.index)?;
+        let record = self.by_index_mut(handle.index)?;
         (record.hash == handle.hash).then_some(record)
     }
 
     /// The record of the server `id`.
     pub(super) fn by_id(&self, id: &str) -> Option<&ServerRecord> {
-        self.at(*self.by_id.get(id)?)
+        self.by_index(*self.by_id.get(id)?)
     }
 
     /// The same for changes.
     pub(super) fn by_id_mut(&mut self, id: &str) -> Option<&mut ServerRecord> {
-        let slot = *self.by_id.get(id)?;
-        self.at_mut(slot)
+        let record_index = *self.by_id.get(id)?;
+        self.by_index_mut(record_index)
     }
 
-    /// The record at `slot`.
-    pub(super) fn at(&self, slot: usize) -> Option<&ServerRecord> {
-        self.count(1);
-        self.records.get(slot)?.as_ref()
+    /// The record at `record_index`.
+    pub(super) fn by_index(&self, record_index: usize) -> Option<&ServerRecord> {
+        self.count_examined(1);
+        self.records.get(record_index)?.as_ref()
     }
 
     /// The same for changes.
-    pub(super) fn at_mut(&mut self, slot: usize) -> Option<&mut ServerRecord> {
-        self.count(1);
-        self.records.get_mut(slot)?.as_mut()
+    pub(super) fn by_index_mut(&mut self, record_index: usize) -> Option<&mut ServerRecord> {
+        self.count_examined(1);
+        self.records.get_mut(record_index)?.as_mut()
     }
 
     /// All records.
     pub(super) fn iter(&self) -> impl Iterator<Item = &ServerRecord> {
-        self.count(self.records.len());
+        self.count_examined(self.records.len());
         self.records.iter().flatten()
     }
 
     /// The same for changes.
     pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = &mut ServerRecord> {
-        self.count(self.records.len());
+        self.count_examined(self.records.len());
         self.records.iter_mut().flatten()
     }
 
@@ -144,34 +146,35 @@
     }
 
     /// Slots of the servers that entries tell each other of as `name`.
-    pub(super) fn named(&self, name: u32) -> impl Iterator<Item = usize> {
-        let range = self.by_name.range((name, 0)..=(name, usize::MAX));
-        range.map(|(_, slot)| *slot)
+    pub(super) fn indexes_by_short_id(&self, name: u32) -> impl Iterator<Item = usize> {
+        let range = self.by_short_id.range((name, 0)..=(name, usize::MAX));
+        range.map(|(_, record_index)| *record_index)
     }
 
     /// Rises with each server that joins.
-    pub(super) fn joined(&self) -> u64 {
-        self.joined
+    pub(super) fn join_count(&self) -> u64 {
+        self.join_count
     }
 
     /// Records looked at since the start.
-    pub(super) fn examined(&self) -> u64 {
-        self.examined.get()
+    pub(super) fn records_examined(&self) -> u64 {
+        self.records_examined.get()
     }
 
-    fn count(&self, records: usize) {
-        self.examined.set(self.examined.get() + records as u64);
+    fn count_examined(&self, records: usize) {
+        self.records_examined
+            .set(self.records_examined.get() + records as u64);
     }
 }
 
 /// Numbers of failure domains and regions, in the order of their names.
 #[derive(Debug, Default)]
-struct PlaceIds {
+struct LocalityIds {
     domains: BTreeMap<String, u16>,
     regions: BTreeMap<String, u16>,
 }
 
-impl PlaceIds {
+impl LocalityIds {
     fn new(domains: &HashMap<String, String>) -> Self {
         let number = |names: BTreeSet<&String>| -> BTreeMap<String, u16> {
             let numbered = names.into_iter().zip(0..);
--- a/crates/place/src/placing/candidates.rs
+++ b/crates/place/src/placing/candidates.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use crate::catalog::index::NearServers;
+use crate::catalog::index::TopServers;
 use crate::catalog::{ServerCatalog, ServerHandle};
 use crate::rank::{pair_weight, stable_hash};
 use crate::request::PlacementRequest;
@@ -32,11 +32,11 @@
     /// In the order of the places, then of the ranks.
     pub candidates: Vec<Candidate>,
     /// Regions or domains in which they are.
-    pub places: usize,
+    pub localities: usize,
 }
 
-struct Usable<'a> {
-    place: &'a str,
+struct UsableServer<'a> {
+    locality: &'a str,
     weight: u64,
     handle: ServerHandle,
     cold: bool,
@@ -44,11 +44,11 @@
 
 /// Cold servers of a place that are enough to choose from: they share ranks, so that there is
 /// no last one to which an object belongs.
-const COLD_ENOUGH: usize = 4;
+const MAX_COLD_CANDIDATES: usize = 4;
 
 /// A search for the servers near an object.
 #[derive(Debug, Clone, Copy)]
-pub struct NearSearch<'a> {
+pub struct CandidateQuery<'a> {
     /// The service.
     pub service: &'a str,
     /// The request.
@@ -58,7 +58,7 @@
     /// Among which servers the object keeps to few.
     pub scope: RankScope,
     /// Ranks of a place within which it may belong to a server.
-    pub ranks: usize,
+    pub preferred_ranks: usize,
     /// Short names of servers that handled it lately.
     pub holders: &'a [u32],
 }
@@ -66,29 +66,29 @@
 /// The servers to which the object belongs as one of the first ranks of a place, and those that
 /// handled it lately. No others can get its request. `None` where only a look at all servers
 /// can tell.
-pub fn near_candidates(
+pub fn top_candidates(
     now: Instant,
     catalog: &mut ServerCatalog,
-    search: &NearSearch<'_>,
+    query: &CandidateQuery<'_>,
 ) -> Option<RankedServers> {
-    let nearest = catalog.nearest(search.service, search.object, search.scope)?;
+    let top_servers = catalog.top_servers(query.service, query.object, query.scope)?;
     let mut ranked = RankedServers::default();
-    for place in nearest.iter() {
-        let found = near_of_place(now, catalog, search, place)?;
-        ranked.places += usize::from(!found.is_empty());
+    for locality in top_servers.iter() {
+        let found = top_candidates_in(now, catalog, query, locality)?;
+        ranked.localities += usize::from(!found.is_empty());
         ranked.candidates.extend(found);
     }
-    for name in search.holders {
-        for slot in catalog.named(*name) {
-            let Some((handle, record)) = catalog.open_at(slot) else {
+    for name in query.holders {
+        for record_index in catalog.indexes_by_short_id(*name) {
+            let Some((handle, record)) = catalog.open_by_index(record_index) else {
                 continue;
             };
             let is_known = ranked.candidates.iter().any(|known| known.handle == handle);
-            let is_other = record.entry.service != search.service;
-            if is_known || is_other || !is_usable(now, handle, record, search.request) {
+            let is_other = record.entry.service != query.service;
+            if is_known || is_other || !is_usable(now, handle, record, query.request) {
                 continue;
             }
-            let rank = search.ranks;
+            let rank = query.preferred_ranks;
             ranked.candidates.push(Candidate { handle, rank });
         }
     }
@@ -96,29 +96,29 @@
 }
 
 /// The first servers of one place; `None` where too few of the nearest may get the request.
-fn near_of_place(
+fn top_candidates_in(
     now: Instant,
     catalog: &ServerCatalog,
-    search: &NearSearch<'_>,
-    place: &NearServers,
+    query: &CandidateQuery<'_>,
+    locality: &TopServers,
 ) -> Option<Vec<Candidate>> {
     let mut found = Vec::new();
     let mut rank = 0;
-    for slot in &place.slots {
-        if rank >= search.ranks {
+    for record_index in &locality.record_indexes {
+        if rank >= query.preferred_ranks {
             return Some(found);
         }
-        let Some((handle, record)) = catalog.open_at(*slot) else {
+        let Some((handle, record)) = catalog.open_by_index(*record_index) else {
             continue;
         };
-        if !is_usable(now, handle, record, search.request) {
+        if !is_usable(now, handle, record, query.request) {
             continue;
         }
         found.push(Candidate { handle, rank });
         rank += usize::from(!record.is_cold(now));
     }
-    let is_cold = found.len() >= rank + COLD_ENOUGH;
-    (rank >= search.ranks || place.is_all || is_cold).then_some(found)
+    let is_cold = found.len() >= rank + MAX_COLD_CANDIDATES;
+    (rank >= query.preferred_ranks || locality.is_all || is_cold).then_some(found)
 }
 
 /// Whether the request may be sent to the server of `record`.
@@ -153,8 +153,8 @@
         if !is_usable(now, handle, record, request) {
             continue;
         }
-        usable.push(Usable {
-            place: match scope {
+        usable.push(UsableServer {
+            locality: match scope {
                 RankScope::Region => &record.region,
                 RankScope::Domain => &record.entry.domain,
             },
@@ -164,16 +164,16 @@
         });
     }
     usable.sort_unstable_by(|left, right| {
-        let places = left.place.cmp(right.place);
-        places.then(right.weight.cmp(&left.weight))
+        let localities = left.locality.cmp(right.locality);
+        localities.then(right.weight.cmp(&left.weight))
     });
     let mut ranked = RankedServers::default();
-    let mut place = "";
+    let mut locality = "";
     let mut rank = 0;
     for server in usable {
-        if server.place != place {
-            place = server.place;
-            ranked.places += 1;
+        if server.locality != locality {
+            locality = server.locality;
+            ranked.localities += 1;
             rank = 0;
         }
         ranked.candidates.push(Candidate {
--- a/crates/place/src/placing/load.rs
+++ b/crates/place/src/placing/load.rs
@@ -56,12 +56,12 @@
     /// When the oldest word stops to count.
     ends: Option<Instant>,
     /// Servers that had joined when the sums were last set.
-    joined: u64,
+    join_count: u64,
 }
 
 /// Short name of a server, from the hash of its id. Two servers with one name
 /// are merely thought to be busier than they are.
-pub fn short_name(hash: u64) -> u32 {
+pub fn short_id(hash: u64) -> u32 {
     (hash ^ (hash >> 32)) as u32
 }
 
@@ -96,15 +96,15 @@
         if self.ends.is_some_and(|ends| now >= ends) {
             self.expire(now);
         }
-        if self.joined != catalog.joined() {
-            self.joined = catalog.joined();
+        if self.join_count != catalog.join_count() {
+            self.join_count = catalog.join_count();
             self.changed.extend(self.sums.keys());
         }
         for name in self.changed.drain() {
             let sum = self.sums.get(&name).copied().unwrap_or(0);
-            let slots: Vec<usize> = catalog.named(name).collect();
-            for slot in slots {
-                if let Some(record) = catalog.at_mut(slot) {
+            let record_indexes: Vec<usize> = catalog.indexes_by_short_id(name).collect();
+            for record_index in record_indexes {
+                if let Some(record) = catalog.by_index_mut(record_index) {
                     record.peer_load = f64::from(sum);
                 }
             }
@@ -151,7 +151,7 @@
     let busy = catalog.iter().filter(|record| record.in_flight > 0);
     busy.map(|record| {
         let count = u16::try_from(record.in_flight).unwrap_or(u16::MAX);
-        (short_name(record.hash), count)
+        (short_id(record.hash), count)
     })
     .collect()
 }
--- a/crates/place/src/placing/placer.rs
+++ b/crates/place/src/placing/placer.rs
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use crate::catalog::index::NEAREST;
+use crate::catalog::index::TOP_SERVERS;
 use crate::catalog::{ServerCatalog, ServerHandle};
 use crate::desired::{DesiredState, RouteSpec, ServiceSpec};
 use crate::limits::budget::{BudgetBounds, RetryBudget};
@@ -17,7 +17,7 @@
 use crate::limits::shift::ShiftLimiter;
 use crate::limits::split::TrafficSplitter;
 use crate::placing::candidates::{
-    NearSearch, RankScope, RankedServers, near_candidates, ranked_candidates,
+    CandidateQuery, RankScope, RankedServers, ranked_candidates, top_candidates,
 };
 use crate::placing::choice::{ByteCosts, ChoicePlace, HOLDER, ServerChoice, rank_scope, widest};
 use crate::placing::load::{LoadWord, PeerLoads, own_load};
@@ -92,7 +92,7 @@
         let regions: Vec<String> = config.domains.values().cloned().collect();
         Self {
             catalog: ServerCatalog::new(config.domains.clone())
-                .with_place(&config.domain, &config.region)
+                .with_location(&config.domain, &config.region)
                 .with_drain(config.drain),
             services: HashMap::new(),
             splitter: TrafficSplitter::default(),
@@ -209,9 +209,9 @@
         self.loads.apply(now, &mut self.catalog);
         let service = part.service.as_str();
         let scope = rank_scope(request, self.work.of(request.route), &self.config.costs);
-        let near = self.near(now, request, service, scope);
-        let ranked =
-            near.unwrap_or_else(|| ranked_candidates(now, &self.catalog, service, request, scope));
+        let top_ranked = self.top_ranked(now, request, service, scope);
+        let ranked = top_ranked
+            .unwrap_or_else(|| ranked_candidates(now, &self.catalog, service, request, scope));
         if ranked.candidates.is_empty() {
             return Err(self.spread.refusal(RefusalReason::NoServer, None));
         }
@@ -226,34 +226,34 @@
     /// The servers that can get the request, where there are many others and these can be told
     /// without a look at all. Where none of them has room, when they will tells when the
     /// caller should come back: others wouldn't take the request then either.
-    fn near(
+    fn top_ranked(
         &mut self,
         now: Instant,
         request: &PlacementRequest<'_>,
         service: &str,
         scope: RankScope,
     ) -> Option<RankedServers> {
-        if self.catalog.servers_of(service) <= FEW_SERVERS {
+        if self.catalog.server_count(service) <= FEW_SERVERS {
             return None;
         }
         let work = self.work.known(request.route)?;
-        let slots = self.catalog.least_slots(service);
+        let slots = self.catalog.min_slots(service);
         let widest = widest(now, request, work, self.region_entries, slots)?;
-        let ranks = widest.max(RANKS);
+        let preferred_ranks = widest.max(RANKS);
         // Where any server likely holds any object, none is out of the question.
-        if ranks >= NEAREST || work.rates.least() >= HOLDER {
+        if preferred_ranks >= TOP_SERVERS || work.rates.least() >= HOLDER {
             return None;
         }
         let object = request.object?;
-        let search = NearSearch {
+        let query = CandidateQuery {
             service,
             request,
             object,
             scope,
-            ranks,
+            preferred_ranks,
             holders: self.warmth.holders(object),
         };
-        let ranked = near_candidates(now, &mut self.catalog, &search)?;
+        let ranked = top_candidates(now, &mut self.catalog, &query)?;
         // Whether there is any server at all must not depend on these few.
         (!ranked.candidates.is_empty()).then_some(ranked)
     }
@@ -297,7 +297,7 @@
         let place = ChoicePlace {
             domain: &self.config.domain,
             region: &self.config.region,
-            is_only: ranked.places == 1,
+            is_only: ranked.localities == 1,
             entries: self.region_entries,
             costs: self.config.costs,
             limiter,
--- a/crates/place/src/placing/warmth.rs
+++ b/crates/place/src/placing/warmth.rs
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use crate::placing::load::short_name;
+use crate::placing::load::short_id;
 use crate::placing::timing::Average;
 
 /// Ages of a sighting that are told apart.
@@ -58,7 +58,7 @@
 impl WarmthMap {
     /// The server `server` handled `object`.
     pub fn on_handled(&mut self, now: Instant, server: u64, object: u64) {
-        let sighting = (short_name(server), short_name(object));
+        let sighting = (short_id(server), short_id(object));
         self.remember(now, sighting);
         if self.news.len() < NEWS {
             self.news.push(sighting);
@@ -79,20 +79,20 @@
 
     /// The server started anew or lost what it held.
     pub fn forget(&mut self, server: u64) {
-        let server = short_name(server);
+        let server = short_id(server);
         self.seen.retain(|(known, _), _| *known != server);
         self.sort_out();
     }
 
     /// Short names of the servers that were seen to handle `object`.
     pub fn holders(&self, object: u64) -> &[u32] {
-        let servers = self.holders.get(&short_name(object));
+        let servers = self.holders.get(&short_id(object));
         servers.map_or(&[][..], Vec::as_slice)
     }
 
     /// What speaks for `server`, at `rank` for `object`, holding it.
     pub fn belief(&self, now: Instant, server: u64, object: u64, rank: usize) -> Belief {
-        if let Some(at) = self.seen.get(&(short_name(server), short_name(object))) {
+        if let Some(at) = self.seen.get(&(short_id(server), short_id(object))) {
             let age = now.saturating_duration_since(*at);
             if let Some(index) = AGES.iter().position(|limit| age < *limit) {
                 return Belief(index);
--- a/crates/place/src/placing/work.rs
+++ b/crates/place/src/placing/work.rs
@@ -24,7 +24,7 @@
 /// Time over which the requests for an object are counted.
 const DEMAND_SPAN: Duration = Duration::from_secs(3);
 /// Objects counted at most.
-const OBJECTS: usize = 8192;
+const MAX_TRACKED_OBJECTS: usize = 8192;
 
 /// What is known of the work of one route.
 #[derive(Debug)]
@@ -96,7 +96,7 @@
 
     /// Counts a request for `object`.
     pub fn on_request(&mut self, now: Instant, object: u64) {
-        if self.demand.len() >= OBJECTS {
+        if self.demand.len() >= MAX_TRACKED_OBJECTS {
             self.demand
                 .retain(|_, (at, _)| now.saturating_duration_since(*at) < DEMAND_SPAN);
         }
--- a/crates/place/tests/near.rs
+++ b/crates/place/tests/near.rs
@@ -8,10 +8,10 @@
 
 use common::{desired, ms, placer_config, reading, request, route, server};
 use place::placing::candidates::{
-    NearSearch, RankScope, RankedServers, near_candidates, ranked_candidates,
+    CandidateQuery, RankScope, RankedServers, ranked_candidates, top_candidates,
 };
 use place::placing::choice::{ByteCosts, ChoicePlace, ServerChoice};
-use place::placing::load::{LoadWord, short_name};
+use place::placing::load::{LoadWord, short_id};
 use place::placing::warmth::WarmthMap;
 use place::placing::work::WorkBook;
 use place::prelude::*;
@@ -69,7 +69,7 @@
             }
             servers.push(entry);
         }
-        let mut catalog = ServerCatalog::new(common::domains()).with_place("a1", "a");
+        let mut catalog = ServerCatalog::new(common::domains()).with_location("a1", "a");
         catalog.on_read(now, &reading(now, &servers));
         let mut warmth = WarmthMap::default();
         for (record, fate) in by_number(&mut catalog, fates) {
@@ -98,7 +98,7 @@
         let place = ChoicePlace {
             domain: "a1",
             region: "a",
-            is_only: ranked.places == 1,
+            is_only: ranked.localities == 1,
             entries: 3,
             costs: ByteCosts {
                 domain: 3.0,
@@ -155,15 +155,15 @@
             let wanted = request(&route, Some(OBJECT));
             for scope in [RankScope::Region, RankScope::Domain] {
                 let holders = crowd.warmth.holders(OBJECT).to_vec();
-                let search = NearSearch {
+                let query = CandidateQuery {
                     service: "board",
                     request: &wanted,
                     object: OBJECT,
                     scope,
-                    ranks: RANKS,
+                    preferred_ranks: RANKS,
                     holders: &holders,
                 };
-                let near = near_candidates(crowd.now, &mut crowd.catalog, &search);
+                let near = top_candidates(crowd.now, &mut crowd.catalog, &query);
                 let all = ranked_candidates(crowd.now, &crowd.catalog, "board", &wanted, scope);
                 let Some(near) = near else {
                     continue;
@@ -193,14 +193,14 @@
 
 /// Records that are looked at for a request and the words between two, where each entry has
 /// ten servers.
-fn examined(entries: usize) -> u64 {
+fn records_examined(entries: usize) -> u64 {
     let now = Instant::now();
     let mut placer = large_placer(now, entries * 10);
     let browse = route("browse", "/");
     let names: Vec<u32> = placer
         .catalog
         .iter()
-        .map(|record| short_name(record.hash))
+        .map(|record| short_id(record.hash))
         .collect();
     let mut looked = 0;
     for turn in 0..400_u64 {
@@ -212,14 +212,14 @@
                 .collect(),
             ..LoadWord::default()
         };
-        let before = placer.catalog.examined();
+        let before = placer.catalog.records_examined();
         placer.on_peer_load(at, turn % 9, word);
         let wanted = request(&browse, Some(object));
         placer.on_request(at, &browse, Some(object), Some(ms(1000)));
         let placement = placer.place(at, &wanted).unwrap();
         let good = ServerOutcome::Answered { good: true };
         placer.on_outcome(at + ms(10), &placement, &wanted, good, None);
-        looked += placer.catalog.examined() - before;
+        looked += placer.catalog.records_examined() - before;
     }
     looked / 400
 }
@@ -229,7 +229,7 @@
 #[test]
 fn a_choice_costs_the_same_at_any_size() {
     let costs: HashMap<usize, u64> = [100, 300, 1000, 2000]
-        .map(|entries| (entries, examined(entries)))
+        .map(|entries| (entries, records_examined(entries)))
         .into();
     let least = costs.values().min().unwrap();
     let most = costs.values().max().unwrap();
@@ -252,11 +252,11 @@
             placed += 1;
             assert!(placed < 1000, "nobody is turned away");
         }
-        let before = placer.catalog.examined();
+        let before = placer.catalog.records_examined();
         let refusal = placer.place(now, &wanted).unwrap_err();
         assert_eq!(refusal.reason, RefusalReason::Full);
         assert!(!refusal.retry_after.is_zero());
-        costs.push(placer.catalog.examined() - before);
+        costs.push(placer.catalog.records_examined() - before);
     }
     assert!(costs.iter().all(|cost| *cost <= 150), "{costs:?}");
 }
@@ -278,12 +278,12 @@
         placer.set_desired(&desired(1, vec![route("browse", "/")]));
         placer.catalog.on_read(now, &reading(now, &servers));
         let browse = route("browse", "/");
-        let before = placer.catalog.examined();
+        let before = placer.catalog.records_examined();
         for object in 0..100_u64 {
             let wanted = request(&browse, Some(object.wrapping_mul(OBJECT)));
             placer.place(now + ms(object), &wanted).unwrap();
         }
-        costs.push((placer.catalog.examined() - before) / 100);
+        costs.push((placer.catalog.records_examined() - before) / 100);
     }
     assert!(costs.iter().all(|cost| *cost <= 200), "{costs:?}");
 }
--- a/crates/place/tests/placer.rs
+++ b/crates/place/tests/placer.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use common::{ms, placer, reading, request, route, server};
-use place::placing::load::{LoadWord, short_name};
+use place::placing::load::{LoadWord, short_id};
 use place::prelude::*;
 use place::rank::stable_hash;
 use place::server::ServerReport;
@@ -219,7 +219,7 @@
     let now = Instant::now();
     let servers: Vec<ServerEntry> = ["p", "q", "r"].map(|id| server(id, "a1")).to_vec();
     let busy: Vec<(u32, u16)> = ["p", "q", "r"]
-        .map(|id| (short_name(stable_hash(id.as_bytes())), 2))
+        .map(|id| (short_id(stable_hash(id.as_bytes())), 2))
         .to_vec();
     let mut placer = placer(now, &servers);
     let browse = route("browse", "/");
@@ -345,12 +345,12 @@
     let first = placer.place(now, &wanted).unwrap();
     placer.on_outcome(now + ms(50), &first, &wanted, GOOD, None);
     let other = if first.id == "p" { "q" } else { "p" };
-    let name = |id: &str| short_name(stable_hash(id.as_bytes()));
+    let name = |id: &str| short_id(stable_hash(id.as_bytes()));
     let mut at = now;
     for step in 0..40 {
         at = now + ms(100 + 80 * step);
         let mut told = word(vec![(name(&first.id), 10), (name(other), 2)]);
-        told.handled = vec![(name(other), short_name(7))];
+        told.handled = vec![(name(other), short_id(7))];
         placer.on_peer_load(at, 5, told);
         placer.own_load(at);
     }
@@ -369,7 +369,7 @@
     let browse = route("browse", "/");
     let wanted = request(&browse, Some(7));
     let first = placer.place(now, &wanted).unwrap();
-    let name = short_name(stable_hash(first.id.as_bytes()));
+    let name = short_id(stable_hash(first.id.as_bytes()));
     placer.on_peer_load(now + ms(1), 5, word(vec![(name, 11)]));
     let second = placer.place(now + ms(2), &wanted).unwrap();
     assert_ne!(second.id, first.id);
--- a/crates/place/tests/runs.rs
+++ b/crates/place/tests/runs.rs
@@ -8,7 +8,7 @@
 use common::{changes, domains, ms, placer, reading, request, route, server};
 use place::catalog::CatalogChange;
 use place::fleet::log::RegistryLog;
-use place::placing::load::short_name;
+use place::placing::load::short_id;
 use place::prelude::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -107,8 +107,8 @@
     assert!(!record.is_paused(later));
     assert!(record.is_cold(later));
     assert_ne!(
-        short_name(record.hash),
-        short_name(run("x", 1000, 9).run_hash())
+        short_id(record.hash),
+        short_id(run("x", 1000, 9).run_hash())
     );
 }
 
