--- a/bin/lh-entry/src/state.rs
+++ b/bin/lh-entry/src/state.rs
@@ -364,8 +364,8 @@
 
     /// Tells the fleet when servers whose rows vanished are gone.
     pub(crate) fn note_settles(&self) {
-        let settles_at = self.placer.borrow().catalog.settles_at();
-        self.fleet.on_event(FleetEvent::Settles(settles_at));
+        let next_removal_at = self.placer.borrow().catalog.next_removal_at();
+        self.fleet.on_event(FleetEvent::Settles(next_removal_at));
     }
 
     /// Tells the rollouts of the versions of servers that joined.
--- a/crates/place/src/catalog/mod.rs
+++ b/crates/place/src/catalog/mod.rs
@@ -8,7 +8,7 @@
 pub mod index;
 mod outage;
 mod table;
-mod words;
+mod update;
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -36,7 +36,7 @@
     /// The store's version as of which what is known was read, by whomever.
     version: u64,
     /// When that was taken in.
-    taken_at: Option<Instant>,
+    applied_at: Option<Instant>,
     trips: TripBook,
     outage: RegistryOutage,
     departures: DepartureBook,
@@ -54,8 +54,8 @@
 
     /// Sets the time within which a leaving server must get no more requests.
     #[must_use]
-    pub fn with_drain(mut self, drain: Duration) -> Self {
-        self.outage.set_drain(drain);
+    pub fn with_drain(mut self, drain_time: Duration) -> Self {
+        self.outage.set_drain(drain_time);
         self
     }
 
@@ -97,7 +97,7 @@
     /// more than one to a later question. A version that a later answer of the store doesn't
     /// reach was never the store's.
     pub fn is_outdated(&self, snapshot: &CatalogSnapshot) -> bool {
-        let is_later = self.taken_at.is_none_or(|at| snapshot.begun >= at);
+        let is_later = self.applied_at.is_none_or(|at| snapshot.begun >= at);
         snapshot.version < self.version && !is_later
     }
 
@@ -109,18 +109,18 @@
         let settled = self.outage.on_answered(now);
         let mut changes = Vec::new();
         for entry in &snapshot.entries {
-            self.update(now, snapshot.begun, entry, &mut changes);
+            self.apply_entry(now, snapshot.begun, entry, &mut changes);
         }
         for id in &snapshot.foreign {
-            self.overwrite(id, &mut changes);
+            self.mark_overwritten(id, &mut changes);
         }
         let own = snapshot.entries.iter().map(|entry| entry.id.as_str());
         let foreign = snapshot.foreign.iter().map(String::as_str);
         let listed: HashSet<&str> = own.chain(foreign).collect();
-        self.sweep(now, &listed, settled, &mut changes);
+        self.remove_missing(now, &listed, settled, &mut changes);
         self.read_at = self.read_at.max(Some(snapshot.begun));
         self.version = snapshot.version;
-        self.taken_at = Some(now);
+        self.applied_at = Some(now);
         changes
     }
 
@@ -148,12 +148,12 @@
         delta: &RegistryDelta,
     ) -> Vec<CatalogChange> {
         let mut changes = Vec::new();
-        self.on_told_gone(now, delta, &mut changes);
+        self.apply_departures(now, delta, &mut changes);
         for entry in &delta.entries {
-            self.update(now, begun, entry, &mut changes);
+            self.apply_entry(now, begun, entry, &mut changes);
         }
         for id in &delta.foreign {
-            self.overwrite(id, &mut changes);
+            self.mark_overwritten(id, &mut changes);
         }
         if delta.whole {
             let entries = delta.entries.iter().map(|entry| &entry.id);
@@ -161,13 +161,13 @@
             let listed: HashSet<&str> = kept.map(String::as_str).collect();
             // Of a copy that is older than what was known, no row that it lacks was dropped.
             if store_version(delta.version) >= self.version {
-                self.sweep(now, &listed, true, &mut changes);
+                self.remove_missing(now, &listed, true, &mut changes);
             } else {
-                self.drop_others(&listed, &mut changes);
+                self.remove_unlisted(&listed, &mut changes);
             }
         }
         self.version = store_version(delta.version);
-        self.taken_at = Some(now);
+        self.applied_at = Some(now);
         self.confirm(begun);
         changes
     }
@@ -188,13 +188,13 @@
     /// What is known is as fresh as of `begun`, by the word of another entry.
     pub fn confirm(&mut self, begun: Instant) {
         self.read_at = self.read_at.max(Some(begun));
-        self.outage.on_told(begun);
+        self.outage.on_peer_snapshot(begun);
     }
 
     /// When servers that are still missing are gone, where any may be.
-    pub fn settles_at(&self) -> Option<Instant> {
+    pub fn next_removal_at(&self) -> Option<Instant> {
         let rows = self.table.iter().filter_map(vanished_row);
-        let first = rows.map(|row| self.outage.gone_at(row)).min()?;
+        let first = rows.map(|row| self.outage.removal_time(row)).min()?;
         let settled_at = self.outage.settled_at();
         Some(settled_at.map_or(first, |at| at.min(first)))
     }
--- a/crates/place/src/catalog/words.rs
+++ b/crates/place/src/catalog/update.rs
@@ -11,7 +11,7 @@
 impl ServerCatalog {
     /// Takes in one entry. Runs of a server are told apart by their start, words of
     /// one run by `seq`: a late word of a former run changes nothing.
-    pub(super) fn update(
+    pub(super) fn apply_entry(
         &mut self,
         now: Instant,
         begun: Instant,
@@ -19,7 +19,7 @@
         changes: &mut Vec<CatalogChange>,
     ) {
         if !self.domains.contains_key(&entry.domain) {
-            self.overwrite(&entry.id, changes);
+            self.mark_overwritten(&entry.id, changes);
             return;
         }
         if self.departures.refuses(now, entry) {
@@ -41,7 +41,7 @@
             return;
         }
         if !entry.is_same_run(&record.entry) {
-            self.overwrite(&entry.id, changes);
+            self.mark_overwritten(&entry.id, changes);
             return;
         }
         if record.missing_since.is_some() && entry.seq < record.entry.seq {
@@ -50,13 +50,13 @@
             self.on_refused(now, entry, changes);
             return;
         }
-        on_own_word(begun, record, entry, changes);
+        update_record(begun, record, entry, changes);
     }
 
     /// The registry lists, or another entry tells, a word from before the server's end.
     fn on_refused(&mut self, now: Instant, entry: &ServerEntry, changes: &mut Vec<CatalogChange>) {
-        let known = self.table.by_id(&entry.id);
-        if known.is_some_and(|record| self.departures.refuses(now, &record.entry)) {
+        let current = self.table.by_id(&entry.id);
+        if current.is_some_and(|record| self.departures.refuses(now, &record.entry)) {
             self.remove(now, &entry.id, changes);
         }
         if self.departures.on_refused(&entry.id) {
@@ -65,7 +65,7 @@
     }
 
     /// Somebody else's row stands where the server `id` had its entry, if it had one.
-    pub(super) fn overwrite(&mut self, id: &str, changes: &mut Vec<CatalogChange>) {
+    pub(super) fn mark_overwritten(&mut self, id: &str, changes: &mut Vec<CatalogChange>) {
         let Some(record) = self.table.by_id_mut(id) else {
             return;
         };
@@ -86,7 +86,7 @@
     }
 
     /// Ends the servers that a reading doesn't hold, or keeps them while they may have lapsed.
-    pub(super) fn sweep(
+    pub(super) fn remove_missing(
         &mut self,
         now: Instant,
         listed: &HashSet<&str>,
@@ -106,7 +106,7 @@
                 }
             }
             let row = vanished_row(record);
-            if settled || row.is_some_and(|row| now >= self.outage.gone_at(row)) {
+            if settled || row.is_some_and(|row| now >= self.outage.removal_time(row)) {
                 gone.push(record.entry.id.clone());
             }
         }
@@ -117,7 +117,7 @@
 
     /// Takes in which servers another entry knows to be gone. One that is listed again in the
     /// same change is the same run, of which nothing is forgotten.
-    pub(super) fn on_told_gone(
+    pub(super) fn apply_departures(
         &mut self,
         now: Instant,
         delta: &RegistryDelta,
@@ -145,9 +145,13 @@
     }
 
     /// Drops the servers that an older copy doesn't list, which tells nothing of their end.
-    pub(super) fn drop_others(&mut self, listed: &HashSet<&str>, changes: &mut Vec<CatalogChange>) {
-        let known = self.table.iter().map(|record| &record.entry.id);
-        let others = known.filter(|id| !listed.contains(id.as_str()));
+    pub(super) fn remove_unlisted(
+        &mut self,
+        listed: &HashSet<&str>,
+        changes: &mut Vec<CatalogChange>,
+    ) {
+        let current = self.table.iter().map(|record| &record.entry.id);
+        let others = current.filter(|id| !listed.contains(id.as_str()));
         let others: Vec<String> = others.cloned().collect();
         for id in others {
             self.table.remove(&id);
@@ -167,7 +171,7 @@
 }
 
 /// Takes in a word of the run that is known.
-fn on_own_word(
+fn update_record(
     begun: Instant,
     record: &mut ServerRecord,
     entry: &ServerEntry,
--- a/crates/place/tests/relisting.rs
+++ b/crates/place/tests/relisting.rs
@@ -36,7 +36,7 @@
                 "offset {offset}: used too long"
             );
             now += ms(10);
-            plan.set_settles(catalog.settles_at());
+            plan.set_settles(catalog.next_removal_at());
             let call = plan.take(now, ReadRole::Reader, catalog.read_at(), false);
             let Some(RegistryCall { wait, .. }) = call else {
                 continue;
