--- a/bin/lh-entry/src/job.rs
+++ b/bin/lh-entry/src/job.rs
@@ -117,7 +117,7 @@
                 AttemptEnd::NotRun => {}
             }
             if !self.may_try_again(route, &body) {
-                let refusal = self.state.placer.borrow_mut().rejected();
+                let refusal = self.state.placer.borrow_mut().rejection();
                 return self.give_up(last, refusal);
             }
         }
@@ -140,7 +140,7 @@
         };
         let now = Instant::now();
         let mut placer = self.state.placer.borrow_mut();
-        let allowed = placer.take_repeat(now, &part.service);
+        let allowed = placer.take_retry(now, &part.service);
         self.state.metrics.on_limit("retry-budget", allowed);
         allowed
     }
--- a/crates/place/src/placing/placer.rs
+++ b/crates/place/src/placing/placer.rs
@@ -13,13 +13,15 @@
 use crate::desired::{DesiredState, RouteSpec, ServiceSpec};
 use crate::limits::budget::{BudgetBounds, RetryBudget};
 use crate::limits::ramp::ColdRamp;
-use crate::limits::refusal::ReturnSpread;
+use crate::limits::refusal::RetryAfterJitter;
 use crate::limits::shift::ShiftLimiter;
 use crate::limits::split::TrafficSplitter;
 use crate::placing::candidates::{
     CandidateQuery, RankScope, RankedServers, ranked_candidates, top_candidates,
 };
-use crate::placing::choice::{ByteCosts, ChoicePlace, HOLDER, ServerChoice, rank_scope, widest};
+use crate::placing::choice::{
+    ByteCosts, ChoiceContext, MIN_HOLDER_LIKELIHOOD, ServerChoice, max_preferred_count, rank_scope,
+};
 use crate::placing::load::{LoadWord, PeerLoads, own_load};
 use crate::placing::timing::millis;
 use crate::placing::warmth::{RANKS, WarmthMap};
@@ -30,15 +32,15 @@
 use crate::server::{EntryState, ServerRecord, ServerReport};
 
 /// A server that rejects a request as full has about this many times its slots.
-const FULL_FACTOR: f64 = 3.0;
+const REJECTED_LOAD_FACTOR: f64 = 3.0;
 /// Warm-up of a service that isn't known.
-const USUAL_WARMUP: Duration = Duration::from_secs(3);
+const DEFAULT_WARMUP: Duration = Duration::from_secs(3);
 /// Rate that a cold server of an unknown service bears, in requests a second.
-const USUAL_COLD_RATE: f64 = 1.0;
+const DEFAULT_COLD_RATE: f64 = 1.0;
 /// A service of so many servers is looked at whole for each request.
-const FEW_SERVERS: usize = 64;
+const MAX_FULL_SCAN: usize = 64;
 /// Room after a rejection by servers, in seconds.
-const REJECTED_ROOM: f64 = 0.3;
+const REJECTED_RETRY_AFTER_SECS: f64 = 0.3;
 
 /// What the placer must know of its place and bounds.
 #[derive(Debug, Clone)]
@@ -83,7 +85,7 @@
     /// Whether this entry stands by: others don't count it in shared rates.
     standby: bool,
     loads: PeerLoads,
-    spread: ReturnSpread,
+    jitter: RetryAfterJitter,
 }
 
 impl RequestPlacer {
@@ -105,7 +107,7 @@
             region_entries: 1,
             standby: false,
             loads: PeerLoads::default(),
-            spread: ReturnSpread::new(config.own),
+            jitter: RetryAfterJitter::new(config.own),
             config,
         }
     }
@@ -159,7 +161,7 @@
     /// The longest warm-up of any service.
     pub fn longest_warmup(&self) -> Duration {
         let warmups = self.services.values().map(|service| service.warmup);
-        warmups.max().unwrap_or(USUAL_WARMUP)
+        warmups.max().unwrap_or(DEFAULT_WARMUP)
     }
 
     /// A caller's request on `route` for `object` arrived; returns its part of
@@ -184,14 +186,14 @@
     }
 
     /// Whether one more server may be tried, and takes it out of the budget.
-    pub fn take_repeat(&mut self, now: Instant, service: &str) -> bool {
+    pub fn take_retry(&mut self, now: Instant, service: &str) -> bool {
         self.budget.take(now, service)
     }
 
     /// The refusal of a request that servers rejected as full.
-    pub fn rejected(&mut self) -> Refusal {
-        self.spread
-            .refusal(RefusalReason::Full, Some(REJECTED_ROOM))
+    pub fn rejection(&mut self) -> Refusal {
+        self.jitter
+            .refusal(RefusalReason::Full, Some(REJECTED_RETRY_AFTER_SECS))
     }
 
     /// Chooses the server, and counts the request as sent to it.
@@ -204,7 +206,7 @@
         request: &PlacementRequest<'_>,
     ) -> Result<Placement, Refusal> {
         let Some(part) = request.route.parts.get(request.part) else {
-            return Err(self.spread.refusal(RefusalReason::NoServer, None));
+            return Err(self.jitter.refusal(RefusalReason::NoServer, None));
         };
         self.loads.apply(now, &mut self.catalog);
         let service = part.service.as_str();
@@ -213,14 +215,14 @@
         let ranked = top_ranked
             .unwrap_or_else(|| ranked_candidates(now, &self.catalog, service, request, scope));
         if ranked.candidates.is_empty() {
-            return Err(self.spread.refusal(RefusalReason::NoServer, None));
+            return Err(self.jitter.refusal(RefusalReason::NoServer, None));
         }
-        let wanted = self.choose(now, request, service, &ranked, None);
-        let chosen = self.within_cap(now, request, service, &ranked, wanted);
+        let unbounded = self.choose(now, request, service, &ranked, None);
+        let chosen = self.within_cap(now, request, service, &ranked, unbounded);
         let (handle, reason) =
-            chosen.map_err(|(reason, room_in)| self.spread.refusal(reason, room_in))?;
-        let placement = self.send(now, handle, reason);
-        placement.ok_or_else(|| self.spread.refusal(RefusalReason::NoServer, None))
+            chosen.map_err(|(reason, available_in)| self.jitter.refusal(reason, available_in))?;
+        let placement = self.mark_sent(now, handle, reason);
+        placement.ok_or_else(|| self.jitter.refusal(RefusalReason::NoServer, None))
     }
 
     /// The servers that can get the request, where there are many others and these can be told
@@ -233,15 +235,16 @@
         service: &str,
         scope: RankScope,
     ) -> Option<RankedServers> {
-        if self.catalog.server_count(service) <= FEW_SERVERS {
+        if self.catalog.server_count(service) <= MAX_FULL_SCAN {
             return None;
         }
         let work = self.work.known(request.route)?;
         let slots = self.catalog.min_slots(service);
-        let widest = widest(now, request, work, self.region_entries, slots)?;
-        let preferred_ranks = widest.max(RANKS);
+        let max_preferred_count =
+            max_preferred_count(now, request, work, self.region_entries, slots)?;
+        let preferred_ranks = max_preferred_count.max(RANKS);
         // Where any server likely holds any object, none is out of the question.
-        if preferred_ranks >= TOP_SERVERS || work.rates.least() >= HOLDER {
+        if preferred_ranks >= TOP_SERVERS || work.rates.least() >= MIN_HOLDER_LIKELIHOOD {
             return None;
         }
         let object = request.object?;
@@ -266,21 +269,25 @@
         request: &PlacementRequest<'_>,
         service: &str,
         ranked: &RankedServers,
-        wanted: ChoiceResult,
+        unbounded: ChoiceResult,
     ) -> ChoiceResult {
-        let Ok((handle, reason)) = wanted else {
-            return wanted;
+        let Ok((handle, reason)) = unbounded else {
+            return unbounded;
         };
         let Some(record) = self.catalog.get(handle) else {
-            return wanted;
+            return unbounded;
         };
         self.shift.advance(now);
         if self.shift.permits(&record.region) {
-            return wanted;
+            return unbounded;
         }
         let stays = !reason.away && self.shift.permits_own(&record.region);
         let bounded = self.choose(now, request, service, ranked, Some(&self.shift));
-        if stays { bounded.or(wanted) } else { bounded }
+        if stays {
+            bounded.or(unbounded)
+        } else {
+            bounded
+        }
     }
 
     fn choose(
@@ -294,22 +301,22 @@
         let Some(work) = self.work.known(request.route) else {
             return Err((RefusalReason::NoServer, None));
         };
-        let place = ChoicePlace {
+        let context = ChoiceContext {
             domain: &self.config.domain,
             region: &self.config.region,
-            is_only: ranked.localities == 1,
+            is_single_locality: ranked.localities == 1,
             entries: self.region_entries,
             costs: self.config.costs,
             limiter,
         };
-        let mut choice = ServerChoice::new(now, request, place, work);
+        let mut choice = ServerChoice::new(now, request, context, work);
         for candidate in &ranked.candidates {
             let Some(record) = self.catalog.get(candidate.handle) else {
                 continue;
             };
             let cold = record.is_cold(now);
-            if cold && !self.may_warm(now, record, service) {
-                choice.block(RefusalReason::Cold, None);
+            if cold && !self.may_use_cold(now, record, service) {
+                choice.note_blocked(RefusalReason::Cold, None);
                 continue;
             }
             let belief = request
@@ -323,8 +330,8 @@
                 belief,
                 ..PlacementReason::default()
             };
-            choice.set_width(f64::from(record.entry.slots.max(1)));
-            choice.weigh(candidate, record, reason);
+            choice.set_preferred_count(f64::from(record.entry.slots.max(1)));
+            choice.consider(candidate, record, reason);
         }
         choice.finish()
     }
@@ -360,7 +367,7 @@
                 record.on_reached();
                 if report.is_none() {
                     let slots = f64::from(record.entry.slots);
-                    record.on_full(now, slots * FULL_FACTOR);
+                    record.on_full(now, slots * REJECTED_LOAD_FACTOR);
                 }
                 record.on_outcome(now, false);
             }
@@ -388,11 +395,11 @@
             self.warmth.forget(hash);
         }
         if outcome == (ServerOutcome::Answered { good: true }) {
-            self.learn(now, placement, request, hash);
+            self.learn_from_answer(now, placement, request, hash);
         }
     }
 
-    fn learn(
+    fn learn_from_answer(
         &mut self,
         now: Instant,
         placement: &Placement,
@@ -417,7 +424,7 @@
         }
     }
 
-    fn send(
+    fn mark_sent(
         &mut self,
         now: Instant,
         handle: ServerHandle,
@@ -436,12 +443,12 @@
         })
     }
 
-    fn may_warm(&self, now: Instant, record: &ServerRecord, service: &str) -> bool {
+    fn may_use_cold(&self, now: Instant, record: &ServerRecord, service: &str) -> bool {
         if self.standby {
             return false;
         }
         let known = self.services.get(service);
-        let rate = known.map_or(USUAL_COLD_RATE, |service| service.cold_rate);
+        let rate = known.map_or(DEFAULT_COLD_RATE, |service| service.cold_rate);
         self.ramp
             .allows(now, record.hash, self.config.own, &self.entries, rate)
     }
@@ -449,6 +456,6 @@
     fn warmup(&self, request: &PlacementRequest<'_>) -> Duration {
         let part = request.route.parts.get(request.part);
         part.and_then(|part| self.services.get(&part.service))
-            .map_or(USUAL_WARMUP, |service| service.warmup)
+            .map_or(DEFAULT_WARMUP, |service| service.warmup)
     }
 }
--- a/crates/place/tests/near.rs
+++ b/crates/place/tests/near.rs
@@ -10,7 +10,7 @@
 use place::placing::candidates::{
     CandidateQuery, RankScope, RankedServers, ranked_candidates, top_candidates,
 };
-use place::placing::choice::{ByteCosts, ChoicePlace, ServerChoice};
+use place::placing::choice::{ByteCosts, ChoiceContext, ServerChoice};
 use place::placing::load::{LoadWord, short_id};
 use place::placing::warmth::WarmthMap;
 use place::placing::work::WorkBook;
@@ -95,10 +95,10 @@
     fn choose(&self, ranked: &RankedServers) -> Option<(u64, f64)> {
         let wanted = request(&self.route, Some(OBJECT));
         let work = self.work.known(&self.route).unwrap();
-        let place = ChoicePlace {
+        let place = ChoiceContext {
             domain: "a1",
             region: "a",
-            is_only: ranked.localities == 1,
+            is_single_locality: ranked.localities == 1,
             entries: 3,
             costs: ByteCosts {
                 domain: 3.0,
@@ -117,8 +117,8 @@
             reason.warmth = work.rates.likelihood(belief);
             reason.rank = candidate.rank;
             reason.cold = record.is_cold(self.now);
-            choice.set_width(f64::from(record.entry.slots));
-            choice.weigh(candidate, record, reason);
+            choice.set_preferred_count(f64::from(record.entry.slots));
+            choice.consider(candidate, record, reason);
         }
         let (handle, reason) = choice.finish().ok()?;
         Some((handle.run(), reason.expected))
