--- a/bin/lh-entry/src/state.rs
+++ b/bin/lh-entry/src/state.rs
@@ -15,7 +15,7 @@
 use place::fleet::log::{ReadScope, RegistryDelta, RegistryLog};
 use place::fleet::member::MemberConfig;
 use place::fleet::seat::LeadSeat;
-use place::placing::load::load_pause;
+use place::placing::load::load_interval;
 use place::prelude::*;
 use place::rank::stable_hash;
 use place::routes::ANY_HOST;
@@ -419,7 +419,7 @@
         let listed = hashes.len() + usize::from(is_listed);
         self.rollouts
             .set_entries(listed, is_listed || self.fleet.is_lone());
-        let pause = load_pause(near as u32);
+        let pause = load_interval(near as u32);
         let now = Instant::now();
         self.quota.borrow_mut().set_entries(now, &hashes, pause);
         let mut placer = self.placer.borrow_mut();
--- a/bin/lh-entry/src/words.rs
+++ b/bin/lh-entry/src/words.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use place::fleet::message::{LoadBeat, PeerMessage};
-use place::placing::load::{LoadWord, is_told_far, load_pause};
+use place::placing::load::{LoadUpdate, is_sent_far, load_interval};
 use place::rank::stable_hash;
 use team::quota::QuotaWord;
 use tokio::net::UdpSocket;
@@ -69,7 +69,7 @@
         .round
         .replace_with(|round| round.wrapping_add(1));
     let count = near.len() as u32;
-    if !is_told_far(round, count, far.len() as u32) {
+    if !is_sent_far(round, count, far.len() as u32) {
         far.clear();
     }
     let now = Instant::now();
@@ -79,9 +79,14 @@
     });
     let word = state.placer.borrow_mut().own_load(now);
     send(socket, &near, &message(state, word.clone(), quota.clone())).await;
-    send(socket, &far, &message(state, word.for_others(), quota)).await;
+    send(
+        socket,
+        &far,
+        &message(state, word.for_other_regions(), quota),
+    )
+    .await;
     rollout::speak(state, socket, &[near, far].concat()).await;
-    load_pause(count)
+    load_interval(count)
 }
 
 /// All other entries that get requests.
@@ -112,7 +117,7 @@
     (near, far)
 }
 
-fn message(state: &InstanceState, word: LoadWord, quota: Option<QuotaWord>) -> PeerMessage {
+fn message(state: &InstanceState, word: LoadUpdate, quota: Option<QuotaWord>) -> PeerMessage {
     PeerMessage::Load(LoadBeat {
         entry: stable_hash(state.config.instance.as_bytes()),
         word,
--- a/crates/emulate/src/quota/ways.rs
+++ b/crates/emulate/src/quota/ways.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use place::placing::load::load_pause;
+use place::placing::load::load_interval;
 use team::quota::{QuotaLimiter, QuotaWord};
 use team::spec::{TeamQuota, TeamSpec};
 
@@ -50,7 +50,7 @@
 
     fn set_entries(&mut self, now: Instant, entries: &[u64]) {
         let near = entries.len().div_ceil(REGIONS) as u32;
-        self.0.set_entries(now, entries, load_pause(near));
+        self.0.set_entries(now, entries, load_interval(near));
     }
 
     fn admit(&mut self, now: Instant, team: &str) -> Result<(), Duration> {
--- a/crates/emulate/src/run.rs
+++ b/crates/emulate/src/run.rs
@@ -367,7 +367,7 @@
             let near = other / self.experiment.entries == entry / self.experiment.entries;
             let trip = if near { NEAR } else { FAR };
             let word = word.clone();
-            let word = if near { word } else { word.for_others() };
+            let word = if near { word } else { word.for_other_regions() };
             let heard = Event::Hear(other, entry_hash(entry), word);
             self.schedule(self.now + trip, heard);
         }
--- a/crates/place/src/catalog/mod.rs
+++ b/crates/place/src/catalog/mod.rs
@@ -19,7 +19,7 @@
 use crate::departure::{Departure, DepartureBook};
 use crate::fleet::log::{RegistryDelta, store_version};
 use crate::placing::candidates::RankScope;
-use crate::placing::trip::TripBook;
+use crate::placing::trip::RoundTripEstimator;
 use crate::server::{EntryState, ServerEntry, ServerRecord};
 
 pub use crate::catalog::change::{CatalogChange, ServerCondition};
@@ -37,7 +37,7 @@
     version: u64,
     /// When that was taken in.
     applied_at: Option<Instant>,
-    trips: TripBook,
+    trips: RoundTripEstimator,
     outage: RegistryOutage,
     departures: DepartureBook,
 }
@@ -62,7 +62,7 @@
     /// Sets where the entry stands that uses this catalog.
     #[must_use]
     pub fn with_location(mut self, domain: &str, region: &str) -> Self {
-        self.trips = TripBook::new(domain, region);
+        self.trips = RoundTripEstimator::new(domain, region);
         self
     }
 
--- a/crates/place/src/fleet/message.rs
+++ b/crates/place/src/fleet/message.rs
@@ -7,7 +7,7 @@
 use crate::fleet::known::StoreWord;
 use crate::fleet::list::ListVersion;
 use crate::fleet::seat::LeadSeat;
-use crate::placing::load::LoadWord;
+use crate::placing::load::LoadUpdate;
 use rollout::word::RolloutWord;
 use team::quota::QuotaWord;
 
@@ -36,7 +36,7 @@
         /// Hash of the entry's name.
         pub entry: u64,
         /// What it has sent.
-        pub word: LoadWord,
+        pub word: LoadUpdate,
         /// What it let in of teams that have quotas, where there are such.
         pub quota: Option<QuotaWord>,
     }
--- a/crates/place/src/placing/choice.rs
+++ b/crates/place/src/placing/choice.rs
@@ -107,7 +107,7 @@
             request,
             context,
             work,
-            time_limit: time_limit(request, &context, work.returning_share()),
+            time_limit: time_limit(request, &context, work.resubmit_share()),
             preferred_count: 1,
             best: None,
             blocked: RefusalReason::Late,
--- a/crates/place/src/placing/placer.rs
+++ b/crates/place/src/placing/placer.rs
@@ -22,10 +22,10 @@
 use crate::placing::choice::{
     ByteCosts, ChoiceContext, MIN_HOLDER_LIKELIHOOD, ServerChoice, max_preferred_count, rank_scope,
 };
-use crate::placing::load::{LoadWord, PeerLoads, own_load};
+use crate::placing::load::{LoadUpdate, PeerLoads, own_load};
 use crate::placing::timing::millis;
-use crate::placing::warmth::{RANKS, WarmthMap};
-use crate::placing::work::WorkBook;
+use crate::placing::warmth::{DISTINCT_RANKS, WarmthMap};
+use crate::placing::work::RouteWorkTable;
 use crate::request::{
     Placement, PlacementReason, PlacementRequest, Refusal, RefusalReason, ServerOutcome,
 };
@@ -79,7 +79,7 @@
     ramp: ColdRamp,
     shift: ShiftLimiter,
     warmth: WarmthMap,
-    work: WorkBook,
+    work: RouteWorkTable,
     entries: Vec<u64>,
     region_entries: usize,
     /// Whether this entry stands by: others don't count it in shared rates.
@@ -102,7 +102,7 @@
             ramp: ColdRamp::default(),
             shift: ShiftLimiter::new(config.shift_cap, &regions),
             warmth: WarmthMap::default(),
-            work: WorkBook::default(),
+            work: RouteWorkTable::default(),
             entries: vec![config.own],
             region_entries: 1,
             standby: false,
@@ -141,20 +141,20 @@
     }
 
     /// Takes in what the entry with the hash `entry` has sent.
-    pub fn on_peer_load(&mut self, now: Instant, entry: u64, word: LoadWord) {
-        self.shift.on_peer_sent(now, entry, &word.sent);
-        self.warmth.on_told(now, &word.handled);
-        self.loads.on_list(now, entry, word.load);
+    pub fn on_peer_load(&mut self, now: Instant, entry: u64, update: LoadUpdate) {
+        self.shift.on_peer_sent(now, entry, &update.sent);
+        self.warmth.on_peer_pairs(now, &update.handled);
+        self.loads.apply_list(now, entry, update.load);
     }
 
     /// Own requests at servers and what came of them, for the other entries. Call it
     /// several times a second.
-    pub fn own_load(&mut self, now: Instant) -> LoadWord {
+    pub fn own_load(&mut self, now: Instant) -> LoadUpdate {
         self.loads.apply(now, &mut self.catalog);
-        LoadWord {
+        LoadUpdate {
             load: own_load(&self.catalog),
             sent: self.shift.sent(),
-            handled: self.warmth.take_news(),
+            handled: self.warmth.take_unsent(),
         }
     }
 
@@ -177,11 +177,11 @@
         if let Some(chosen) = route.parts.get(part) {
             self.budget.on_request(now, &chosen.service);
         }
-        let work = self.work.of(route);
+        let work = self.work.get_or_insert(route);
         if let Some(object) = object {
             work.on_request(now, object);
         }
-        let returning = deadline.is_some_and(|deadline| work.is_returning(deadline));
+        let returning = deadline.is_some_and(|deadline| work.is_resubmitted(deadline));
         (part, returning)
     }
 
@@ -210,7 +210,11 @@
         };
         self.loads.apply(now, &mut self.catalog);
         let service = part.service.as_str();
-        let scope = rank_scope(request, self.work.of(request.route), &self.config.costs);
+        let scope = rank_scope(
+            request,
+            self.work.get_or_insert(request.route),
+            &self.config.costs,
+        );
         let top_ranked = self.top_ranked(now, request, service, scope);
         let ranked = top_ranked
             .unwrap_or_else(|| ranked_candidates(now, &self.catalog, service, request, scope));
@@ -238,13 +242,14 @@
         if self.catalog.server_count(service) <= MAX_FULL_SCAN {
             return None;
         }
-        let work = self.work.known(request.route)?;
+        let work = self.work.get(request.route)?;
         let slots = self.catalog.min_slots(service);
         let max_preferred_count =
             max_preferred_count(now, request, work, self.region_entries, slots)?;
-        let preferred_ranks = max_preferred_count.max(RANKS);
+        let preferred_ranks = max_preferred_count.max(DISTINCT_RANKS);
         // Where any server likely holds any object, none is out of the question.
-        if preferred_ranks >= TOP_SERVERS || work.rates.least() >= MIN_HOLDER_LIKELIHOOD {
+        if preferred_ranks >= TOP_SERVERS || work.rates.unseen_likelihood() >= MIN_HOLDER_LIKELIHOOD
+        {
             return None;
         }
         let object = request.object?;
@@ -298,7 +303,7 @@
         ranked: &RankedServers,
         limiter: Option<&ShiftLimiter>,
     ) -> ChoiceResult {
-        let Some(work) = self.work.known(request.route) else {
+        let Some(work) = self.work.get(request.route) else {
             return Err((RefusalReason::NoServer, None));
         };
         let context = ChoiceContext {
@@ -338,7 +343,10 @@
 
     /// Takes in the size of an answer on `route`.
     pub fn on_answer_size(&mut self, route: &RouteSpec, bytes: u64) {
-        self.work.of(route).answer.add(bytes as f64 / 1000.0);
+        self.work
+            .get_or_insert(route)
+            .answer
+            .add(bytes as f64 / 1000.0);
     }
 
     /// Takes in what became of a request that was placed.
@@ -417,7 +425,9 @@
         let trip = self.catalog.get(placement.handle);
         let work = took - trip.map_or(0.0, |record| record.trip);
         if !reason.cold {
-            self.work.of(request.route).on_answer(work, reason.belief);
+            self.work
+                .get_or_insert(request.route)
+                .on_answer(work, reason.belief);
         }
         if let Some(record) = self.catalog.get_mut(placement.handle) {
             record.on_speed(now, work / reason.work.max(1.0) * record.speed(now));
--- a/crates/place/src/placing/timing.rs
+++ b/crates/place/src/placing/timing.rs
@@ -4,12 +4,12 @@
 
 /// A moving average, in milliseconds.
 #[derive(Debug, Clone, Copy)]
-pub struct Average {
+pub struct MovingAverage {
     value: f64,
     weight: f64,
 }
 
-impl Average {
+impl MovingAverage {
     /// Starts at `value` and gives the newest sample the share `weight`.
     pub fn new(value: f64, weight: f64) -> Self {
         Self { value, weight }
--- a/crates/place/src/placing/warmth.rs
+++ b/crates/place/src/placing/warmth.rs
@@ -9,79 +9,79 @@
 use std::time::{Duration, Instant};
 
 use crate::placing::load::short_id;
-use crate::placing::timing::Average;
+use crate::placing::timing::MovingAverage;
 
 /// Ages of a sighting that are told apart.
-const AGES: [Duration; 3] = [
+const AGE_LIMITS: [Duration; 3] = [
     Duration::from_secs(2),
     Duration::from_secs(6),
     Duration::from_secs(20),
 ];
 /// Ranks that are told apart where there was no sighting; the last stands for all beyond.
-pub const RANKS: usize = 4;
+pub const DISTINCT_RANKS: usize = 4;
 /// Pairs kept at most; 64 bytes each.
-const PAIRS: usize = 16_384;
+const MAX_PAIRS: usize = 16_384;
 /// Sightings told in one word; those beyond are few and only make others guess.
-const NEWS: usize = 128;
+const MAX_UNSENT_PAIRS: usize = 128;
 /// Likelihood at the beginning: after sightings, then by rank. Low for ranks:
 /// nothing is held when everything has just begun.
-const FIRST: [f64; BELIEFS] = [0.95, 0.9, 0.8, 0.3, 0.2, 0.1, 0.05];
+const INITIAL_LIKELIHOODS: [f64; BELIEFS] = [0.95, 0.9, 0.8, 0.3, 0.2, 0.1, 0.05];
 /// Kinds of belief that are told apart.
-const BELIEFS: usize = AGES.len() + RANKS;
+const BELIEFS: usize = AGE_LIMITS.len() + DISTINCT_RANKS;
 /// Weight of the newest answer in a likelihood.
-const WEIGHT: f64 = 0.03;
+const NEWEST_WEIGHT: f64 = 0.03;
 
 /// Why a server may hold an object: an index into the learned likelihoods.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Belief(usize);
 
 /// A server that handled an object, by short names of both.
-pub type Sighting = (u32, u32);
+pub type HandledPair = (u32, u32);
 
 /// What is known of objects at servers: what this entry saw, and what the other
 /// entries of its region told.
 #[derive(Debug, Default)]
 pub struct WarmthMap {
-    seen: HashMap<Sighting, Instant>,
-    /// Servers that handled each object, as far as `seen` has them.
+    handled_at: HashMap<HandledPair, Instant>,
+    /// Servers that handled each object, as far as `handled_at` has them.
     holders: HashMap<u32, Vec<u32>>,
     /// Own sightings that the others haven't been told yet.
-    news: Vec<Sighting>,
+    unsent: Vec<HandledPair>,
 }
 
 /// How likely each kind of belief has proved to be right, for one route.
 #[derive(Debug)]
 pub struct WarmthRates {
-    rates: [Average; BELIEFS],
+    rates: [MovingAverage; BELIEFS],
 }
 
 impl WarmthMap {
     /// The server `server` handled `object`.
     pub fn on_handled(&mut self, now: Instant, server: u64, object: u64) {
-        let sighting = (short_id(server), short_id(object));
-        self.remember(now, sighting);
-        if self.news.len() < NEWS {
-            self.news.push(sighting);
+        let pair = (short_id(server), short_id(object));
+        self.remember(now, pair);
+        if self.unsent.len() < MAX_UNSENT_PAIRS {
+            self.unsent.push(pair);
         }
     }
 
     /// Takes in sightings of another entry.
-    pub fn on_told(&mut self, now: Instant, sightings: &[Sighting]) {
-        for sighting in sightings {
-            self.remember(now, *sighting);
+    pub fn on_peer_pairs(&mut self, now: Instant, pairs: &[HandledPair]) {
+        for pair in pairs {
+            self.remember(now, *pair);
         }
     }
 
     /// Own sightings since the last call.
-    pub fn take_news(&mut self) -> Vec<Sighting> {
-        std::mem::take(&mut self.news)
+    pub fn take_unsent(&mut self) -> Vec<HandledPair> {
+        std::mem::take(&mut self.unsent)
     }
 
     /// The server started anew or lost what it held.
     pub fn forget(&mut self, server: u64) {
         let server = short_id(server);
-        self.seen.retain(|(known, _), _| *known != server);
-        self.sort_out();
+        self.handled_at.retain(|(known, _), _| *known != server);
+        self.prune_holders();
     }
 
     /// Short names of the servers that were seen to handle `object`.
@@ -92,33 +92,33 @@
 
     /// What speaks for `server`, at `rank` for `object`, holding it.
     pub fn belief(&self, now: Instant, server: u64, object: u64, rank: usize) -> Belief {
-        if let Some(at) = self.seen.get(&(short_id(server), short_id(object))) {
+        if let Some(at) = self.handled_at.get(&(short_id(server), short_id(object))) {
             let age = now.saturating_duration_since(*at);
-            if let Some(index) = AGES.iter().position(|limit| age < *limit) {
+            if let Some(index) = AGE_LIMITS.iter().position(|limit| age < *limit) {
                 return Belief(index);
             }
         }
-        Belief(AGES.len() + rank.min(RANKS - 1))
+        Belief(AGE_LIMITS.len() + rank.min(DISTINCT_RANKS - 1))
     }
 
-    fn remember(&mut self, now: Instant, sighting: Sighting) {
-        if self.seen.len() >= PAIRS {
-            let oldest = AGES[AGES.len() - 1];
-            self.seen
+    fn remember(&mut self, now: Instant, pair: HandledPair) {
+        if self.handled_at.len() >= MAX_PAIRS {
+            let oldest = AGE_LIMITS[AGE_LIMITS.len() - 1];
+            self.handled_at
                 .retain(|_, at| now.saturating_duration_since(*at) < oldest);
-            self.sort_out();
+            self.prune_holders();
         }
-        if self.seen.len() < PAIRS && self.seen.insert(sighting, now).is_none() {
-            let (server, object) = sighting;
+        if self.handled_at.len() < MAX_PAIRS && self.handled_at.insert(pair, now).is_none() {
+            let (server, object) = pair;
             self.holders.entry(object).or_default().push(server);
         }
     }
 
     /// Keeps those holders only that were seen.
-    fn sort_out(&mut self) {
-        let seen = &self.seen;
+    fn prune_holders(&mut self) {
+        let handled_at = &self.handled_at;
         self.holders.retain(|object, servers| {
-            servers.retain(|server| seen.contains_key(&(*server, *object)));
+            servers.retain(|server| handled_at.contains_key(&(*server, *object)));
             !servers.is_empty()
         });
     }
@@ -127,7 +127,7 @@
 impl WarmthRates {
     /// The likelihood that a server holds an object of which nothing speaks but that it isn't
     /// among the first for it.
-    pub fn least(&self) -> f64 {
+    pub fn unseen_likelihood(&self) -> f64 {
         self.rates[BELIEFS - 1].value()
     }
 
@@ -145,7 +145,7 @@
 impl Default for WarmthRates {
     fn default() -> Self {
         Self {
-            rates: FIRST.map(|rate| Average::new(rate, WEIGHT)),
+            rates: INITIAL_LIKELIHOODS.map(|initial| MovingAverage::new(initial, NEWEST_WEIGHT)),
         }
     }
 }
--- a/crates/place/src/placing/work.rs
+++ b/crates/place/src/placing/work.rs
@@ -5,24 +5,24 @@
 use std::time::{Duration, Instant};
 
 use crate::desired::RouteSpec;
-use crate::placing::timing::{Average, millis};
+use crate::placing::timing::{MovingAverage, millis};
 use crate::placing::warmth::{Belief, WarmthRates};
 
 /// Weight of the newest answer in the work of a route.
 const WORK_WEIGHT: f64 = 0.05;
 /// Work of an object that isn't held at the beginning, as a share of the objective.
-const FIRST_WORK: f64 = 1.2;
+const INITIAL_COLD_WORK: f64 = 1.2;
 /// Work of a held object at the beginning, as a share of the objective.
-const FIRST_WARM_WORK: f64 = 0.36;
+const INITIAL_WARM_WORK: f64 = 0.36;
 /// Kilobytes of an answer, before any is known.
-const FIRST_ANSWER: f64 = 4.0;
+const INITIAL_ANSWER_KB: f64 = 4.0;
 /// A deadline below this share of the longest seen marks a request that was
 /// refused before: callers subtract what has passed.
-const RETURN_SHARE: f64 = 0.97;
+const RESUBMIT_DEADLINE_SHARE: f64 = 0.97;
 /// Weight of the newest request in the share of those that were refused before.
-const RETURN_WEIGHT: f64 = 0.03;
+const RESUBMIT_WEIGHT: f64 = 0.03;
 /// Time over which the requests for an object are counted.
-const DEMAND_SPAN: Duration = Duration::from_secs(3);
+const DEMAND_WINDOW: Duration = Duration::from_secs(3);
 /// Objects counted at most.
 const MAX_TRACKED_OBJECTS: usize = 8192;
 
@@ -30,27 +30,27 @@
 #[derive(Debug)]
 pub struct RouteWork {
     /// Where the object is held, in milliseconds.
-    pub warm: Average,
+    pub warm: MovingAverage,
     /// Where it isn't, in milliseconds.
-    pub cold: Average,
+    pub cold: MovingAverage,
     /// How likely each belief in a held object is right.
     pub rates: WarmthRates,
     /// Size of an answer, in kilobytes.
-    pub answer: Average,
+    pub answer: MovingAverage,
     longest_deadline: Duration,
-    returning: Average,
+    resubmitted: MovingAverage,
     demand: HashMap<u64, (Instant, f64)>,
 }
 
 /// The work of all routes.
 #[derive(Debug, Default)]
-pub struct WorkBook {
+pub struct RouteWorkTable {
     routes: HashMap<String, RouteWork>,
 }
 
-impl WorkBook {
+impl RouteWorkTable {
     /// What is known of `route`; a first guess if nothing is.
-    pub fn of(&mut self, route: &RouteSpec) -> &mut RouteWork {
+    pub fn get_or_insert(&mut self, route: &RouteSpec) -> &mut RouteWork {
         if !self.routes.contains_key(&route.name) {
             let objective = millis(route.objective);
             self.routes
@@ -62,7 +62,7 @@
     }
 
     /// What is known of `route`, if anything.
-    pub fn known(&self, route: &RouteSpec) -> Option<&RouteWork> {
+    pub fn get(&self, route: &RouteSpec) -> Option<&RouteWork> {
         self.routes.get(&route.name)
     }
 }
@@ -70,39 +70,40 @@
 impl RouteWork {
     fn new(objective: f64) -> Self {
         Self {
-            warm: Average::new(FIRST_WARM_WORK * objective, WORK_WEIGHT),
-            cold: Average::new(FIRST_WORK * objective, WORK_WEIGHT),
+            warm: MovingAverage::new(INITIAL_WARM_WORK * objective, WORK_WEIGHT),
+            cold: MovingAverage::new(INITIAL_COLD_WORK * objective, WORK_WEIGHT),
             rates: WarmthRates::default(),
-            answer: Average::new(FIRST_ANSWER, WORK_WEIGHT),
+            answer: MovingAverage::new(INITIAL_ANSWER_KB, WORK_WEIGHT),
             longest_deadline: Duration::ZERO,
-            returning: Average::new(0.0, RETURN_WEIGHT),
+            resubmitted: MovingAverage::new(0.0, RESUBMIT_WEIGHT),
             demand: HashMap::new(),
         }
     }
 
     /// Takes in a caller's deadline; whether it shows a request that was refused
     /// before.
-    pub fn is_returning(&mut self, deadline: Duration) -> bool {
+    pub fn is_resubmitted(&mut self, deadline: Duration) -> bool {
         self.longest_deadline = self.longest_deadline.max(deadline);
-        let returning = millis(deadline) < RETURN_SHARE * millis(self.longest_deadline);
-        self.returning.add(if returning { 1.0 } else { 0.0 });
-        returning
+        let resubmitted =
+            millis(deadline) < RESUBMIT_DEADLINE_SHARE * millis(self.longest_deadline);
+        self.resubmitted.add(if resubmitted { 1.0 } else { 0.0 });
+        resubmitted
     }
 
     /// Share of the latest requests that were refused before, 0 to 1.
-    pub fn returning_share(&self) -> f64 {
-        self.returning.value()
+    pub fn resubmit_share(&self) -> f64 {
+        self.resubmitted.value()
     }
 
     /// Counts a request for `object`.
     pub fn on_request(&mut self, now: Instant, object: u64) {
         if self.demand.len() >= MAX_TRACKED_OBJECTS {
             self.demand
-                .retain(|_, (at, _)| now.saturating_duration_since(*at) < DEMAND_SPAN);
+                .retain(|_, (at, _)| now.saturating_duration_since(*at) < DEMAND_WINDOW);
         }
         let (at, count) = self.demand.entry(object).or_insert((now, 0.0));
         let age = now.saturating_duration_since(*at);
-        *count = *count * Average::decay(age, DEMAND_SPAN) + 1.0;
+        *count = *count * MovingAverage::decay(age, DEMAND_WINDOW) + 1.0;
         *at = now;
     }
 
@@ -112,7 +113,7 @@
             return 0.0;
         };
         let age = now.saturating_duration_since(*at);
-        count * Average::decay(age, DEMAND_SPAN) / DEMAND_SPAN.as_secs_f64()
+        count * MovingAverage::decay(age, DEMAND_WINDOW) / DEMAND_WINDOW.as_secs_f64()
     }
 
     /// Takes in an answer that took `work` ms at a server with a free slot.
--- a/crates/place/src/server.rs
+++ b/crates/place/src/server.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use crate::placing::timing::Average;
+use crate::placing::timing::MovingAverage;
 use crate::rank::{pair_weight, stable_hash};
 
 /// A report of load counts less the older it is; after this time it counts 37 %.
@@ -257,5 +257,5 @@
 
 fn decay(now: Instant, at: Instant, span: Duration) -> f64 {
     let age = now.saturating_duration_since(at);
-    Average::decay(age, span)
+    MovingAverage::decay(age, span)
 }
--- a/crates/place/tests/load.rs
+++ b/crates/place/tests/load.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use place::placing::load::{is_told_far, load_pause};
+use place::placing::load::{is_sent_far, load_interval};
 
 /// Promise: in a region of up to 28 entries each hears the load of each other three times
 /// a second, up to 110 of other regions hear it once a second, in a fleet of nine with
@@ -11,11 +11,11 @@
 #[test]
 fn words_on_load_are_fresh_where_they_count() {
     for near in 0..=27_u32 {
-        let pause = load_pause(near);
+        let pause = load_interval(near);
         assert!(pause <= Duration::from_millis(334), "{near}: {pause:?}");
         assert!(f64::from(near) / pause.as_secs_f64() <= 85.0, "{near}");
         for far in 0..=110_u32 {
-            let words = (1..).find(|round| is_told_far(*round, near, far));
+            let words = (1..).find(|round| is_sent_far(*round, near, far));
             let pause = pause * words.unwrap();
             assert!(
                 pause <= Duration::from_millis(1000),
@@ -27,7 +27,7 @@
             );
         }
     }
-    assert!((0..20).all(|round| is_told_far(round, 2, 6)));
-    let rounds = (0..300).filter(|round| is_told_far(*round, 13, 68));
+    assert!((0..20).all(|round| is_sent_far(round, 2, 6)));
+    let rounds = (0..300).filter(|round| is_sent_far(*round, 13, 68));
     assert_eq!(rounds.count(), 100);
 }
--- a/crates/place/tests/near.rs
+++ b/crates/place/tests/near.rs
@@ -11,9 +11,9 @@
     CandidateQuery, RankScope, RankedServers, ranked_candidates, top_candidates,
 };
 use place::placing::choice::{ByteCosts, ChoiceContext, ServerChoice};
-use place::placing::load::{LoadWord, short_id};
+use place::placing::load::{LoadUpdate, short_id};
 use place::placing::warmth::WarmthMap;
-use place::placing::work::WorkBook;
+use place::placing::work::RouteWorkTable;
 use place::prelude::*;
 use place::request::PlacementReason;
 use proptest::prelude::*;
@@ -51,7 +51,7 @@
     now: Instant,
     catalog: ServerCatalog,
     warmth: WarmthMap,
-    work: WorkBook,
+    work: RouteWorkTable,
     route: RouteSpec,
 }
 
@@ -81,8 +81,8 @@
             }
         }
         let route = route("browse", "/");
-        let mut work = WorkBook::default();
-        work.of(&route).on_request(now, OBJECT);
+        let mut work = RouteWorkTable::default();
+        work.get_or_insert(&route).on_request(now, OBJECT);
         Self {
             now,
             catalog,
@@ -94,7 +94,7 @@
 
     fn choose(&self, ranked: &RankedServers) -> Option<(u64, f64)> {
         let wanted = request(&self.route, Some(OBJECT));
-        let work = self.work.known(&self.route).unwrap();
+        let work = self.work.get(&self.route).unwrap();
         let place = ChoiceContext {
             domain: "a1",
             region: "a",
@@ -206,14 +206,14 @@
     for turn in 0..400_u64 {
         let at = now + ms(20 * turn);
         let object = (turn % 50).wrapping_mul(OBJECT);
-        let word = LoadWord {
+        let update = LoadUpdate {
             load: (0..8)
                 .map(|n| (names[(turn as usize * 31 + n) % names.len()], 1))
                 .collect(),
-            ..LoadWord::default()
+            ..LoadUpdate::default()
         };
         let before = placer.catalog.records_examined();
-        placer.on_peer_load(at, turn % 9, word);
+        placer.on_peer_load(at, turn % 9, update);
         let wanted = request(&browse, Some(object));
         placer.on_request(at, &browse, Some(object), Some(ms(1000)));
         let placement = placer.place(at, &wanted).unwrap();
--- a/crates/place/tests/placer.rs
+++ b/crates/place/tests/placer.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use common::{ms, placer, reading, request, route, server};
-use place::placing::load::{LoadWord, short_id};
+use place::placing::load::{LoadUpdate, short_id};
 use place::prelude::*;
 use place::rank::stable_hash;
 use place::server::ServerReport;
@@ -136,8 +136,8 @@
 }
 
 /// A word of an entry of another region.
-fn word(load: Vec<(u32, u16)>) -> LoadWord {
-    LoadWord {
+fn update(load: Vec<(u32, u16)>) -> LoadUpdate {
+    LoadUpdate {
         load,
         sent: Vec::new(),
         handled: Vec::new(),
@@ -157,9 +157,9 @@
         placer.on_outcome(now, &placement, &wanted, GOOD, None);
         list.load[0].0
     };
-    placer.on_peer_load(now + ms(1), 5, word(vec![(name, 12)]));
+    placer.on_peer_load(now + ms(1), 5, update(vec![(name, 12)]));
     assert!(placer.place(now + ms(2), &wanted).is_err());
-    placer.on_peer_load(now + ms(3), 5, word(Vec::new()));
+    placer.on_peer_load(now + ms(3), 5, update(Vec::new()));
     assert!(placer.place(now + ms(4), &wanted).is_ok());
 }
 
@@ -173,8 +173,8 @@
     let placement = placer.place(now, &wanted).unwrap();
     let name = placer.own_load(now).load[0].0;
     placer.on_outcome(now, &placement, &wanted, GOOD, None);
-    placer.on_peer_load(now, 5, word(vec![(name, 12)]));
-    placer.on_peer_load(now + ms(2000), 6, word(Vec::new()));
+    placer.on_peer_load(now, 5, update(vec![(name, 12)]));
+    placer.on_peer_load(now + ms(2000), 6, update(Vec::new()));
     assert!(placer.place(now + ms(2001), &wanted).is_ok());
 }
 
@@ -189,7 +189,7 @@
     let placement = placer.place(now, &wanted).unwrap();
     let name = placer.own_load(now).load[0].0;
     placer.on_outcome(now, &placement, &wanted, GOOD, None);
-    placer.on_peer_load(now, 5, word(vec![(name, 12)]));
+    placer.on_peer_load(now, 5, update(vec![(name, 12)]));
     assert!(placer.place(now + ms(1400), &wanted).is_err());
     assert!(placer.place(now + ms(1600), &wanted).is_ok());
 }
@@ -205,10 +205,10 @@
     let name = placer.own_load(now).load[0].0;
     placer.on_outcome(now, &placement, &wanted, GOOD, None);
     for entry in 0..5900 {
-        placer.on_peer_load(now, entry, word(Vec::new()));
+        placer.on_peer_load(now, entry, update(Vec::new()));
     }
     assert!(placer.place(now + ms(1), &wanted).is_ok());
-    placer.on_peer_load(now + ms(2), 5, word(vec![(name, 12)]));
+    placer.on_peer_load(now + ms(2), 5, update(vec![(name, 12)]));
     assert!(placer.place(now + ms(61), &wanted).is_err());
 }
 
@@ -234,7 +234,7 @@
             placer.on_outcome(at, &placement, &wanted, GOOD, None);
         }
         placer.own_load(at);
-        placer.on_peer_load(at, 5, word(busy.clone()));
+        placer.on_peer_load(at, 5, update(busy.clone()));
         placer.on_request(at, &browse, Some(7), Some(ms(3000)));
         if let Ok(placement) = placer.place(at, &wanted) {
             // Before, the other servers' load was not yet known.
@@ -349,7 +349,7 @@
     let mut at = now;
     for step in 0..40 {
         at = now + ms(100 + 80 * step);
-        let mut told = word(vec![(name(&first.id), 10), (name(other), 2)]);
+        let mut told = update(vec![(name(&first.id), 10), (name(other), 2)]);
         told.handled = vec![(name(other), short_id(7))];
         placer.on_peer_load(at, 5, told);
         placer.own_load(at);
@@ -370,7 +370,7 @@
     let wanted = request(&browse, Some(7));
     let first = placer.place(now, &wanted).unwrap();
     let name = short_id(stable_hash(first.id.as_bytes()));
-    placer.on_peer_load(now + ms(1), 5, word(vec![(name, 11)]));
+    placer.on_peer_load(now + ms(1), 5, update(vec![(name, 11)]));
     let second = placer.place(now + ms(2), &wanted).unwrap();
     assert_ne!(second.id, first.id);
 }
--- a/crates/place/tests/trip.rs
+++ b/crates/place/tests/trip.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use common::{ms, placer, request, route, server};
-use place::placing::trip::TripBook;
+use place::placing::trip::RoundTripEstimator;
 use place::prelude::*;
 
 /// Promise: an estimate follows the network wherever it stands, and neither queues nor
@@ -13,7 +13,7 @@
 #[test]
 fn trips_are_learned_and_outliers_are_not() {
     for true_trip in [0.4, 40.0, 190.0] {
-        let mut trips = TripBook::new("a1", "a");
+        let mut trips = RoundTripEstimator::new("a1", "a");
         for turn in 0..400 {
             let took = match turn % 20 {
                 7 => true_trip * 3.0,
@@ -28,7 +28,7 @@
             "{learned} of {true_trip}"
         );
     }
-    let trips = TripBook::new("a1", "a");
+    let trips = RoundTripEstimator::new("a1", "a");
     assert_eq!(trips.trip("a1", "a"), 0.0);
     assert!(trips.trip("a2", "a") < trips.trip("b1", "b"));
 }
