--- a/crates/place/src/limits/budget.rs
+++ b/crates/place/src/limits/budget.rs
@@ -6,7 +6,7 @@
 
 /// Share of the allowance that is spent; the rest covers entries that this one
 /// doesn't know of, and repeats that are under way.
-const SPENT_SHARE: f64 = 0.6;
+const USABLE_SHARE: f64 = 0.6;
 
 /// What the platform allows.
 #[derive(Debug, Clone, Copy)]
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 struct ServiceWindow {
     requests: VecDeque<Instant>,
-    repeats: VecDeque<Instant>,
+    retries: VecDeque<Instant>,
 }
 
 /// Counts requests and repeats of each service in a sliding window.
@@ -65,33 +65,33 @@
         }
         if let Some(window) = self.services.get_mut(service) {
             window.requests.push_back(now);
-            trim(&mut window.requests, now, self.bounds.window);
+            remove_expired(&mut window.requests, now, self.bounds.window);
         }
     }
 
     /// Takes a repeat out of the budget; `false` where there is none left.
-    pub fn take(&mut self, now: Instant, service: &str) -> bool {
+    pub fn take_retry(&mut self, now: Instant, service: &str) -> bool {
         let Some(window) = self.services.get_mut(service) else {
             return false;
         };
-        trim(&mut window.requests, now, self.bounds.window);
-        trim(&mut window.repeats, now, self.bounds.window);
+        remove_expired(&mut window.requests, now, self.bounds.window);
+        remove_expired(&mut window.retries, now, self.bounds.window);
         let slack = if self.has_slack {
             self.bounds.slack / self.entries as f64
         } else {
             0.0
         };
-        let earned = self.bounds.ratio * window.requests.len() as f64;
-        let allowed = SPENT_SHARE * (earned + slack);
-        if window.repeats.len() as f64 + 1.0 > allowed {
+        let from_requests = self.bounds.ratio * window.requests.len() as f64;
+        let allowed = USABLE_SHARE * (from_requests + slack);
+        if window.retries.len() as f64 + 1.0 > allowed {
             return false;
         }
-        window.repeats.push_back(now);
+        window.retries.push_back(now);
         true
     }
 }
 
-fn trim(times: &mut VecDeque<Instant>, now: Instant, window: Duration) {
+fn remove_expired(times: &mut VecDeque<Instant>, now: Instant, window: Duration) {
     while let Some(first) = times.front() {
         if now.saturating_duration_since(*first) <= window {
             break;
--- a/crates/place/src/limits/ramp.rs
+++ b/crates/place/src/limits/ramp.rs
@@ -11,41 +11,41 @@
 
 /// Shortest interval between two requests of one entry to a cold server. Over a
 /// second, so that no one-second window holds two of the same entry.
-const SHORTEST_INTERVAL: Duration = Duration::from_millis(1150);
+const MIN_INTERVAL: Duration = Duration::from_millis(1150);
 
 /// The last request of this entry to each cold server.
 #[derive(Debug, Default)]
-pub struct ColdRamp {
-    sent: HashMap<u64, Instant>,
+pub struct ColdRateLimiter {
+    last_sent: HashMap<u64, Instant>,
 }
 
-impl ColdRamp {
+impl ColdRateLimiter {
     /// Whether this entry may send `server` a request now. `entries` are the
     /// hashes of all live entries, `own` among them; `rate` is in requests a second.
     pub fn allows(&self, now: Instant, server: u64, own: u64, entries: &[u64], rate: f64) -> bool {
-        let interval = SHORTEST_INTERVAL;
-        let seats = (rate * interval.as_secs_f64()).floor() as usize;
-        if seats == 0 {
+        let interval = MIN_INTERVAL;
+        let allowed_entries = (rate * interval.as_secs_f64()).floor() as usize;
+        if allowed_entries == 0 {
             return false;
         }
         let weight = pair_weight(server, own);
-        let mut ahead = entries
+        let mut ranked_higher = entries
             .iter()
             .filter(|entry| **entry != own && pair_weight(server, **entry) > weight);
-        if ahead.nth(seats - 1).is_some() {
+        if ranked_higher.nth(allowed_entries - 1).is_some() {
             return false;
         }
-        self.sent
+        self.last_sent
             .get(&server)
             .is_none_or(|at| now.saturating_duration_since(*at) >= interval)
     }
 
     /// This entry sent a cold server a request.
     pub fn on_sent(&mut self, now: Instant, server: u64) {
-        self.sent.insert(server, now);
-        if self.sent.len() > 4096 {
-            self.sent
-                .retain(|_, at| now.saturating_duration_since(*at) < SHORTEST_INTERVAL);
+        self.last_sent.insert(server, now);
+        if self.last_sent.len() > 4096 {
+            self.last_sent
+                .retain(|_, at| now.saturating_duration_since(*at) < MIN_INTERVAL);
         }
     }
 }
--- a/crates/place/src/limits/shift.rs
+++ b/crates/place/src/limits/shift.rs
@@ -14,10 +14,10 @@
 /// Part of the platform's cap that is used: the rest covers requests that end up
 /// elsewhere than they were sent to, and what others sent and is not heard yet, as far
 /// as it isn't what this entry sent.
-const USED_SHARE: f64 = 0.8;
+const USABLE_CAP_SHARE: f64 = 0.8;
 /// The same for requests that stay in their own region since no other has room: the rest
 /// of the cap is too little to refuse them for.
-const OWN_SHARE: f64 = 0.9;
+const OWN_REGION_CAP_SHARE: f64 = 0.9;
 /// The window that the cap is meant for.
 const WINDOW: Duration = Duration::from_secs(2);
 /// The first window of traffic at an entry. It is shorter than the platform's, which
@@ -28,18 +28,18 @@
 /// A peer is thought to go on as this entry does for this long after its last word:
 /// several words. Without that, three entries that tell each other every 100 ms moved
 /// 0.154 of their requests in a burst, against a cap of 0.15.
-const UNHEARD_FOR: Duration = Duration::from_millis(500);
+const EXTRAPOLATION_TIME: Duration = Duration::from_millis(500);
 /// Requests of this span are counted together.
-const SLOT: Duration = Duration::from_millis(50);
+const BUCKET_SPAN: Duration = Duration::from_millis(50);
 /// So many requests of a window may be elsewhere whatever their share: a window of a
 /// few requests can't keep shares exactly.
-const LEAST_SLACK: f64 = 1.0;
+const MIN_MOVED_REQUESTS: f64 = 1.0;
 /// A pause after which the next request may be the first of the traffic.
-const FIRST_PAUSE: Duration = Duration::from_millis(300);
+const MAX_START_GAP: Duration = Duration::from_millis(300);
 /// Requests after which a pause doesn't begin the first window again.
-const FEW: u32 = 8;
+const MIN_START_REQUESTS: u32 = 8;
 /// After this time the first window is not begun again.
-const LONGEST_FIRST: Duration = Duration::from_secs(30);
+const MAX_START_WAIT: Duration = Duration::from_secs(30);
 
 /// Requests sent to each region, by the regions' names.
 type RegionCounts = Vec<u32>;
@@ -53,15 +53,15 @@
     cap: f64,
     first: FirstWindow,
     /// Requests of the last two windows, newest last.
-    slots: VecDeque<(Instant, RegionCounts)>,
+    buckets: VecDeque<(Instant, RegionCounts)>,
     /// Requests of the present window, and of the one before.
-    present: RegionCounts,
-    before: RegionCounts,
+    current: RegionCounts,
+    previous: RegionCounts,
     /// Requests that this entry sent, and what the others told of theirs, by the places of
     /// the regions.
     tally: PeerTally<usize>,
     /// The newest counts of the others, and how often each began anew.
-    heard: HashMap<u64, (RegionCounts, u64)>,
+    peer_counts: HashMap<u64, (RegionCounts, u64)>,
     /// What the others likely sent since they were heard.
     unheard: RegionCounts,
 }
@@ -70,8 +70,8 @@
 /// nothing before it that they could have moved from.
 #[derive(Debug, Default)]
 struct FirstWindow {
-    met: Option<Instant>,
-    begun: Option<Instant>,
+    first_seen: Option<Instant>,
+    began: Option<Instant>,
     last: Option<Instant>,
     requests: u32,
     is_over: bool,
@@ -88,12 +88,12 @@
         Self {
             cap,
             first: FirstWindow::default(),
-            slots: VecDeque::new(),
-            present: none.clone(),
-            before: none.clone(),
+            buckets: VecDeque::new(),
+            current: none.clone(),
+            previous: none.clone(),
             unheard: none,
-            tally: PeerTally::new(UNHEARD_FOR),
-            heard: HashMap::new(),
+            tally: PeerTally::new(EXTRAPOLATION_TIME),
+            peer_counts: HashMap::new(),
             regions: all,
         }
     }
@@ -102,21 +102,21 @@
     pub fn advance(&mut self, now: Instant) {
         let age = |at: Instant| now.saturating_duration_since(at);
         while self
-            .slots
+            .buckets
             .front()
             .is_some_and(|(at, _)| age(*at) >= 2 * WINDOW)
         {
-            self.slots.pop_front();
+            self.buckets.pop_front();
         }
         let first_ends = self.first.ends();
-        self.present.fill(0);
-        self.before.fill(0);
-        for (at, counts) in &self.slots {
+        self.current.fill(0);
+        self.previous.fill(0);
+        for (at, counts) in &self.buckets {
             let is_before = age(*at) >= WINDOW || first_ends.is_some_and(|ends| *at < ends);
             let window = if is_before {
-                &mut self.before
+                &mut self.previous
             } else {
-                &mut self.present
+                &mut self.current
             };
             add(window, counts);
         }
@@ -127,38 +127,38 @@
 
     /// Whether a request may be sent to `region` now.
     pub fn permits(&self, region: &str) -> bool {
-        self.is_within(region, self.cap * USED_SHARE)
+        self.is_within(region, self.cap * USABLE_CAP_SHARE)
     }
 
     /// Whether a request may stay in its own region `region` where others, which should
     /// get it, have no room.
-    pub fn permits_own(&self, region: &str) -> bool {
-        self.is_within(region, self.cap * OWN_SHARE)
+    pub fn permits_own_region(&self, region: &str) -> bool {
+        self.is_within(region, self.cap * OWN_REGION_CAP_SHARE)
     }
 
-    fn is_within(&self, region: &str, most: f64) -> bool {
-        let before: u32 = self.before.iter().sum();
+    fn is_within(&self, region: &str, max_share: f64) -> bool {
+        let previous: u32 = self.previous.iter().sum();
         let Some(index) = self.index(region) else {
             return true;
         };
-        if !self.first.is_over || before == 0 {
+        if !self.first.is_over || previous == 0 {
             return true;
         }
-        let mut likely = self.present.clone();
-        add(&mut likely, &self.unheard);
-        let present: u32 = likely.iter().sum();
-        let (before, present) = (f64::from(before), f64::from(present + 1));
+        let mut estimated = self.current.clone();
+        add(&mut estimated, &self.unheard);
+        let current: u32 = estimated.iter().sum();
+        let (previous, current) = (f64::from(previous), f64::from(current + 1));
         let mut moved = 0.0;
-        for (other, (now, then)) in likely.iter().zip(&self.before).enumerate() {
+        for (other, (now, previous_count)) in estimated.iter().zip(&self.previous).enumerate() {
             let now = f64::from(*now) + if other == index { 1.0 } else { 0.0 };
-            let kept = f64::from(*then) / before * present;
-            moved += (now - kept).abs() / 2.0;
-            if other == index && now <= kept {
+            let unmoved = f64::from(*previous_count) / previous * current;
+            moved += (now - unmoved).abs() / 2.0;
+            if other == index && now <= unmoved {
                 // It only makes up for what the region lacks.
                 return true;
             }
         }
-        moved <= (most * present).max(LEAST_SLACK)
+        moved <= (max_share * current).max(MIN_MOVED_REQUESTS)
     }
 
     /// A request was sent to `region`.
@@ -185,7 +185,7 @@
         if sent.len() != self.regions.len() {
             return;
         }
-        let (known, run) = self.heard.entry(peer).or_default();
+        let (known, run) = self.peer_counts.entry(peer).or_default();
         if sent
             .iter()
             .zip(known.iter())
@@ -201,16 +201,16 @@
             age: Duration::MAX,
             counts: sent.iter().copied().enumerate().collect(),
         };
-        let mut news = vec![0; self.regions.len()];
+        let mut added_counts = vec![0; self.regions.len()];
         for (region, added) in self.tally.on_word(now, peer, &word) {
-            news[region] = u32::try_from(added).unwrap_or_default();
+            added_counts[region] = u32::try_from(added).unwrap_or_default();
         }
-        self.count(now, &news);
+        self.count(now, &added_counts);
     }
 
     /// Forgets entries that aren't in `live`.
-    pub fn keep_peers(&mut self, live: &[u64]) {
-        self.heard.retain(|peer, _| live.contains(peer));
+    pub fn retain_peers(&mut self, live: &[u64]) {
+        self.peer_counts.retain(|peer, _| live.contains(peer));
         self.tally.retain(|peer, _| live.contains(&peer));
     }
 
@@ -219,14 +219,14 @@
             return;
         }
         self.first.on_request(now);
-        let newest = self.slots.back().map(|(at, _)| *at);
-        if newest.is_none_or(|at| now.saturating_duration_since(at) >= SLOT) {
-            self.slots.push_back((now, vec![0; self.regions.len()]));
+        let newest = self.buckets.back().map(|(at, _)| *at);
+        if newest.is_none_or(|at| now.saturating_duration_since(at) >= BUCKET_SPAN) {
+            self.buckets.push_back((now, vec![0; self.regions.len()]));
         }
-        if let Some((_, slot)) = self.slots.back_mut() {
-            add(slot, counts);
+        if let Some((_, bucket)) = self.buckets.back_mut() {
+            add(bucket, counts);
         }
-        add(&mut self.present, counts);
+        add(&mut self.current, counts);
     }
 
     fn index(&self, region: &str) -> Option<usize> {
@@ -241,25 +241,25 @@
         if self.is_over {
             return;
         }
-        let met = *self.met.get_or_insert(now);
-        let begun = *self.begun.get_or_insert(now);
-        let waited = now.saturating_duration_since(met) >= LONGEST_FIRST;
-        let paused = self
+        let first_seen = *self.first_seen.get_or_insert(now);
+        let began = *self.began.get_or_insert(now);
+        let is_wait_over = now.saturating_duration_since(first_seen) >= MAX_START_WAIT;
+        let is_after_gap = self
             .last
-            .is_none_or(|at| now.saturating_duration_since(at) > FIRST_PAUSE);
+            .is_none_or(|at| now.saturating_duration_since(at) > MAX_START_GAP);
         self.last = Some(now);
-        if paused && self.requests < FEW && !waited {
-            self.begun = Some(now);
+        if is_after_gap && self.requests < MIN_START_REQUESTS && !is_wait_over {
+            self.began = Some(now);
             self.requests = 1;
             return;
         }
         self.requests += 1;
-        self.is_over = now.saturating_duration_since(begun) >= FIRST_WINDOW;
+        self.is_over = now.saturating_duration_since(began) >= FIRST_WINDOW;
     }
 
     /// When it ends or ended, once it has begun.
     fn ends(&self) -> Option<Instant> {
-        self.begun.map(|begun| begun + FIRST_WINDOW)
+        self.began.map(|began| began + FIRST_WINDOW)
     }
 }
 
--- a/crates/place/src/placing/placer.rs
+++ b/crates/place/src/placing/placer.rs
@@ -12,7 +12,7 @@
 use crate::catalog::{ServerCatalog, ServerHandle};
 use crate::desired::{DesiredState, RouteSpec, ServiceSpec};
 use crate::limits::budget::{BudgetBounds, RetryBudget};
-use crate::limits::ramp::ColdRamp;
+use crate::limits::ramp::ColdRateLimiter;
 use crate::limits::refusal::RetryAfterJitter;
 use crate::limits::shift::ShiftLimiter;
 use crate::limits::split::TrafficSplitter;
@@ -76,8 +76,8 @@
     services: HashMap<String, ServiceSpec>,
     splitter: TrafficSplitter,
     budget: RetryBudget,
-    ramp: ColdRamp,
-    shift: ShiftLimiter,
+    cold_limiter: ColdRateLimiter,
+    shift_limiter: ShiftLimiter,
     warmth: WarmthMap,
     work: RouteWorkTable,
     entries: Vec<u64>,
@@ -99,8 +99,8 @@
             services: HashMap::new(),
             splitter: TrafficSplitter::default(),
             budget: RetryBudget::new(config.budget),
-            ramp: ColdRamp::default(),
-            shift: ShiftLimiter::new(config.shift_cap, &regions),
+            cold_limiter: ColdRateLimiter::default(),
+            shift_limiter: ShiftLimiter::new(config.shift_cap, &regions),
             warmth: WarmthMap::default(),
             work: RouteWorkTable::default(),
             entries: vec![config.own],
@@ -135,14 +135,14 @@
         entries.sort_unstable();
         entries.dedup();
         self.budget.set_entries(entries.len());
-        self.shift.keep_peers(&entries);
+        self.shift_limiter.retain_peers(&entries);
         self.entries = entries;
         self.region_entries = in_region + 1;
     }
 
     /// Takes in what the entry with the hash `entry` has sent.
     pub fn on_peer_load(&mut self, now: Instant, entry: u64, update: LoadUpdate) {
-        self.shift.on_peer_sent(now, entry, &update.sent);
+        self.shift_limiter.on_peer_sent(now, entry, &update.sent);
         self.warmth.on_peer_pairs(now, &update.handled);
         self.loads.apply_list(now, entry, update.load);
     }
@@ -153,7 +153,7 @@
         self.loads.apply(now, &mut self.catalog);
         LoadUpdate {
             load: own_load(&self.catalog),
-            sent: self.shift.sent(),
+            sent: self.shift_limiter.sent(),
             handled: self.warmth.take_unsent(),
         }
     }
@@ -187,7 +187,7 @@
 
     /// Whether one more server may be tried, and takes it out of the budget.
     pub fn take_retry(&mut self, now: Instant, service: &str) -> bool {
-        self.budget.take(now, service)
+        self.budget.take_retry(now, service)
     }
 
     /// The refusal of a request that servers rejected as full.
@@ -282,12 +282,12 @@
         let Some(record) = self.catalog.get(handle) else {
             return unbounded;
         };
-        self.shift.advance(now);
-        if self.shift.permits(&record.region) {
+        self.shift_limiter.advance(now);
+        if self.shift_limiter.permits(&record.region) {
             return unbounded;
         }
-        let stays = !reason.away && self.shift.permits_own(&record.region);
-        let bounded = self.choose(now, request, service, ranked, Some(&self.shift));
+        let stays = !reason.away && self.shift_limiter.permits_own_region(&record.region);
+        let bounded = self.choose(now, request, service, ranked, Some(&self.shift_limiter));
         if stays {
             bounded.or(unbounded)
         } else {
@@ -441,10 +441,10 @@
         reason: PlacementReason,
     ) -> Option<Placement> {
         let record = self.catalog.get_mut(handle)?;
-        self.shift.on_sent(now, &record.region);
+        self.shift_limiter.on_sent(now, &record.region);
         record.in_flight += 1;
         if reason.cold {
-            self.ramp.on_sent(now, record.hash);
+            self.cold_limiter.on_sent(now, record.hash);
         }
         let placement = Placement::new(now, handle, &record.entry);
         Some(Placement {
@@ -459,7 +459,7 @@
         }
         let known = self.services.get(service);
         let rate = known.map_or(DEFAULT_COLD_RATE, |service| service.cold_rate);
-        self.ramp
+        self.cold_limiter
             .allows(now, record.hash, self.config.own, &self.entries, rate)
     }
 
--- a/crates/place/tests/limits.rs
+++ b/crates/place/tests/limits.rs
@@ -7,7 +7,7 @@
 
 use common::ms;
 use place::limits::budget::{BudgetBounds, RetryBudget};
-use place::limits::ramp::ColdRamp;
+use place::limits::ramp::ColdRateLimiter;
 use place::limits::shift::ShiftLimiter;
 use place::rank::stable_hash;
 use proptest::prelude::*;
@@ -30,13 +30,13 @@
     fn repeats_stay_within_the_budget(
         entries in 1usize..12,
         rates in prop::collection::vec(1u64..60, 12),
-        greed in 1usize..4,
+        max_retries in 1usize..4,
     ) {
         let bounds = BudgetBounds { ratio: 0.2, slack: 56.0, window: Duration::from_secs(10) };
         let start = Instant::now();
         let mut budgets: Vec<RetryBudget> = (0..entries).map(|_| RetryBudget::new(bounds)).collect();
         let mut requests = VecDeque::new();
-        let mut repeats = VecDeque::new();
+        let mut retries = VecDeque::new();
         for budget in &mut budgets {
             budget.set_entries(entries);
         }
@@ -48,20 +48,20 @@
                 }
                 budget.on_request(now, "board");
                 requests.push_back(now);
-                for _ in 0..greed {
-                    if budget.take(now, "board") {
-                        repeats.push_back(now);
+                for _ in 0..max_retries {
+                    if budget.take_retry(now, "board") {
+                        retries.push_back(now);
                     }
                 }
             }
             while requests.front().is_some_and(|at| now - *at > bounds.window) {
                 requests.pop_front();
             }
-            while repeats.front().is_some_and(|at| now - *at > bounds.window) {
-                repeats.pop_front();
+            while retries.front().is_some_and(|at| now - *at > bounds.window) {
+                retries.pop_front();
             }
             let allowed = bounds.ratio * requests.len() as f64 + bounds.slack;
-            prop_assert!(repeats.len() as f64 <= allowed);
+            prop_assert!(retries.len() as f64 <= allowed);
         }
     }
 
@@ -75,20 +75,20 @@
     ) {
         let start = Instant::now();
         let hashes: Vec<u64> = (0..entries).map(|n| stable_hash(&n.to_le_bytes())).collect();
-        let mut ramps: Vec<ColdRamp> = (0..entries).map(|_| ColdRamp::default()).collect();
+        let mut cold_limiters: Vec<ColdRateLimiter> = (0..entries).map(|_| ColdRateLimiter::default()).collect();
         let server = stable_hash(b"server");
         let mut sent: VecDeque<Instant> = VecDeque::new();
         for step in 0..400u64 {
             let now = start + ms(10 * step);
-            for (index, ramp) in ramps.iter_mut().enumerate() {
+            for (index, cold_limiter) in cold_limiters.iter_mut().enumerate() {
                 let known: Vec<u64> = hashes
                     .iter()
                     .enumerate()
                     .filter(|(other, _)| *other == index || (other + index) % 7 >= unknown)
                     .map(|(_, hash)| *hash)
                     .collect();
-                if ramp.allows(now, server, hashes[index], &known, rate) {
-                    ramp.on_sent(now, server);
+                if cold_limiter.allows(now, server, hashes[index], &known, rate) {
+                    cold_limiter.on_sent(now, server);
                     sent.push_back(now);
                 }
             }
@@ -199,7 +199,7 @@
 /// Plays entries of one region whose requests wish for two regions by turns of a die,
 /// one half each, and gives the part that was sent elsewhere. `told` lets them hear
 /// what the others sent.
-fn diverted(told: bool) -> f64 {
+fn diverted_share(told: bool) -> f64 {
     const ENTRIES: u64 = 6;
     const PAUSE_MS: u64 = 60;
     const TOLD_EVERY_MS: u64 = 80;
@@ -218,8 +218,8 @@
                 continue;
             }
             let limiter = &mut limiters[entry as usize];
-            let dice = stable_hash(&(at * ENTRIES + entry).to_le_bytes());
-            let wanted = (dice >> 20) as usize % 2;
+            let hashed = stable_hash(&(at * ENTRIES + entry).to_le_bytes());
+            let wanted = (hashed >> 20) as usize % 2;
             limiter.advance(now);
             let is_free = limiter.permits(&regions[wanted]);
             let region = if is_free { wanted } else { 1 - wanted };
@@ -251,7 +251,7 @@
 /// server that was chosen.
 #[test]
 fn steady_shares_divert_few_requests() {
-    let (alone, together) = (diverted(false), diverted(true));
+    let (alone, together) = (diverted_share(false), diverted_share(true));
     assert!(together < 0.03, "{together}");
     assert!(alone > 2.0 * together, "alone {alone}, together {together}");
 }
