--- a/crates/place/src/catalog/change.rs
+++ b/crates/place/src/catalog/change.rs
@@ -1,44 +1,44 @@
-//! What a reading changes of a server, and whether a server may get requests.
+//! Changes of the catalog, and whether a server may get requests.
 
 use crate::server::ServerEntry;
 
-/// What a reading changed, for the log.
+/// A change of the catalog, for the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CatalogChange {
-    /// A server appeared, by this word.
+    /// A server appeared with this entry.
     Joined(Box<ServerEntry>),
-    /// A server is about to leave.
+    /// A server is draining.
     Draining(String),
-    /// A server is gone.
+    /// A server was removed.
     Gone(String),
-    /// An older word of a server that left was met; it brings the server back nowhere.
+    /// The first stale entry of a departed server was ignored.
     Outdated(String),
-    /// A server turned cold.
+    /// A server became cold.
     Cold(String),
-    /// A server's entry vanished, but may have lapsed in a disturbance.
+    /// A server's row is missing, but may have lapsed during a registry outage.
     Missing(String),
-    /// A server started again under its id.
+    /// A server restarted under the same id.
     Restarted(String),
-    /// Somebody else's row stands in place of a server's entry.
+    /// A server's row was replaced by a foreign one.
     Overwritten(String),
-    /// A server's own entry is back after somebody else's row.
+    /// A server's own entry replaced the foreign row.
     Reclaimed(String),
 }
 
 /// Whether a server may get requests, and if not, why.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerCondition {
-    /// It may.
+    /// May get requests.
     Open,
-    /// Only a few, since it has just started.
+    /// May get only a few requests, since it has just started.
     Cold,
-    /// It could not be reached lately.
+    /// Could not be reached recently.
     Unreachable,
     /// Its failure domain is evacuated.
     Evacuated,
-    /// Somebody else's row stands in place of its entry.
+    /// Its row was replaced by a foreign one.
     Overwritten,
-    /// It is about to leave.
+    /// Is draining.
     Leaving,
 }
 
--- a/crates/place/src/catalog/index.rs
+++ b/crates/place/src/catalog/index.rs
@@ -1,5 +1,5 @@
-//! The servers of a service, in a form in which those nearest to an object are found without
-//! a look at the records of all.
+//! Index of a service's servers that finds the top ranked ones of an object without reading all
+//! records.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,37 +7,37 @@
 use crate::placing::candidates::RankScope;
 use crate::rank::pair_weight;
 
-/// Servers that are remembered for an object in each place: more than it belongs to, and some
-/// that may be closed, paused or cold.
+/// Number of top servers cached per object and locality: more than can be preferred, since some
+/// may be closed, paused or cold.
 pub const TOP_SERVERS: usize = 16;
-/// Objects for which they are remembered.
+/// Maximum number of objects with cached top servers.
 const MAX_CACHED_OBJECTS: usize = 2048;
 
-/// One server of the service.
+/// A server of the service.
 #[derive(Debug, Clone, Copy)]
 pub struct IndexMember {
     /// Index of its record.
     pub record_index: usize,
     /// Hash of its run.
     pub hash: u64,
-    /// Its region, in the order of the regions' names.
+    /// Number of its region, in the order of the regions' names.
     pub region: u16,
-    /// Its failure domain, in the order of the domains' names.
+    /// Number of its failure domain, in the order of the domains' names.
     pub domain: u16,
-    /// Requests that it runs at the same time.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
 }
 
-/// The servers nearest to an object in one place.
+/// The top ranked servers of an object in one locality.
 #[derive(Debug, Clone, Default)]
 pub struct TopServers {
-    /// Indexes of their records, nearest first.
+    /// Indexes of their records, highest rank first.
     pub record_indexes: Vec<usize>,
-    /// Whether these are all servers of the place.
+    /// Whether these are all servers of the locality.
     pub is_all: bool,
 }
 
-/// Those of all places, in the order of the places' names.
+/// The top servers of all localities, ordered by the localities' names.
 pub type TopServersByLocality = Arc<Vec<TopServers>>;
 
 /// The servers of one service.
@@ -61,7 +61,7 @@
         self.top_servers.clear();
     }
 
-    /// Removes the server with the record `record_index`.
+    /// Removes the server whose record is at `record_index`.
     pub fn remove(&mut self, record_index: usize) {
         if let Some(at) = self
             .members
@@ -83,17 +83,17 @@
         self.members.len()
     }
 
-    /// Whether there are none.
+    /// Whether the index is empty.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// Slots of the smallest server there was since the index was empty.
+    /// Slots of the smallest server since the index was last empty.
     pub fn min_slots(&self) -> u32 {
         self.min_slots.max(1)
     }
 
-    /// The servers nearest to `object` in each place of `scope`.
+    /// The top ranked servers of `object` in each locality of `scope`.
     pub fn top_servers(&mut self, object: u64, scope: RankScope) -> TopServersByLocality {
         if let Some(known) = self.top_servers.get(&(object, scope)) {
             return Arc::clone(known);
@@ -125,7 +125,7 @@
     }
 }
 
-/// The servers of a place with the largest weights so far, largest first.
+/// Collects the servers of a locality with the largest weights, in descending order.
 #[derive(Debug, Clone, Default)]
 struct TopServersBuilder {
     top: Vec<(u64, usize)>,
--- a/crates/place/src/catalog/mod.rs
+++ b/crates/place/src/catalog/mod.rs
@@ -1,8 +1,8 @@
 //! All backend servers that may be alive, by service.
 //!
-//! The registry's word counts while it is undisturbed. An entry that vanishes
-//! while the registry is in trouble, or just after, may only have lapsed: it is
-//! kept until the registry had time to hear from the server again.
+//! The registry is authoritative while it works. A row that disappears during a registry
+//! outage, or shortly after, may only have lapsed: the server is kept until it had time to
+//! register again.
 
 mod change;
 pub mod index;
@@ -26,16 +26,16 @@
 pub use crate::catalog::table::ServerHandle;
 pub use crate::snapshot::{CatalogSnapshot, DroppedRow};
 
-/// The servers.
+/// The known servers and their state.
 #[derive(Debug, Default)]
 pub struct ServerCatalog {
     domains: HashMap<String, String>,
     table: RecordTable,
     evacuated: HashSet<String>,
     read_at: Option<Instant>,
-    /// The store's version as of which what is known was read, by whomever.
+    /// The store version of the known state, whichever instance read it.
     version: u64,
-    /// When that was taken in.
+    /// When that state was applied.
     applied_at: Option<Instant>,
     trips: RoundTripEstimator,
     outage: RegistryOutage,
@@ -43,7 +43,7 @@
 }
 
 impl ServerCatalog {
-    /// An empty catalog; `domains` maps each failure domain to its region.
+    /// Creates an empty catalog; `domains` maps each failure domain to its region.
     pub fn new(domains: HashMap<String, String>) -> Self {
         Self {
             table: RecordTable::new(&domains),
@@ -52,21 +52,21 @@
         }
     }
 
-    /// Sets the time within which a leaving server must get no more requests.
+    /// Sets the time within which a draining server must stop getting requests.
     #[must_use]
     pub fn with_drain(mut self, drain_time: Duration) -> Self {
         self.outage.set_drain(drain_time);
         self
     }
 
-    /// Sets where the entry stands that uses this catalog.
+    /// Sets the failure domain and region of the instance that uses this catalog.
     #[must_use]
     pub fn with_location(mut self, domain: &str, region: &str) -> Self {
         self.trips = RoundTripEstimator::new(domain, region);
         self
     }
 
-    /// Opening a connection to the server behind `handle` took `millis`.
+    /// Records that opening a connection to the server behind `handle` took `millis`.
     pub fn on_connected(&mut self, handle: ServerHandle, millis: f64) {
         let Some(record) = self.get(handle) else {
             return;
@@ -82,26 +82,26 @@
         }
     }
 
-    /// When the newest reading began.
+    /// When the newest snapshot began.
     pub fn read_at(&self) -> Option<Instant> {
         self.read_at
     }
 
-    /// The registry did not answer a reading.
+    /// Records that the registry did not answer a read.
     pub fn on_read_failed(&mut self, now: Instant) {
         self.outage.on_failed(now);
     }
 
-    /// Whether something newer than `snapshot` is known. What it holds decides, not when it
-    /// was asked for: an answer that the store held back until something changed may hold
-    /// more than one to a later question. A version that a later answer of the store doesn't
-    /// reach was never the store's.
+    /// Whether a newer state than `snapshot` is known. Its version decides, not the time of the
+    /// request: the answer to a long poll may be newer than one to a later request. A lower
+    /// version in a snapshot that began after the known state was applied shows that the known
+    /// version never was the store's, so such a snapshot counts.
     pub fn is_outdated(&self, snapshot: &CatalogSnapshot) -> bool {
         let is_later = self.applied_at.is_none_or(|at| snapshot.begun >= at);
         snapshot.version < self.version && !is_later
     }
 
-    /// Takes in a complete reading, and returns what changed.
+    /// Applies a complete snapshot of the registry and returns the changes.
     pub fn on_read(&mut self, now: Instant, snapshot: &CatalogSnapshot) -> Vec<CatalogChange> {
         if self.is_outdated(snapshot) {
             return Vec::new();
@@ -124,12 +124,13 @@
         changes
     }
 
-    /// Takes in which rows were dropped since the reading before, before what is listed now:
-    /// a word that is listed again and is no newer than what stood there is an older one.
+    /// Notes the rows that were dropped since the previous snapshot; call it before applying
+    /// the next one. An entry that is listed again later and isn't newer than the dropped row
+    /// is stale.
     pub fn on_dropped(&mut self, now: Instant, rows: &[DroppedRow]) {
         for row in rows {
             if row.version <= self.version {
-                // What is known now is newer.
+                // The known state is newer.
                 continue;
             }
             let known = self.table.by_id(&row.id).map(|record| &record.entry);
@@ -139,8 +140,8 @@
         }
     }
 
-    /// Takes in what another entry told of the registry as of `begun`, and returns what
-    /// changed. Whether a server whose row vanished is gone was decided there.
+    /// Applies a delta that another instance sent, as of `begun`, and returns the changes. The
+    /// sender has decided whether servers with missing rows are gone.
     pub fn on_told(
         &mut self,
         now: Instant,
@@ -159,7 +160,8 @@
             let entries = delta.entries.iter().map(|entry| &entry.id);
             let kept = entries.chain(&delta.foreign).chain(&delta.missing);
             let listed: HashSet<&str> = kept.map(String::as_str).collect();
-            // Of a copy that is older than what was known, no row that it lacks was dropped.
+            // If the copy is older than the known state, a row that it lacks wasn't necessarily
+            // dropped.
             if store_version(delta.version) >= self.version {
                 self.remove_missing(now, &listed, true, &mut changes);
             } else {
@@ -172,7 +174,7 @@
         changes
     }
 
-    /// Takes in which servers have left, as another entry knows, and returns what changed.
+    /// Applies departures that another instance reported, and returns the changes.
     pub fn on_ends(&mut self, now: Instant, ends: &[Departure]) -> Vec<CatalogChange> {
         let mut changes = Vec::new();
         for departure in ends {
@@ -185,13 +187,13 @@
         changes
     }
 
-    /// What is known is as fresh as of `begun`, by the word of another entry.
+    /// Another instance confirmed the known state as of `begun`.
     pub fn confirm(&mut self, begun: Instant) {
         self.read_at = self.read_at.max(Some(begun));
         self.outage.on_peer_snapshot(begun);
     }
 
-    /// When servers that are still missing are gone, where any may be.
+    /// When the next server with a missing row is due for removal, if any is missing.
     pub fn next_removal_at(&self) -> Option<Instant> {
         let rows = self.table.iter().filter_map(vanished_row);
         let first = rows.map(|row| self.outage.removal_time(row)).min()?;
@@ -199,14 +201,14 @@
         Some(settled_at.map_or(first, |at| at.min(first)))
     }
 
-    /// Servers whose rows vanished and that are kept for now.
+    /// Servers whose rows are missing and that are kept for now.
     pub fn missing(&self) -> impl Iterator<Item = &str> {
         let missing = self.iter().filter(|record| record.missing_since.is_some());
         missing.map(|record| record.entry.id.as_str())
     }
 
-    /// Sets the evacuated failure domains. Servers of one that is taken back
-    /// are treated as cold for `warmup`: their caches may have been dropped.
+    /// Sets the evacuated failure domains. Servers of a domain that is no longer evacuated
+    /// count as cold for `warmup`, since their caches may have been dropped.
     pub fn set_evacuated(&mut self, now: Instant, domains: HashSet<String>, warmup: Duration) {
         for record in self.table.iter_mut() {
             let domain = &record.entry.domain;
@@ -217,7 +219,7 @@
         self.evacuated = domains;
     }
 
-    /// Whether nothing may be sent to the servers of `domain`.
+    /// Whether `domain` is evacuated, so that its servers must get no requests.
     pub fn is_evacuated(&self, domain: &str) -> bool {
         self.evacuated.contains(domain)
     }
@@ -232,12 +234,12 @@
         self.table.get(handle)
     }
 
-    /// The record behind `handle`, for changes.
+    /// Mutable variant of [`Self::get`].
     pub fn get_mut(&mut self, handle: ServerHandle) -> Option<&mut ServerRecord> {
         self.table.get_mut(handle)
     }
 
-    /// The servers of `service` that may take new requests by the registry's word.
+    /// The servers of `service` that may take new requests according to the registry.
     pub fn open_servers(
         &self,
         service: &str,
@@ -247,8 +249,8 @@
         record_indexes.filter_map(|record_index| self.open_by_index(record_index))
     }
 
-    /// The server whose record is at `record_index`, where it may take new requests by the registry's
-    /// word.
+    /// The server whose record is at `record_index`, if it may take new requests according to
+    /// the registry.
     pub(crate) fn open_by_index(
         &self,
         record_index: usize,
@@ -260,7 +262,8 @@
             .then_some((handle, record))
     }
 
-    /// The servers of `service` nearest to `object` in each place of `scope`.
+    /// The top ranked servers of `object` among those of `service`, in each locality of
+    /// `scope`.
     pub(crate) fn top_servers(
         &mut self,
         service: &str,
@@ -271,7 +274,7 @@
         Some(index.top_servers(object, scope))
     }
 
-    /// Number of servers of `service`, also of those that may not get requests.
+    /// Number of servers of `service`, including those that may not get requests.
     pub(crate) fn server_count(&self, service: &str) -> usize {
         self.table.service(service).map_or(0, ServiceIndex::len)
     }
@@ -282,28 +285,29 @@
         index.map_or(1, ServiceIndex::min_slots)
     }
 
-    /// Indexes of the records of servers that entries tell each other of as `name`.
+    /// Indexes of the records with the short id `name`.
     pub(crate) fn indexes_by_short_id(&self, name: u32) -> impl Iterator<Item = usize> {
         self.table.indexes_by_short_id(name)
     }
 
-    /// The record at `record_index`, for changes.
+    /// The record at `record_index`, mutable.
     pub(crate) fn by_index_mut(&mut self, record_index: usize) -> Option<&mut ServerRecord> {
         self.table.by_index_mut(record_index)
     }
 
-    /// Rises with each server that joins.
+    /// Number of servers that have joined since the start.
     pub(crate) fn join_count(&self) -> u64 {
         self.table.join_count()
     }
 
-    /// Records looked at since the start: what decisions cost as servers become many.
+    /// Number of records read since the start, which measures how the cost of a placement grows
+    /// with the number of servers.
     pub fn records_examined(&self) -> u64 {
         self.table.records_examined()
     }
 
-    /// Whether a request that was placed at the server may still be sent there. Making a
-    /// connection takes time, in which the server may have begun to leave.
+    /// Whether a request that was placed at the server may still be sent there: it may have
+    /// started draining while the connection was opened.
     pub fn may_send(&self, handle: ServerHandle) -> bool {
         let record = self.get(handle);
         record.is_some_and(|record| self.closed_reason(record).is_none())
@@ -322,7 +326,7 @@
         }
     }
 
-    /// Whose word keeps all requests from the server of `record`, where there is such.
+    /// Why the server of `record` must get no requests at all, if it must not.
     fn closed_reason(&self, record: &ServerRecord) -> Option<ServerCondition> {
         if record.entry.state == EntryState::Draining {
             Some(ServerCondition::Leaving)
@@ -340,13 +344,13 @@
         self.table.iter()
     }
 
-    /// All known servers, for changes.
+    /// All known servers, mutable.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut ServerRecord> {
         self.table.iter_mut()
     }
 }
 
-/// The row of `record`, where it vanished.
+/// The row of `record`, if it is missing from the registry.
 fn vanished_row(record: &ServerRecord) -> Option<VanishedRow> {
     let missing_since = record.missing_since?;
     Some(VanishedRow {
--- a/crates/place/src/catalog/table.rs
+++ b/crates/place/src/catalog/table.rs
@@ -1,4 +1,4 @@
-//! The records of all servers, by id, service and short name.
+//! The records of all servers, indexed by id, service and short id.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -7,7 +7,7 @@
 use crate::placing::load::short_id;
 use crate::server::ServerRecord;
 
-/// Names a record for as long as the server is known.
+/// Identifies a record while the server is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ServerHandle {
     index: usize,
@@ -19,19 +19,19 @@
         Self { index, hash }
     }
 
-    /// Hash of the server's run, the same at all entries.
+    /// Hash of the server's run, the same on all instances.
     pub fn run(self) -> u64 {
         self.hash
     }
 }
 
-/// The records.
+/// Table of all records.
 #[derive(Debug, Default)]
 pub(super) struct RecordTable {
-    /// Places of failure domains and regions in the order of their names.
+    /// Numbers of failure domains and regions.
     localities: LocalityIds,
     records: Vec<Option<ServerRecord>>,
-    /// Records that are empty: a server that joins doesn't look for one.
+    /// Indexes of empty records, so that adding a server needs no search.
     free: Vec<usize>,
     by_id: HashMap<String, usize>,
     by_service: HashMap<String, ServiceIndex>,
@@ -41,7 +41,7 @@
 }
 
 impl RecordTable {
-    /// An empty table; `domains` maps each failure domain to its region.
+    /// Creates an empty table; `domains` maps each failure domain to its region.
     pub(super) fn new(domains: &HashMap<String, String>) -> Self {
         Self {
             localities: LocalityIds::new(domains),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Adds the record of a server that isn't known.
+    /// Adds the record of a new server.
     pub(super) fn insert(&mut self, record: ServerRecord) {
         let record_index = self.free.pop().unwrap_or_else(|| {
             self.records.push(None);
@@ -71,7 +71,7 @@
         self.join_count += 1;
     }
 
-    /// Removes the server `id`; whether it was known.
+    /// Removes the server `id`. Returns whether it was known.
     pub(super) fn remove(&mut self, id: &str) -> bool {
         let Some(record_index) = self.by_id.remove(id) else {
             return false;
@@ -94,7 +94,7 @@
         (record.hash == handle.hash).then_some(record)
     }
 
-    /// The same for changes.
+    /// Mutable variant of [`Self::get`].
     pub(super) fn get_mut(&mut self, handle: ServerHandle) -> Option<&mut ServerRecord> {
         let record = self.by_index_mut(handle.index)?;
         (record.hash == handle.hash).then_some(record)
@@ -105,7 +105,7 @@
         self.by_index(*self.by_id.get(id)?)
     }
 
-    /// The same for changes.
+    /// Mutable variant of [`Self::by_id`].
     pub(super) fn by_id_mut(&mut self, id: &str) -> Option<&mut ServerRecord> {
         let record_index = *self.by_id.get(id)?;
         self.by_index_mut(record_index)
@@ -117,7 +117,7 @@
         self.records.get(record_index)?.as_ref()
     }
 
-    /// The same for changes.
+    /// Mutable variant of [`Self::by_index`].
     pub(super) fn by_index_mut(&mut self, record_index: usize) -> Option<&mut ServerRecord> {
         self.count_examined(1);
         self.records.get_mut(record_index)?.as_mut()
@@ -129,7 +129,7 @@
         self.records.iter().flatten()
     }
 
-    /// The same for changes.
+    /// Mutable variant of [`Self::iter`].
     pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = &mut ServerRecord> {
         self.count_examined(self.records.len());
         self.records.iter_mut().flatten()
@@ -140,23 +140,23 @@
         self.by_service.get(service)
     }
 
-    /// The same for changes.
+    /// Mutable variant of [`Self::service`].
     pub(super) fn service_mut(&mut self, service: &str) -> Option<&mut ServiceIndex> {
         self.by_service.get_mut(service)
     }
 
-    /// Slots of the servers that entries tell each other of as `name`.
+    /// Indexes of the records with the short id `name`.
     pub(super) fn indexes_by_short_id(&self, name: u32) -> impl Iterator<Item = usize> {
         let range = self.by_short_id.range((name, 0)..=(name, usize::MAX));
         range.map(|(_, record_index)| *record_index)
     }
 
-    /// Rises with each server that joins.
+    /// Number of servers that have joined since the start.
     pub(super) fn join_count(&self) -> u64 {
         self.join_count
     }
 
-    /// Records looked at since the start.
+    /// Number of records read since the start.
     pub(super) fn records_examined(&self) -> u64 {
         self.records_examined.get()
     }
--- a/crates/place/src/catalog/update.rs
+++ b/crates/place/src/catalog/update.rs
@@ -1,4 +1,4 @@
-//! What one word, or the lack of one, changes of a server.
+//! Applies entries, and missing rows, to the records of servers.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Instant;
@@ -9,8 +9,8 @@
 use crate::server::{EntryState, ServerEntry, ServerRecord};
 
 impl ServerCatalog {
-    /// Takes in one entry. Runs of a server are told apart by their start, words of
-    /// one run by `seq`: a late word of a former run changes nothing.
+    /// Applies one entry. The start time tells runs of a server apart, and `seq` orders the
+    /// entries of one run: a late entry of an earlier run changes nothing.
     pub(super) fn apply_entry(
         &mut self,
         now: Instant,
@@ -45,7 +45,7 @@
             return;
         }
         if record.missing_since.is_some() && entry.seq < record.entry.seq {
-            // A live server whose row lapsed comes back with its last word or a newer one.
+            // A live server whose row lapsed comes back with its last entry or a newer one.
             self.remove(now, &entry.id, changes);
             self.on_refused(now, entry, changes);
             return;
@@ -53,7 +53,8 @@
         update_record(begun, record, entry, changes);
     }
 
-    /// The registry lists, or another entry tells, a word from before the server's end.
+    /// Handles an entry from before the server's departure, listed by the registry or sent by
+    /// another instance.
     fn on_refused(&mut self, now: Instant, entry: &ServerEntry, changes: &mut Vec<CatalogChange>) {
         let current = self.table.by_id(&entry.id);
         if current.is_some_and(|record| self.departures.refuses(now, &record.entry)) {
@@ -64,7 +65,8 @@
         }
     }
 
-    /// Somebody else's row stands where the server `id` had its entry, if it had one.
+    /// Marks that a foreign row has replaced the row of the server `id`, if that server is
+    /// known.
     pub(super) fn mark_overwritten(&mut self, id: &str, changes: &mut Vec<CatalogChange>) {
         let Some(record) = self.table.by_id_mut(id) else {
             return;
@@ -85,7 +87,8 @@
         self.table.insert(record);
     }
 
-    /// Ends the servers that a reading doesn't hold, or keeps them while they may have lapsed.
+    /// Removes the servers that a snapshot lacks, or keeps them while their rows may have
+    /// lapsed.
     pub(super) fn remove_missing(
         &mut self,
         now: Instant,
@@ -115,8 +118,8 @@
         }
     }
 
-    /// Takes in which servers another entry knows to be gone. One that is listed again in the
-    /// same change is the same run, of which nothing is forgotten.
+    /// Applies the departures of a delta. A server that the same delta lists again is the same
+    /// run, so its record is kept.
     pub(super) fn apply_departures(
         &mut self,
         now: Instant,
@@ -144,7 +147,8 @@
         }
     }
 
-    /// Drops the servers that an older copy doesn't list, which tells nothing of their end.
+    /// Removes the servers that an older copy doesn't list, without noting a departure: the
+    /// copy doesn't show that they left.
     pub(super) fn remove_unlisted(
         &mut self,
         listed: &HashSet<&str>,
@@ -159,7 +163,8 @@
         }
     }
 
-    /// Removes the server `id`, which is gone by the registry's word.
+    /// Removes the server `id`, which is gone according to the registry, and notes its
+    /// departure.
     pub(super) fn remove(&mut self, now: Instant, id: &str, changes: &mut Vec<CatalogChange>) {
         let Some(record) = self.table.by_id(id) else {
             return;
@@ -170,7 +175,7 @@
     }
 }
 
-/// Takes in a word of the run that is known.
+/// Applies an entry of the known run.
 fn update_record(
     begun: Instant,
     record: &mut ServerRecord,
@@ -182,7 +187,7 @@
         record.overwritten = false;
         changes.push(CatalogChange::Reclaimed(entry.id.clone()));
     }
-    // Leaving is final, whatever is read or written late.
+    // Draining is final, whatever is read or written late.
     let was_leaving = record.entry.state == EntryState::Draining;
     if entry.state == EntryState::Draining && !was_leaving {
         record.entry.state = EntryState::Draining;
--- a/crates/place/src/placing/candidates.rs
+++ b/crates/place/src/placing/candidates.rs
@@ -1,4 +1,4 @@
-//! The servers that could take a request, in the common order for its object.
+//! The servers that could take a request, ranked by rendezvous hash of its object.
 
 use std::time::Instant;
 
@@ -11,27 +11,27 @@
 /// A server that could take the request.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate {
-    /// The server.
+    /// Handle of the server.
     pub handle: ServerHandle,
-    /// Its rank for the object among the usable servers of its region or domain.
+    /// Rank for the object among the usable servers of its region or failure domain.
     pub rank: usize,
 }
 
-/// The servers among which an object keeps to one.
+/// Scope in which an object has its own preferred servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RankScope {
-    /// Those of a region.
+    /// Servers of a region.
     Region,
-    /// Those of a failure domain, for objects that are costly to move between these.
+    /// Servers of a failure domain, for objects that are expensive to transfer between domains.
     Domain,
 }
 
 /// The candidates of a request.
 #[derive(Debug, Default)]
 pub struct RankedServers {
-    /// In the order of the places, then of the ranks.
+    /// Ordered by locality, then by rank.
     pub candidates: Vec<Candidate>,
-    /// Regions or domains in which they are.
+    /// Number of regions or failure domains that have candidates.
     pub localities: usize,
 }
 
@@ -42,30 +42,29 @@
     cold: bool,
 }
 
-/// Cold servers of a place that are enough to choose from: they share ranks, so that there is
-/// no last one to which an object belongs.
+/// Cold servers of a locality that are enough to choose from. They share ranks, so they never
+/// use up the preferred ranks.
 const MAX_COLD_CANDIDATES: usize = 4;
 
-/// A search for the servers near an object.
+/// Query for the servers that may get an object's request.
 #[derive(Debug, Clone, Copy)]
 pub struct CandidateQuery<'a> {
-    /// The service.
+    /// Name of the service.
     pub service: &'a str,
-    /// The request.
+    /// The request to place.
     pub request: &'a PlacementRequest<'a>,
-    /// Hash of the object that it concerns.
+    /// Hash of the request's object.
     pub object: u64,
-    /// Among which servers the object keeps to few.
+    /// Scope in which the object has its preferred servers.
     pub scope: RankScope,
-    /// Ranks of a place within which it may belong to a server.
+    /// Number of ranks per locality that may be preferred.
     pub preferred_ranks: usize,
-    /// Short names of servers that handled it lately.
+    /// Short ids of servers that recently handled the object.
     pub holders: &'a [u32],
 }
 
-/// The servers to which the object belongs as one of the first ranks of a place, and those that
-/// handled it lately. No others can get its request. `None` where only a look at all servers
-/// can tell.
+/// Returns the preferred servers of each locality and those that recently handled the object.
+/// No others can get its request. `None` if all servers must be evaluated instead.
 pub fn top_candidates(
     now: Instant,
     catalog: &mut ServerCatalog,
@@ -95,7 +94,7 @@
     Some(ranked)
 }
 
-/// The first servers of one place; `None` where too few of the nearest may get the request.
+/// The first servers of one locality; `None` if too few of its top servers are usable.
 fn top_candidates_in(
     now: Instant,
     catalog: &ServerCatalog,
@@ -135,9 +134,9 @@
         && (homes.is_empty() || homes.contains(&record.region))
 }
 
-/// The usable servers of `service`, ranked for the request's object within each
-/// region or domain. A server that can't be reached has no rank; a cold one shares that of
-/// the next, since it takes only a little of what belongs to it.
+/// Returns the usable servers of `service`, ranked for the request's object within each region
+/// or failure domain. An unreachable server has no rank. A cold one shares its rank with the
+/// next, since it can take only a few of the object's requests.
 pub fn ranked_candidates(
     now: Instant,
     catalog: &ServerCatalog,
--- a/crates/place/src/placing/choice.rs
+++ b/crates/place/src/placing/choice.rs
@@ -1,4 +1,4 @@
-//! Weighs the servers that could take a request.
+//! Compares the servers that could take a request.
 
 use std::time::Instant;
 
@@ -10,50 +10,49 @@
 use crate::request::{PlacementReason, PlacementRequest, RefusalReason};
 use crate::server::ServerRecord;
 
-/// Requests at a server, as a multiple of its slots, up to which it gets more.
-/// Beyond, waiting costs the objective of those behind.
+/// Maximum number of requests at a server that may get more, as a multiple of its slots. Beyond
+/// this, queueing makes the requests behind miss their objective.
 const MAX_LOAD_FACTOR: f64 = 2.5;
-/// The same for a request that was refused before, since a second refusal is
-/// final for its caller, and for one whose region is not free to choose.
+/// The same for resubmitted requests, since callers give up after a second refusal, and for
+/// requests restricted by the shift cap.
 const RESUBMIT_LOAD_FACTOR: f64 = 3.0;
-/// Lower factor for each step of priority, so that the urgent find room.
+/// Reduction of the load factor per priority level, which leaves capacity for urgent requests.
 const LOAD_FACTOR_PRIORITY_STEP: f64 = 0.15;
-/// A new request waits only where it is answered within this multiple of its
-/// objective: beyond, it would make those behind it late as well.
+/// A new request queues only if its answer is expected within this multiple of its objective.
+/// Beyond this, it would make the requests behind it late as well.
 const OBJECTIVE_FACTOR: f64 = 1.0;
-/// Lower factor of the objective for each step of priority.
+/// Reduction of the objective factor per priority level.
 const OBJECTIVE_PRIORITY_STEP: f64 = 0.1;
-/// A returning request waits where it is answered within this share of its time:
-/// the first where few return, so that hardly any is refused twice; the second
-/// where many do, since they would make every new request late as well (at 1.3
-/// of what the servers bear, 0.47 of answers are in time instead of 0.06: `lh-load
-/// overload`; callers got 0.821 of their worth instead of 0.806 with the second at
-/// 0.4, mean of 15 days of trouble).
+/// A resubmitted request queues if its answer is expected within this share of its remaining
+/// time. The first value applies while few requests are resubmitted, so that hardly any is
+/// refused twice; the second while many are, since they would make every new request late as
+/// well (at 1.3 times the servers' capacity, 0.47 of answers are in time instead of 0.06:
+/// `lh-load overload`). With 0.4 as the second value callers got 0.806 of their worth instead
+/// of 0.821, mean of 15 days with faults.
 const RESUBMIT_TIME_SHARES: (f64, f64) = (0.8, 0.25);
-/// Shares of returning requests that count as few and as many.
+/// Shares of resubmitted requests that count as few and as many.
 const RESUBMIT_SHARE_RANGE: (f64, f64) = (0.25, 0.45);
-/// Priorities beyond this one are treated alike.
+/// All larger priority numbers are treated as this one.
 const LOWEST_PRIORITY: u32 = 3;
-/// A cold server works this many times as long.
+/// Work at a cold server takes this many times as long.
 const COLD_WORK_FACTOR: f64 = 2.0;
-/// An object belongs to a server of each failure domain where moving its answer and
-/// body between these costs more than this share of what a held object saves. Bytes
-/// between domains 0.082 -> 0.029 GB on a day of which nine tenths of the bytes are
-/// answers of 90 kB, whose callers get 0.80 of their worth instead of 0.88.
+/// An object has preferred servers in each failure domain if transferring its body and answer
+/// between domains costs more than this share of the time that a cached object saves. This
+/// reduces bytes between domains from 0.082 to 0.029 GB on a day on which 90 kB answers make up
+/// nine tenths of the bytes; their callers get 0.80 of their worth instead of 0.88.
 const MAX_BYTE_COST_SHARE: f64 = 0.25;
-/// Likelihood of holding an object from which on a server takes it as one to which it
-/// belongs: nothing is driven out by that.
+/// A server that caches the object with at least this likelihood is treated like a preferred
+/// one, since the request evicts nothing there.
 pub(crate) const MIN_HOLDER_LIKELIHOOD: f64 = 0.5;
-/// Latency that a certain failure is worth, as a multiple of the objective.
+/// Latency equivalent of a certain failure, as a multiple of the objective.
 const FAILURE_PENALTY: f64 = 3.0;
-/// What it costs to send an object where it doesn't belong, as a multiple of
-/// what a held object saves: it drives out another one there.
+/// Cost of sending an object to a server that isn't preferred, as a multiple of the time that a
+/// cached object saves: another object is evicted there.
 const AFFINITY_PENALTY: f64 = 2.0;
-/// Share of a server's slots that one object may need before it belongs to one
-/// server more.
+/// Share of a server's slots that one object may use before it gets another preferred server.
 const MAX_OBJECT_LOAD: f64 = 0.7;
 
-/// What bytes over links cost, in milliseconds of latency a kilobyte.
+/// Latency equivalent of bytes sent over links, in milliseconds per kilobyte.
 #[derive(Debug, Clone, Copy)]
 pub struct ByteCosts {
     /// Between failure domains of a region.
@@ -62,25 +61,25 @@
     pub region: f64,
 }
 
-/// Where the choosing entry stands.
+/// Location and state of the instance that makes the choice.
 #[derive(Debug, Clone, Copy)]
 pub struct ChoiceContext<'a> {
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: &'a str,
-    /// Its region.
+    /// Region of the instance.
     pub region: &'a str,
-    /// Whether all candidates are in one place of their order, so that an object would
-    /// belong to a single server.
+    /// Whether all candidates are in one locality, so that an object would have a single
+    /// preferred server.
     pub is_single_locality: bool,
-    /// Entries of its region, itself included.
+    /// Number of instances in the region, including this one.
     pub entries: usize,
-    /// What it costs to send bytes elsewhere.
+    /// Latency equivalent of sending bytes to other failure domains and regions.
     pub costs: ByteCosts,
-    /// Bounds the regions that may be chosen; `None` where any may.
+    /// Restricts the regions that may be chosen; `None` allows any.
     pub limiter: Option<&'a ShiftLimiter>,
 }
 
-/// The best server so far, or why there is none.
+/// The best server so far, or the reason why there is none.
 #[derive(Debug)]
 pub struct ServerChoice<'a> {
     now: Instant,
@@ -95,7 +94,7 @@
 }
 
 impl<'a> ServerChoice<'a> {
-    /// A choice for `request` among no servers yet.
+    /// Starts a choice for `request` with no servers considered.
     pub fn new(
         now: Instant,
         request: &'a PlacementRequest<'a>,
@@ -115,7 +114,8 @@
         }
     }
 
-    /// Weighs `record`; `likelihood` is that of its holding the object.
+    /// Considers the server of `record`; `reason` holds its occupancy, rank and cache
+    /// likelihood.
     pub fn consider(
         &mut self,
         candidate: &Candidate,
@@ -145,7 +145,8 @@
             return;
         }
         let expected = record.trip + wait + estimate.work;
-        // Where nobody waits, only the work itself can tell how long it takes.
+        // An idle server may exceed the limit: there is no queue, and only running the request
+        // shows how long the work really takes.
         if wait > 0.0 && expected > self.time_limit {
             self.note_blocked(RefusalReason::Late, Some(expected - self.time_limit));
             return;
@@ -163,8 +164,7 @@
         }
     }
 
-    /// Notes that a server may not take the request, and in how many
-    /// milliseconds it might.
+    /// Notes that a server can't take the request, and in how many milliseconds it might.
     pub fn note_blocked(&mut self, reason: RefusalReason, available_in: Option<f64>) {
         if self.blocked != RefusalReason::Full {
             self.blocked = reason;
@@ -175,9 +175,9 @@
         };
     }
 
-    /// Lets the object belong to as many servers as its requests keep busy, and to
-    /// one more where its region is not free to choose, or where there is but one place:
-    /// elsewhere those of the other places take what doesn't fit.
+    /// Sets the number of preferred servers to what the object's request rate keeps busy. There
+    /// is one more if the shift cap restricts the regions, and one more if there is only one
+    /// locality: otherwise the preferred servers of the other localities take the excess.
     pub fn set_preferred_count(&mut self, slots: f64) {
         let Some(object) = self.request.object else {
             return;
@@ -192,11 +192,11 @@
             + (busy / (slots * MAX_OBJECT_LOAD)).floor() as usize;
     }
 
-    /// The best server and why, or the reason for a refusal with the seconds
-    /// until room is expected.
+    /// Returns the best server with the figures behind the choice.
     ///
     /// # Errors
-    /// The reason, where no server should get the request.
+    /// Returns the refusal reason and the expected time until capacity is free, in seconds, if
+    /// no server should get the request.
     pub fn finish(self) -> Result<(ServerHandle, PlacementReason), (RefusalReason, Option<f64>)> {
         match self.best {
             Some((_, handle, reason)) => Ok((handle, reason)),
@@ -211,7 +211,8 @@
         !self.uses_affinity() || candidate.rank < self.preferred_count
     }
 
-    /// Whether servers are faster for what they handled: else nothing is driven out.
+    /// Whether servers answer faster for objects that they have cached. Otherwise nothing is
+    /// evicted.
     fn uses_affinity(&self) -> bool {
         self.request.object.is_some() && self.request.route.sticky
     }
@@ -259,8 +260,8 @@
     }
 }
 
-/// Servers of a place that an object can belong to at most, where none has fewer slots than
-/// `slots`; `None` where any server may get the request.
+/// Maximum number of preferred servers of an object per locality if no server has fewer slots
+/// than `slots`; `None` if any server may get the request.
 pub(crate) fn max_preferred_count(
     now: Instant,
     request: &PlacementRequest<'_>,
@@ -271,14 +272,15 @@
     let object = request.object.filter(|_| request.route.sticky)?;
     let rate = work.demand(now, object) * entries as f64;
     let busy = rate * work.warm.value() / 1000.0;
-    // One for itself, for where there is but one place, and where the region isn't free.
+    // The first one, one for a single locality, and one for a restricted region.
     Some(3 + (busy / (f64::from(slots) * MAX_OBJECT_LOAD)).floor() as usize)
 }
 
-/// Among which servers the object of `request` keeps to one. The request's own body
-/// decides, not the route's usual one, though it may part an object's requests: with the
-/// usual one more bytes crossed failure domains, worth 0.623 -> 0.610 where these are dear
-/// and bodies vary (mean of five days of trouble).
+/// Scope in which the object of `request` has its preferred servers. The request's own body
+/// size decides, even though this may split an object's requests between scopes: with the
+/// route's average size more bytes crossed failure domains, and callers got 0.610 of their
+/// worth instead of 0.623 where these bytes are expensive and bodies vary (mean of five days
+/// with faults).
 pub fn rank_scope(
     request: &PlacementRequest<'_>,
     work: &RouteWork,
@@ -296,22 +298,22 @@
     work.answer.value() + request.body_bytes as f64 / 1000.0
 }
 
-/// Work that is expected, in milliseconds.
+/// Expected work, in milliseconds.
 struct WorkEstimate {
-    /// Of the request.
+    /// Work of the request itself.
     work: f64,
-    /// Of those ahead of it.
+    /// Average work of a request ahead of it in the queue.
     ahead_work: f64,
 }
 
-/// How far a server at `rank` is from where an object belongs, 0 to 1.
+/// Affinity penalty of a server at `rank` for the object, 0 to 1.
 fn rank_penalty(rank: usize) -> f64 {
     const BY_RANK: [f64; 4] = [0.0, 0.3, 0.6, 0.8];
     BY_RANK.get(rank).copied().unwrap_or(1.0)
 }
 
-/// The longest expected time to the answer for which a request may wait, in
-/// milliseconds, where `resubmit_share` of the latest requests were refused before.
+/// Maximum expected response time for which a request may queue, in milliseconds, if
+/// `resubmit_share` of the latest requests were resubmitted.
 fn time_limit(
     request: &PlacementRequest<'_>,
     context: &ChoiceContext<'_>,
@@ -322,7 +324,8 @@
     let resubmit_level = ((resubmit_share - few) / (many - few)).clamp(0.0, 1.0);
     let remaining = millis(request.remaining);
     if context.limiter.is_some() {
-        // It waits here for what it would have had elsewhere at once.
+        // The shift cap keeps it from a region that could answer at once, so it may queue here
+        // as long as a resubmitted request.
         return remaining * long;
     }
     if request.returning {
--- a/crates/place/src/placing/mod.rs
+++ b/crates/place/src/placing/mod.rs
@@ -1,4 +1,4 @@
-//! The choice of a server for a request, and what it is learned from.
+//! Server selection and the estimates that it learns from answers.
 
 pub mod candidates;
 pub mod choice;
--- a/crates/place/src/placing/placer.rs
+++ b/crates/place/src/placing/placer.rs
@@ -1,9 +1,8 @@
 //! Chooses the backend server of each request, or refuses the request.
 //!
-//! The choice is the server that is expected to answer first: its distance, the
-//! wait in its queue, and the work, which is much shorter where the server has
-//! handled the object before. A server's short queue is used before a request is
-//! refused; a request that can't be answered in time anywhere is refused at once.
+//! The server with the lowest expected response time wins: its round trip, the wait in its
+//! queue and the work, which is much shorter where the object is cached. Short queues are used
+//! before a request is refused. A request that no server can answer in time is refused at once.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -31,47 +30,47 @@
 };
 use crate::server::{EntryState, ServerRecord, ServerReport};
 
-/// A server that rejects a request as full has about this many times its slots.
+/// A server that rejects a request as full is assumed to hold this many times its slots.
 const REJECTED_LOAD_FACTOR: f64 = 3.0;
-/// Warm-up of a service that isn't known.
+/// Warm-up time assumed for an unknown service.
 const DEFAULT_WARMUP: Duration = Duration::from_secs(3);
-/// Rate that a cold server of an unknown service bears, in requests a second.
+/// Rate assumed for a cold server of an unknown service, in requests per second.
 const DEFAULT_COLD_RATE: f64 = 1.0;
-/// A service of so many servers is looked at whole for each request.
+/// Up to this many servers of a service, all of them are evaluated for each request.
 const MAX_FULL_SCAN: usize = 64;
-/// Room after a rejection by servers, in seconds.
+/// Expected time until capacity is free after servers rejected a request, in seconds.
 const REJECTED_RETRY_AFTER_SECS: f64 = 0.3;
 
-/// What the placer must know of its place and bounds.
+/// Location and limits of the instance that places requests.
 #[derive(Debug, Clone)]
 pub struct PlacerConfig {
-    /// Own failure domain.
+    /// Failure domain of this instance.
     pub domain: String,
-    /// Own region.
+    /// Region of this instance.
     pub region: String,
-    /// Each failure domain's region.
+    /// Maps each failure domain to its region.
     pub domains: HashMap<String, String>,
-    /// Bounds on repeats.
+    /// Limits on retries at a second server.
     pub budget: BudgetBounds,
-    /// Largest change of a region's share from one window to the next.
+    /// Maximum change of a region's share of requests from one window to the next.
     pub shift_cap: f64,
-    /// What it costs to send bytes elsewhere.
+    /// Latency equivalent of sending bytes to other failure domains and regions.
     pub costs: ByteCosts,
-    /// Time within which a leaving server must get no more requests.
+    /// Time within which a draining server must stop getting requests.
     pub drain: Duration,
-    /// Own hash in the division of shared rates.
+    /// Hash of this instance, used to divide shared rates.
     pub own: u64,
 }
 
-/// The chosen server and why, or the reason for a refusal with the seconds until
-/// room is expected.
+/// The chosen server with the figures behind the choice, or the refusal reason with the
+/// expected time until capacity is free, in seconds.
 type ChoiceResult = Result<(ServerHandle, PlacementReason), (RefusalReason, Option<f64>)>;
 
-/// The choice among servers.
+/// Places requests on servers and learns from their outcomes.
 #[derive(Debug)]
 pub struct RequestPlacer {
     config: PlacerConfig,
-    /// The servers.
+    /// The known servers.
     pub catalog: ServerCatalog,
     services: HashMap<String, ServiceSpec>,
     splitter: TrafficSplitter,
@@ -82,14 +81,15 @@
     work: RouteWorkTable,
     entries: Vec<u64>,
     region_entries: usize,
-    /// Whether this entry stands by: others don't count it in shared rates.
+    /// Whether this instance is a standby, which the others don't count when they divide shared
+    /// rates.
     standby: bool,
     loads: PeerLoads,
     jitter: RetryAfterJitter,
 }
 
 impl RequestPlacer {
-    /// A placer that knows no servers yet.
+    /// Creates a placer that knows no servers yet.
     pub fn new(config: PlacerConfig) -> Self {
         let regions: Vec<String> = config.domains.values().cloned().collect();
         Self {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Takes in the services of a new desired state.
+    /// Applies the services of a new desired state.
     pub fn set_desired(&mut self, desired: &DesiredState) {
         self.services = desired
             .services
@@ -121,15 +121,15 @@
             .collect();
     }
 
-    /// Sets whether this entry stands by. Such a one takes no part of the rates that all
-    /// entries share, since the others don't count it.
+    /// Sets whether this instance is a standby. A standby takes no part of the rates that all
+    /// instances share, since the others don't count it.
     pub fn set_standby(&mut self, standby: bool) {
         self.standby = standby;
         self.budget.set_slack(!standby);
     }
 
-    /// Sets the hashes of all entries that get requests, and how many others are in the
-    /// own region; the own entry is added to both.
+    /// Sets the hashes of all instances that receive requests, and the number of others in the
+    /// own region; this instance is added to both.
     pub fn set_entries(&mut self, mut entries: Vec<u64>, in_region: usize) {
         entries.push(self.config.own);
         entries.sort_unstable();
@@ -140,15 +140,14 @@
         self.region_entries = in_region + 1;
     }
 
-    /// Takes in what the entry with the hash `entry` has sent.
+    /// Applies a load update of the instance with the hash `entry`.
     pub fn on_peer_load(&mut self, now: Instant, entry: u64, update: LoadUpdate) {
         self.shift_limiter.on_peer_sent(now, entry, &update.sent);
         self.warmth.on_peer_pairs(now, &update.handled);
         self.loads.apply_list(now, entry, update.load);
     }
 
-    /// Own requests at servers and what came of them, for the other entries. Call it
-    /// several times a second.
+    /// Returns this instance's load update for the others. Call it several times a second.
     pub fn own_load(&mut self, now: Instant) -> LoadUpdate {
         self.loads.apply(now, &mut self.catalog);
         LoadUpdate {
@@ -158,14 +157,14 @@
         }
     }
 
-    /// The longest warm-up of any service.
+    /// The longest warm-up time of any service.
     pub fn longest_warmup(&self) -> Duration {
         let warmups = self.services.values().map(|service| service.warmup);
         warmups.max().unwrap_or(DEFAULT_WARMUP)
     }
 
-    /// A caller's request on `route` for `object` arrived; returns its part of
-    /// the route and whether it seems to have been refused before.
+    /// Registers a caller's request on `route` for `object`. Returns the index of the route's
+    /// part that takes it, and whether the caller seems to resubmit a refused request.
     pub fn on_request(
         &mut self,
         now: Instant,
@@ -185,7 +184,7 @@
         (part, returning)
     }
 
-    /// Whether one more server may be tried, and takes it out of the budget.
+    /// Takes one retry from the service's budget; `false` if none is left.
     pub fn take_retry(&mut self, now: Instant, service: &str) -> bool {
         self.budget.take_retry(now, service)
     }
@@ -196,10 +195,10 @@
             .refusal(RefusalReason::Full, Some(REJECTED_RETRY_AFTER_SECS))
     }
 
-    /// Chooses the server, and counts the request as sent to it.
+    /// Chooses a server and counts the request as sent to it.
     ///
     /// # Errors
-    /// The refusal, where no server should get it.
+    /// Returns the refusal if no server should get the request.
     pub fn place(
         &mut self,
         now: Instant,
@@ -229,9 +228,9 @@
         placement.ok_or_else(|| self.jitter.refusal(RefusalReason::NoServer, None))
     }
 
-    /// The servers that can get the request, where there are many others and these can be told
-    /// without a look at all. Where none of them has room, when they will tells when the
-    /// caller should come back: others wouldn't take the request then either.
+    /// The only servers that can get the request, if the service has many servers and these can
+    /// be determined without evaluating all. If none of them has capacity, the caller is told
+    /// when they will have it, since no other server would take the request then either.
     fn top_ranked(
         &mut self,
         now: Instant,
@@ -247,7 +246,7 @@
         let max_preferred_count =
             max_preferred_count(now, request, work, self.region_entries, slots)?;
         let preferred_ranks = max_preferred_count.max(DISTINCT_RANKS);
-        // Where any server likely holds any object, none is out of the question.
+        // If any server is likely to have any object cached, none can be ruled out.
         if preferred_ranks >= TOP_SERVERS || work.rates.unseen_likelihood() >= MIN_HOLDER_LIKELIHOOD
         {
             return None;
@@ -262,12 +261,13 @@
             holders: self.warmth.holders(object),
         };
         let ranked = top_candidates(now, &mut self.catalog, &query)?;
-        // Whether there is any server at all must not depend on these few.
+        // An empty result falls back to all servers: these few don't tell whether any server
+        // exists.
         (!ranked.candidates.is_empty()).then_some(ranked)
     }
 
-    /// Replaces a choice that would move requests between regions too fast. One
-    /// for the own region stands where no other that should get more has room.
+    /// Replaces a choice that would shift requests between regions too fast. A choice in the
+    /// own region is kept if no server that should get the request instead has capacity.
     fn within_cap(
         &mut self,
         now: Instant,
@@ -341,7 +341,7 @@
         choice.finish()
     }
 
-    /// Takes in the size of an answer on `route`.
+    /// Records the size of an answer on `route`.
     pub fn on_answer_size(&mut self, route: &RouteSpec, bytes: u64) {
         self.work
             .get_or_insert(route)
@@ -349,7 +349,7 @@
             .add(bytes as f64 / 1000.0);
     }
 
-    /// Takes in what became of a request that was placed.
+    /// Records the outcome of a placed request.
     pub fn on_outcome(
         &mut self,
         now: Instant,
@@ -384,7 +384,7 @@
             }
             ServerOutcome::Unreachable => {
                 record.on_unreachable(now);
-                // It may have crashed, and comes back cold.
+                // It may have crashed, in which case it comes back cold.
                 record.chill(now, warmup);
             }
             ServerOutcome::Broken => record.on_outcome(now, false),
