--- a/crates/place/src/limits/budget.rs
+++ b/crates/place/src/limits/budget.rs
@@ -1,21 +1,21 @@
-//! Bounds what is sent to a second server, as a share of the requests for a
-//! service. The bound is on all entries together; each takes its part.
+//! Limits retries at a second server to a share of the requests for a service. The limit
+//! applies to all instances together; each uses a part of it.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Share of the allowance that is spent; the rest covers entries that this one
-/// doesn't know of, and repeats that are under way.
+/// Share of the budget that is used. The rest covers instances that this one doesn't know of
+/// and retries in progress.
 const USABLE_SHARE: f64 = 0.6;
 
-/// What the platform allows.
+/// Limits set by the platform.
 #[derive(Debug, Clone, Copy)]
 pub struct BudgetBounds {
-    /// Repeats for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Repeats allowed besides, by all entries in a window.
+    /// Additional retries of all instances together per window.
     pub slack: f64,
-    /// The sliding window.
+    /// Length of the sliding window.
     pub window: Duration,
 }
 
@@ -25,18 +25,18 @@
     retries: VecDeque<Instant>,
 }
 
-/// Counts requests and repeats of each service in a sliding window.
+/// Counts requests and retries of each service in a sliding window.
 #[derive(Debug)]
 pub struct RetryBudget {
     bounds: BudgetBounds,
     entries: usize,
-    /// Whether this entry may use a part of the slack.
+    /// Whether this instance may use a part of the slack.
     has_slack: bool,
     services: HashMap<String, ServiceWindow>,
 }
 
 impl RetryBudget {
-    /// A budget within `bounds`, alone.
+    /// Creates a budget within `bounds` for a single instance.
     pub fn new(bounds: BudgetBounds) -> Self {
         Self {
             bounds,
@@ -46,18 +46,18 @@
         }
     }
 
-    /// Divides the slack among `entries`.
+    /// Divides the slack among `entries` instances.
     pub fn set_entries(&mut self, entries: usize) {
         self.entries = entries.max(1);
     }
 
-    /// Sets whether this entry may use a part of the slack besides what its own requests
-    /// earn: entries that nobody counts may not.
+    /// Sets whether this instance may use a part of the slack in addition to the share of its
+    /// own requests. Instances that the others don't count may not.
     pub fn set_slack(&mut self, has_slack: bool) {
         self.has_slack = has_slack;
     }
 
-    /// A caller's request for `service` arrived.
+    /// Counts a caller's request for `service`.
     pub fn on_request(&mut self, now: Instant, service: &str) {
         if !self.services.contains_key(service) {
             self.services
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Takes a repeat out of the budget; `false` where there is none left.
+    /// Takes a retry out of the budget; `false` if none is left.
     pub fn take_retry(&mut self, now: Instant, service: &str) -> bool {
         let Some(window) = self.services.get_mut(service) else {
             return false;
--- a/crates/place/src/limits/mod.rs
+++ b/crates/place/src/limits/mod.rs
@@ -1,5 +1,5 @@
-//! Bounds that all entries share: repeats, cold servers, shifts between regions, parts of
-//! a route, and when a caller that is refused comes back.
+//! Limits that all instances share: retries, requests to cold servers, shifts between regions,
+//! the parts of a route, and when a refused caller should retry.
 
 pub mod budget;
 pub mod ramp;
--- a/crates/place/src/limits/refusal.rs
+++ b/crates/place/src/limits/refusal.rs
@@ -1,28 +1,28 @@
-//! When a refused caller should come back.
+//! Computes when a refused caller should retry.
 
 use std::time::Duration;
 
 use crate::request::{Refusal, RefusalReason};
 
-/// Shortest and longest time after which a caller is asked to come back, in
-/// seconds. Callers give a third of their time at most, usually about a second.
+/// Minimum and maximum retry delay, in seconds. Callers wait a third of their deadline at most,
+/// usually about a second.
 const RETRY_AFTER_RANGE: (f64, f64) = (0.15, 0.9);
-/// Time to come back where nothing tells when room is expected, in seconds.
+/// Retry delay if it isn't known when capacity is expected, in seconds.
 const DEFAULT_WAIT: f64 = 0.4;
 
-/// Spreads returns, so that those refused together don't come back together.
+/// Adds jitter to retry delays, so that callers refused at the same time don't retry together.
 #[derive(Debug)]
 pub struct RetryAfterJitter {
     state: u64,
 }
 
 impl RetryAfterJitter {
-    /// A spread that begins with `seed`.
+    /// Creates a jitter generator from `seed`.
     pub fn new(seed: u64) -> Self {
         Self { state: seed | 1 }
     }
 
-    /// A refusal for `reason` where room is expected in `available_in` seconds.
+    /// A refusal for `reason` if capacity is expected in `available_in` seconds.
     pub fn refusal(&mut self, reason: RefusalReason, available_in: Option<f64>) -> Refusal {
         let jitter = self.random_fraction();
         let (least, most) = RETRY_AFTER_RANGE;
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Xorshift, 0 to 1.
+    /// Xorshift generator, 0 to 1.
     fn random_fraction(&mut self) -> f64 {
         self.state ^= self.state << 13;
         self.state ^= self.state >> 7;
--- a/crates/place/src/limits/shift.rs
+++ b/crates/place/src/limits/shift.rs
@@ -1,73 +1,72 @@
-//! Bounds how fast the requests of a region's callers move between regions.
+//! Limits how fast the requests of a region's callers shift between regions.
 //!
-//! The bound is on what runs where in one window against the window before, over
-//! all entries of a region. The entries tell each other what they sent, so that each
-//! holds the bound for all at every moment: in windows that begin anywhere. Where
-//! some are not heard, each still holds it for those that it hears, and what holds
-//! for parts of the requests holds for all of them.
+//! The limit compares the share of each region in one window with that in the previous window,
+//! over all instances of the callers' region and for windows that begin at any time. Instances
+//! report their counts to each other, so that each one enforces the limit for all. If some are
+//! not heard, each still enforces it for those that it hears; a limit that holds for parts of
+//! the requests holds for all of them.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
 use tally::{CountWord, PeerTally};
 
-/// Part of the platform's cap that is used: the rest covers requests that end up
-/// elsewhere than they were sent to, and what others sent and is not heard yet, as far
-/// as it isn't what this entry sent.
+/// Share of the platform's cap that is used. The rest covers requests that end up in another
+/// region than they were sent to, and requests of other instances that were not reported yet
+/// and don't match the extrapolation.
 const USABLE_CAP_SHARE: f64 = 0.8;
-/// The same for requests that stay in their own region since no other has room: the rest
-/// of the cap is too little to refuse them for.
+/// The same for requests that stay in their own region because no other has capacity: refusing
+/// them would not be worth the rest of the cap.
 const OWN_REGION_CAP_SHARE: f64 = 0.9;
-/// The window that the cap is meant for.
+/// Length of the window to which the cap applies.
 const WINDOW: Duration = Duration::from_secs(2);
-/// The first window of traffic at an entry. It is shorter than the platform's, which
-/// begins with the traffic of all, and ends before that does at entries whose first
-/// requests come later: with 2 s a calm day of 83 entries moved 0.24 of a region's
-/// requests from its first window to its second, against a cap of 0.15.
+/// Length of the first window of traffic at an instance. The platform's first window begins
+/// with the first traffic of all, so this one must be shorter to end before it at instances
+/// that start later: with 2 s, a calm day with 83 instances moved 0.24 of a region's requests
+/// from the first window to the second, against a cap of 0.15.
 const FIRST_WINDOW: Duration = Duration::from_millis(1500);
-/// A peer is thought to go on as this entry does for this long after its last word:
-/// several words. Without that, three entries that tell each other every 100 ms moved
-/// 0.154 of their requests in a burst, against a cap of 0.15.
+/// For this long after its last update, which covers several updates, a peer is assumed to send
+/// what this instance sends. Without this, three instances that update each other every 100 ms
+/// moved 0.154 of their requests in a burst, against a cap of 0.15.
 const EXTRAPOLATION_TIME: Duration = Duration::from_millis(500);
-/// Requests of this span are counted together.
+/// Requests within this span are counted together.
 const BUCKET_SPAN: Duration = Duration::from_millis(50);
-/// So many requests of a window may be elsewhere whatever their share: a window of a
-/// few requests can't keep shares exactly.
+/// Number of requests per window that may move whatever their share, since a window of a few
+/// requests can't match shares exactly.
 const MIN_MOVED_REQUESTS: f64 = 1.0;
-/// A pause after which the next request may be the first of the traffic.
+/// After a longer gap the next request may be the first of the traffic.
 const MAX_START_GAP: Duration = Duration::from_millis(300);
-/// Requests after which a pause doesn't begin the first window again.
+/// Number of requests from which on a gap doesn't restart the first window.
 const MIN_START_REQUESTS: u32 = 8;
-/// After this time the first window is not begun again.
+/// Time from which on the first window isn't restarted.
 const MAX_START_WAIT: Duration = Duration::from_secs(30);
 
-/// Requests sent to each region, by the regions' names.
+/// Requests sent to each region, in the order of the regions' names.
 type RegionCounts = Vec<u32>;
 
-/// Counts what runs where, and tells what may be sent.
+/// Counts requests per region and decides which regions may get more.
 #[derive(Debug)]
 pub struct ShiftLimiter {
-    /// In an order that is the same at all entries.
+    /// Sorted by name, so that the order is the same on all instances.
     regions: Vec<String>,
-    /// Largest part of the requests that may change their region in a window.
+    /// Maximum share of requests that may change their region from one window to the next.
     cap: f64,
     first: FirstWindow,
     /// Requests of the last two windows, newest last.
     buckets: VecDeque<(Instant, RegionCounts)>,
-    /// Requests of the present window, and of the one before.
+    /// Requests of the current window and of the previous one.
     current: RegionCounts,
     previous: RegionCounts,
-    /// Requests that this entry sent, and what the others told of theirs, by the places of
-    /// the regions.
+    /// Requests of this instance and those that others reported, by the index of the region.
     tally: PeerTally<usize>,
-    /// The newest counts of the others, and how often each began anew.
+    /// The newest counts of each peer, and how often they restarted.
     peer_counts: HashMap<u64, (RegionCounts, u64)>,
-    /// What the others likely sent since they were heard.
+    /// Estimated requests of the peers since their last updates.
     unheard: RegionCounts,
 }
 
-/// Finds the first window of traffic, in which requests may go anywhere: there is
-/// nothing before it that they could have moved from.
+/// Detects the first window of traffic, in which requests may go anywhere, since there is no
+/// previous window.
 #[derive(Debug, Default)]
 struct FirstWindow {
     first_seen: Option<Instant>,
@@ -78,8 +77,8 @@
 }
 
 impl ShiftLimiter {
-    /// Bounds the part of the requests that change their region from one window
-    /// to the next to `cap`.
+    /// Limits the share of requests that change their region from one window to the next to
+    /// `cap`.
     pub fn new(cap: f64, regions: &[String]) -> Self {
         let mut all = regions.to_vec();
         all.sort_unstable();
@@ -98,7 +97,7 @@
         }
     }
 
-    /// Counts what the last two windows hold at `now`. Call it before each use.
+    /// Updates the counts of the last two windows to `now`. Call it before each use.
     pub fn advance(&mut self, now: Instant) {
         let age = |at: Instant| now.saturating_duration_since(at);
         while self
@@ -130,8 +129,8 @@
         self.is_within(region, self.cap * USABLE_CAP_SHARE)
     }
 
-    /// Whether a request may stay in its own region `region` where others, which should
-    /// get it, have no room.
+    /// Whether a request may stay in its own region `region` if the others, which should get
+    /// it, have no capacity.
     pub fn permits_own_region(&self, region: &str) -> bool {
         self.is_within(region, self.cap * OWN_REGION_CAP_SHARE)
     }
@@ -154,14 +153,14 @@
             let unmoved = f64::from(*previous_count) / previous * current;
             moved += (now - unmoved).abs() / 2.0;
             if other == index && now <= unmoved {
-                // It only makes up for what the region lacks.
+                // The region is still below its previous share.
                 return true;
             }
         }
         moved <= (max_share * current).max(MIN_MOVED_REQUESTS)
     }
 
-    /// A request was sent to `region`.
+    /// Counts a request that was sent to `region`.
     pub fn on_sent(&mut self, now: Instant, region: &str) {
         let Some(index) = self.index(region) else {
             return;
@@ -172,15 +171,15 @@
         self.count(now, &counts);
     }
 
-    /// What this entry sent to each region since its start, for the other entries of
-    /// its region.
+    /// Requests that this instance sent to each region since its start, for the other instances
+    /// of its region.
     pub fn sent(&self) -> Vec<u32> {
         let regions = 0..self.regions.len();
         regions.map(|region| self.tally.own(region)).collect()
     }
 
-    /// Takes in what the entry `peer` of the own region sent since its start. The first
-    /// word of a run only tells where it begins.
+    /// Applies what the instance `peer` of the own region has sent since its start. The first
+    /// update of a run only sets the baseline.
     pub fn on_peer_sent(&mut self, now: Instant, peer: u64, sent: &[u32]) {
         if sent.len() != self.regions.len() {
             return;
@@ -197,7 +196,7 @@
         known.extend_from_slice(sent);
         let word = CountWord {
             run: *run,
-            // What was sent before this entry heard of it is in no window of its own.
+            // Requests sent before the first update belong to none of this instance's windows.
             age: Duration::MAX,
             counts: sent.iter().copied().enumerate().collect(),
         };
@@ -208,7 +207,7 @@
         self.count(now, &added_counts);
     }
 
-    /// Forgets entries that aren't in `live`.
+    /// Forgets instances that aren't in `live`.
     pub fn retain_peers(&mut self, live: &[u64]) {
         self.peer_counts.retain(|peer, _| live.contains(peer));
         self.tally.retain(|peer, _| live.contains(&peer));
@@ -235,8 +234,8 @@
 }
 
 impl FirstWindow {
-    /// Takes in a request. Single ones, as of checks before the traffic, are not its
-    /// beginning.
+    /// Counts a request. Single requests, such as checks before the traffic starts, don't begin
+    /// the window.
     fn on_request(&mut self, now: Instant) {
         if self.is_over {
             return;
@@ -257,7 +256,7 @@
         self.is_over = now.saturating_duration_since(began) >= FIRST_WINDOW;
     }
 
-    /// When it ends or ended, once it has begun.
+    /// When it ends or ended, if it has begun.
     fn ends(&self) -> Option<Instant> {
         self.began.map(|began| began + FIRST_WINDOW)
     }
--- a/crates/place/src/limits/split.rs
+++ b/crates/place/src/limits/split.rs
@@ -1,14 +1,13 @@
 //! Divides a route's requests among services by weight.
 //!
-//! Smooth weighted round robin: every prefix of the sequence is as close to the
-//! weights as whole requests allow, so that the shares hold within seconds and
-//! not only on average.
+//! Uses smooth weighted round robin: every prefix of the sequence is as close to the weights as
+//! whole requests allow, so that the shares hold within seconds and not only on average.
 
 use std::collections::HashMap;
 
 use crate::desired::RouteSpec;
 
-/// Running credits of each split route.
+/// Current weights of each split route.
 #[derive(Debug, Default)]
 pub struct TrafficSplitter {
     credits: HashMap<String, Vec<i64>>,
--- a/crates/place/src/placing/load.rs
+++ b/crates/place/src/placing/load.rs
@@ -1,4 +1,4 @@
-//! What the entries tell each other of their requests at servers.
+//! Load updates, in which instances tell each other of their requests at servers.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -6,38 +6,37 @@
 use crate::catalog::ServerCatalog;
 use crate::placing::warmth::HandledPair;
 
-/// An entry's word counts for this long: it is given several times a second.
+/// Time for which an instance's update counts; updates are sent several times per second.
 const LOAD_TTL: Duration = Duration::from_millis(1500);
 
-/// Time between words on load for each other entry of the region: what an entry sends
-/// and hears there stays within 80 datagrams a second however many there are.
+/// Load interval per other instance of the region: each instance sends and receives at most 80
+/// datagrams per second there, however many instances there are.
 const LOAD_INTERVAL_PER_ENTRY: Duration = Duration::from_millis(12);
-/// Shortest time between words on load; requests take longer.
+/// Minimum load interval; requests take longer than this.
 const MIN_LOAD_INTERVAL: Duration = Duration::from_millis(80);
-/// Time between words to other regions, for each other entry there: at most 160 datagrams
-/// a second. In small fleets they go with every word: worth 0.533 -> 0.541 where servers
-/// are spread unevenly, against one word in three (mean of 15 days of trouble).
+/// Interval of updates to other regions, per instance there: at most 160 datagrams per second.
+/// Small fleets send every update there: with one update in three, callers got 0.533 of their
+/// worth instead of 0.541 where servers are spread unevenly (mean of 15 days with faults).
 const FAR_LOAD_INTERVAL_PER_ENTRY: Duration = Duration::from_millis(6);
-/// One entry's requests: short names of servers, with counts.
+/// Requests of one instance: short ids of servers, with counts.
 pub type LoadList = Vec<(u32, u16)>;
 
 base::common! {
-    /// What an entry tells the others of its requests.
+    /// What an instance tells the others of its requests.
     #[derive(Eq, Default, PartialOrd, Ord)]
     pub struct LoadUpdate {
-        /// Short names of servers, with the number of requests there.
+        /// Short ids of servers, with the number of requests there.
         pub load: LoadList,
-        /// Requests sent to each region since the entry's start, in the order of the
-        /// regions' names. Only entries of the same region are told.
+        /// Requests sent to each region since the instance started, in the order of the
+        /// regions' names. Sent only within the region.
         pub sent: Vec<u32>,
-        /// Servers that handled an object since the last word. Only entries of the same
-        /// region are told.
+        /// Objects handled by servers since the last update. Sent only within the region.
         pub handled: Vec<HandledPair>,
     }
 }
 
 impl LoadUpdate {
-    /// The word for entries of other regions.
+    /// Strips the update for instances of other regions.
     #[must_use]
     pub fn for_other_regions(mut self) -> Self {
         self.sent.clear();
@@ -46,32 +45,32 @@
     }
 }
 
-/// The newest word of each other entry, and their sums by server.
+/// The newest update of each other instance, and their sums per server.
 #[derive(Debug, Default)]
 pub struct PeerLoads {
     lists: HashMap<u64, (Instant, LoadList)>,
     sums: HashMap<u32, u32>,
-    /// Servers of which the sum changed since it was last set in the catalog.
+    /// Servers whose sum has changed since it was last set in the catalog.
     changed: HashSet<u32>,
-    /// When the oldest word stops to count.
+    /// When the oldest update expires.
     next_expiry: Option<Instant>,
-    /// Servers that had joined when the sums were last set.
+    /// Number of servers that had joined when the sums were last set.
     join_count: u64,
 }
 
-/// Short name of a server, from the hash of its id. Two servers with one name
-/// are merely thought to be busier than they are.
+/// Short id of a server, from its hash. If two servers share one, both are merely assumed to be
+/// busier than they are.
 pub fn short_id(hash: u64) -> u32 {
     (hash ^ (hash >> 32)) as u32
 }
 
-/// Time until an entry with `near` others in its region tells its load again.
+/// Time between load updates of an instance with `near` others in its region.
 pub fn load_interval(near: u32) -> Duration {
     (LOAD_INTERVAL_PER_ENTRY * near).max(MIN_LOAD_INTERVAL)
 }
 
-/// Whether the word number `round` of an entry with `near` others in its region goes to
-/// the `far` ones of other regions as well.
+/// Whether update number `round` of an instance with `near` others in its region is also sent
+/// to the `far` instances of other regions.
 pub fn is_sent_far(round: u32, near: u32, far: u32) -> bool {
     let interval = FAR_LOAD_INTERVAL_PER_ENTRY * far;
     let updates = interval
@@ -81,7 +80,7 @@
 }
 
 impl PeerLoads {
-    /// Takes in the word of `entry`.
+    /// Replaces the list of the instance `entry`.
     pub fn apply_list(&mut self, now: Instant, entry: u64, list: LoadList) {
         self.add(&list);
         let next_expiry = now + LOAD_TTL;
@@ -94,9 +93,9 @@
         }
     }
 
-    /// Sets in `catalog` what the other entries have at each server. Call it before the
-    /// figures are used. Only servers of which words spoke since are looked at: at ten thousand
-    /// servers a request took 5 ms otherwise, most of it for those that nobody uses.
+    /// Sets the load of the other instances at each server of `catalog`. Call it before the
+    /// load is used. Only servers with changed sums are visited: visiting all of ten thousand
+    /// servers took 5 ms per request, most of it for servers without requests.
     pub fn apply(&mut self, now: Instant, catalog: &mut ServerCatalog) {
         if self
             .next_expiry
@@ -119,7 +118,7 @@
         }
     }
 
-    /// Forgets words that are too old.
+    /// Removes expired lists.
     fn expire(&mut self, now: Instant) {
         let lists = std::mem::take(&mut self.lists);
         for (entry, (at, list)) in lists {
@@ -154,7 +153,7 @@
     }
 }
 
-/// Own requests at the servers of `catalog`.
+/// This instance's requests at the servers of `catalog`.
 pub fn own_load(catalog: &ServerCatalog) -> LoadList {
     let busy = catalog.iter().filter(|record| record.in_flight > 0);
     busy.map(|record| {
--- a/crates/place/src/placing/timing.rs
+++ b/crates/place/src/placing/timing.rs
@@ -1,8 +1,8 @@
-//! Moving averages of durations.
+//! Moving averages and durations in milliseconds.
 
 use std::time::Duration;
 
-/// A moving average, in milliseconds.
+/// An exponential moving average.
 #[derive(Debug, Clone, Copy)]
 pub struct MovingAverage {
     value: f64,
@@ -10,22 +10,22 @@
 }
 
 impl MovingAverage {
-    /// Starts at `value` and gives the newest sample the share `weight`.
+    /// Creates an average of `value` that gives the newest sample the share `weight`.
     pub fn new(value: f64, weight: f64) -> Self {
         Self { value, weight }
     }
 
-    /// The average.
+    /// The current average.
     pub fn value(&self) -> f64 {
         self.value
     }
 
-    /// Takes in a sample.
+    /// Adds a sample.
     pub fn add(&mut self, sample: f64) {
         self.value += self.weight * (sample - self.value);
     }
 
-    /// What is left of something after `age` if it falls to 37 % in `span`.
+    /// Exponential decay: the share that is left after `age`, 37 % after `span`.
     pub fn decay(age: Duration, span: Duration) -> f64 {
         (-age.as_secs_f64() / span.as_secs_f64()).exp()
     }
--- a/crates/place/src/placing/trip.rs
+++ b/crates/place/src/placing/trip.rs
@@ -1,29 +1,29 @@
-//! How long the way to the servers of a failure domain and back takes.
+//! Estimates of the round trip time to the servers of each failure domain.
 //!
-//! Learned from opening connections, which takes one round trip and what a busy network
-//! or server adds: the estimate falls fast and rises slowly.
+//! Learned from the time that opening a connection takes: one round trip, plus delays of a busy
+//! network or server. The estimate therefore falls fast and rises slowly.
 
 use std::collections::HashMap;
 
-/// Round trip to another failure domain of the region before any was seen, in
-/// milliseconds: domains of a region are a few kilometres apart.
+/// Initial round trip to another failure domain of the same region, in milliseconds: the
+/// domains of a region are a few kilometres apart.
 const INITIAL_SAME_REGION_MS: f64 = 3.0;
-/// The same to another region: regions of a country or two.
+/// Initial round trip to another region, in milliseconds: regions are in the same country or a
+/// neighbouring one.
 const INITIAL_OTHER_REGION_MS: f64 = 72.0;
-/// Weight of a connection that took less than expected.
+/// Weight of a sample below the estimate.
 const FALL_WEIGHT: f64 = 0.3;
-/// Weight of one that took longer: most of these met a queue.
+/// Weight of a sample above the estimate: most of these were delayed in a queue.
 const RISE_WEIGHT: f64 = 0.02;
-/// A connection counts at most as this many times the estimate: one whose first packet
-/// was lost takes a second and says nothing of the way.
+/// Samples are limited to this multiple of the estimate: a connection whose first packet was
+/// lost takes a second, which says nothing about the round trip.
 const MAX_SAMPLE_FACTOR: f64 = 4.0;
-/// Milliseconds that a connection takes at least, so that an estimate can rise from
-/// nothing.
+/// Minimum sample, in milliseconds, so that an estimate can rise from zero.
 const MIN_SAMPLE_MS: f64 = 0.05;
-/// Change of an estimate from which on it is used, as a share of it.
+/// Relative change from which on a new estimate is used.
 const MIN_CHANGE: f64 = 0.1;
 
-/// The estimates of one entry, by failure domain.
+/// Round trip estimates of one instance, by failure domain.
 #[derive(Debug, Default)]
 pub struct RoundTripEstimator {
     domain: String,
@@ -34,12 +34,12 @@
 #[derive(Debug)]
 struct DomainEstimate {
     estimate: f64,
-    /// The estimate that is in use.
+    /// The estimate in use.
     used: f64,
 }
 
 impl RoundTripEstimator {
-    /// The book of an entry in `domain` of `region`.
+    /// Creates the estimator of an instance in `domain` of `region`.
     pub fn new(domain: &str, region: &str) -> Self {
         Self {
             domain: domain.to_owned(),
@@ -54,8 +54,8 @@
         estimates.map_or_else(|| self.initial(domain, region), |trip| trip.used)
     }
 
-    /// Opening a connection to `domain` of `region` took `millis`; the round trip in use
-    /// from now on, where it changes.
+    /// Records that opening a connection to `domain` of `region` took `millis`. Returns the new
+    /// round trip if the one in use changes.
     pub fn on_connected(&mut self, domain: &str, region: &str, millis: f64) -> Option<f64> {
         let initial = self.initial(domain, region);
         let trip = self
--- a/crates/place/src/placing/warmth.rs
+++ b/crates/place/src/placing/warmth.rs
@@ -1,9 +1,8 @@
-//! Which servers likely hold which objects.
+//! Estimates which servers have which objects cached.
 //!
-//! What an entry saw itself is remembered; for the rest the common rank tells
-//! where other entries send an object. How far either may be relied on depends
-//! on how much a server keeps and how many objects there are, so it is learned
-//! from the answers' times.
+//! Objects that were recently handled are remembered. For the others the rank indicates where
+//! other instances send the object. How reliable either is depends on the servers' cache size
+//! and the number of objects, so it is learned from response times.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -11,52 +10,54 @@
 use crate::placing::load::short_id;
 use crate::placing::timing::MovingAverage;
 
-/// Ages of a sighting that are told apart.
+/// Age classes of a handled pair.
 const AGE_LIMITS: [Duration; 3] = [
     Duration::from_secs(2),
     Duration::from_secs(6),
     Duration::from_secs(20),
 ];
-/// Ranks that are told apart where there was no sighting; the last stands for all beyond.
+/// Number of ranks that are told apart without a handled pair; the last one includes all
+/// beyond.
 pub const DISTINCT_RANKS: usize = 4;
-/// Pairs kept at most; 64 bytes each.
+/// Maximum number of remembered pairs, at 64 bytes each.
 const MAX_PAIRS: usize = 16_384;
-/// Sightings told in one word; those beyond are few and only make others guess.
+/// Maximum number of pairs in one load update. Pairs beyond it are rare, and without them other
+/// instances only fall back to the rank.
 const MAX_UNSENT_PAIRS: usize = 128;
-/// Likelihood at the beginning: after sightings, then by rank. Low for ranks:
-/// nothing is held when everything has just begun.
+/// Initial likelihoods by age class, then by rank. Those by rank are low, since caches are
+/// empty at a start.
 const INITIAL_LIKELIHOODS: [f64; BELIEFS] = [0.95, 0.9, 0.8, 0.3, 0.2, 0.1, 0.05];
-/// Kinds of belief that are told apart.
+/// Number of kinds of evidence that are told apart.
 const BELIEFS: usize = AGE_LIMITS.len() + DISTINCT_RANKS;
 /// Weight of the newest answer in a likelihood.
 const NEWEST_WEIGHT: f64 = 0.03;
 
-/// Why a server may hold an object: an index into the learned likelihoods.
+/// Evidence for a cached object: an index into the learned likelihoods.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Belief(usize);
 
-/// A server that handled an object, by short names of both.
+/// Short ids of a server and of an object that it handled.
 pub type HandledPair = (u32, u32);
 
-/// What is known of objects at servers: what this entry saw, and what the other
-/// entries of its region told.
+/// Objects that servers recently handled, as seen by this instance and reported by the others
+/// of its region.
 #[derive(Debug, Default)]
 pub struct WarmthMap {
     handled_at: HashMap<HandledPair, Instant>,
-    /// Servers that handled each object, as far as `handled_at` has them.
+    /// Servers that handled each object, according to `handled_at`.
     holders: HashMap<u32, Vec<u32>>,
-    /// Own sightings that the others haven't been told yet.
+    /// Own pairs that have not been sent to the others.
     unsent: Vec<HandledPair>,
 }
 
-/// How likely each kind of belief has proved to be right, for one route.
+/// How likely each kind of evidence is right, for one route.
 #[derive(Debug)]
 pub struct WarmthRates {
     rates: [MovingAverage; BELIEFS],
 }
 
 impl WarmthMap {
-    /// The server `server` handled `object`.
+    /// Records that `server` handled `object`.
     pub fn on_handled(&mut self, now: Instant, server: u64, object: u64) {
         let pair = (short_id(server), short_id(object));
         self.remember(now, pair);
@@ -65,32 +66,32 @@
         }
     }
 
-    /// Takes in sightings of another entry.
+    /// Records pairs that another instance reported.
     pub fn on_peer_pairs(&mut self, now: Instant, pairs: &[HandledPair]) {
         for pair in pairs {
             self.remember(now, *pair);
         }
     }
 
-    /// Own sightings since the last call.
+    /// Takes the own pairs since the last call.
     pub fn take_unsent(&mut self) -> Vec<HandledPair> {
         std::mem::take(&mut self.unsent)
     }
 
-    /// The server started anew or lost what it held.
+    /// Forgets the cached objects of `server`, which restarted or lost them.
     pub fn forget(&mut self, server: u64) {
         let server = short_id(server);
         self.handled_at.retain(|(known, _), _| *known != server);
         self.prune_holders();
     }
 
-    /// Short names of the servers that were seen to handle `object`.
+    /// Short ids of the servers that handled `object`.
     pub fn holders(&self, object: u64) -> &[u32] {
         let servers = self.holders.get(&short_id(object));
         servers.map_or(&[][..], Vec::as_slice)
     }
 
-    /// What speaks for `server`, at `rank` for `object`, holding it.
+    /// The evidence that `server`, at `rank` for `object`, has it cached.
     pub fn belief(&self, now: Instant, server: u64, object: u64, rank: usize) -> Belief {
         if let Some(at) = self.handled_at.get(&(short_id(server), short_id(object))) {
             let age = now.saturating_duration_since(*at);
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Keeps those holders only that were seen.
+    /// Removes holders whose pair was forgotten.
     fn prune_holders(&mut self) {
         let handled_at = &self.handled_at;
         self.holders.retain(|object, servers| {
@@ -125,18 +126,18 @@
 }
 
 impl WarmthRates {
-    /// The likelihood that a server holds an object of which nothing speaks but that it isn't
-    /// among the first for it.
+    /// The likelihood that a server of the lowest rank class has an object cached that it
+    /// wasn't seen to handle.
     pub fn unseen_likelihood(&self) -> f64 {
         self.rates[BELIEFS - 1].value()
     }
 
-    /// The likelihood of `belief`, 0 to 1.
+    /// The likelihood for `belief`, 0 to 1.
     pub fn likelihood(&self, belief: Belief) -> f64 {
         self.rates[belief.0].value()
     }
 
-    /// Takes in whether the server held the object.
+    /// Records whether the object was cached.
     pub fn on_answer(&mut self, belief: Belief, held: bool) {
         self.rates[belief.0].add(if held { 1.0 } else { 0.0 });
     }
--- a/crates/place/src/placing/work.rs
+++ b/crates/place/src/placing/work.rs
@@ -1,5 +1,5 @@
-//! How long the requests of a route take where their object is held, and where
-//! it isn't; learned from the answers.
+//! Estimates of how long requests of a route take with and without a cached object, learned
+//! from answers.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -8,32 +8,32 @@
 use crate::placing::timing::{MovingAverage, millis};
 use crate::placing::warmth::{Belief, WarmthRates};
 
-/// Weight of the newest answer in the work of a route.
+/// Weight of the newest answer in the averages of a route.
 const WORK_WEIGHT: f64 = 0.05;
-/// Work of an object that isn't held at the beginning, as a share of the objective.
+/// Initial work without a cached object, as a share of the objective.
 const INITIAL_COLD_WORK: f64 = 1.2;
-/// Work of a held object at the beginning, as a share of the objective.
+/// Initial work with a cached object, as a share of the objective.
 const INITIAL_WARM_WORK: f64 = 0.36;
-/// Kilobytes of an answer, before any is known.
+/// Initial size of an answer, in kilobytes.
 const INITIAL_ANSWER_KB: f64 = 4.0;
-/// A deadline below this share of the longest seen marks a request that was
-/// refused before: callers subtract what has passed.
+/// A deadline below this share of the longest one seen marks a resubmitted request: callers
+/// subtract the time that has passed.
 const RESUBMIT_DEADLINE_SHARE: f64 = 0.97;
-/// Weight of the newest request in the share of those that were refused before.
+/// Weight of the newest request in the share of resubmitted ones.
 const RESUBMIT_WEIGHT: f64 = 0.03;
-/// Time over which the requests for an object are counted.
+/// Time constant of the request rate of an object.
 const DEMAND_WINDOW: Duration = Duration::from_secs(3);
-/// Objects counted at most.
+/// Maximum number of objects whose request rate is tracked.
 const MAX_TRACKED_OBJECTS: usize = 8192;
 
-/// What is known of the work of one route.
+/// Estimates for one route.
 #[derive(Debug)]
 pub struct RouteWork {
-    /// Where the object is held, in milliseconds.
+    /// Work with a cached object, in milliseconds.
     pub warm: MovingAverage,
-    /// Where it isn't, in milliseconds.
+    /// Work without a cached object, in milliseconds.
     pub cold: MovingAverage,
-    /// How likely each belief in a held object is right.
+    /// How likely each kind of evidence for a cached object is right.
     pub rates: WarmthRates,
     /// Size of an answer, in kilobytes.
     pub answer: MovingAverage,
@@ -42,14 +42,14 @@
     demand: HashMap<u64, (Instant, f64)>,
 }
 
-/// The work of all routes.
+/// Estimates for all routes.
 #[derive(Debug, Default)]
 pub struct RouteWorkTable {
     routes: HashMap<String, RouteWork>,
 }
 
 impl RouteWorkTable {
-    /// What is known of `route`; a first guess if nothing is.
+    /// The estimates for `route`, with initial values if there are none.
     pub fn get_or_insert(&mut self, route: &RouteSpec) -> &mut RouteWork {
         if !self.routes.contains_key(&route.name) {
             let objective = millis(route.objective);
@@ -61,7 +61,7 @@
             .expect("the route was inserted above")
     }
 
-    /// What is known of `route`, if anything.
+    /// The estimates for `route`, if there are any.
     pub fn get(&self, route: &RouteSpec) -> Option<&RouteWork> {
         self.routes.get(&route.name)
     }
@@ -80,8 +80,7 @@
         }
     }
 
-    /// Takes in a caller's deadline; whether it shows a request that was refused
-    /// before.
+    /// Registers a caller's deadline. Returns whether it indicates a resubmitted request.
     pub fn is_resubmitted(&mut self, deadline: Duration) -> bool {
         self.longest_deadline = self.longest_deadline.max(deadline);
         let resubmitted =
@@ -90,7 +89,7 @@
         resubmitted
     }
 
-    /// Share of the latest requests that were refused before, 0 to 1.
+    /// Share of resubmitted requests among the latest ones, 0 to 1.
     pub fn resubmit_share(&self) -> f64 {
         self.resubmitted.value()
     }
@@ -107,7 +106,7 @@
         *at = now;
     }
 
-    /// Requests a second for `object` at this entry.
+    /// Requests per second for `object` at this instance.
     pub fn demand(&self, now: Instant, object: u64) -> f64 {
         let Some((at, count)) = self.demand.get(&object) else {
             return 0.0;
@@ -116,9 +115,10 @@
         count * MovingAverage::decay(age, DEMAND_WINDOW) / DEMAND_WINDOW.as_secs_f64()
     }
 
-    /// Takes in an answer that took `work` ms at a server with a free slot.
+    /// Records an answer that took `work` ms at a server with a free slot.
     pub fn on_answer(&mut self, work: f64, belief: Option<Belief>) {
-        // Nearer to the one or the other, by ratio.
+        // Counts as cached if the time is closer, by ratio, to the warm average than to the
+        // cold one.
         let held = work * work < self.warm.value() * self.cold.value();
         if held {
             self.warm.add(work);
