--- a/crates/place/tests/catalog.rs
+++ b/crates/place/tests/catalog.rs
@@ -21,7 +21,7 @@
 /// Promise: a server that is leaving, or gone while the registry is well, gets
 /// nothing new.
 #[test]
-fn leaving_and_gone_servers_get_nothing() {
+fn draining_and_removed_servers_get_no_requests() {
     let now = Instant::now();
     let mut catalog = ServerCatalog::new(domains());
     catalog.on_read(
@@ -97,7 +97,7 @@
 
 /// Promise: a reading that began before the newest one changes nothing.
 #[test]
-fn an_older_reading_changes_nothing() {
+fn an_older_snapshot_is_ignored() {
     let now = Instant::now();
     let mut catalog = ServerCatalog::new(domains());
     catalog.on_read(now + ms(10), &reading(now + ms(10), &[server("x", "a1")]));
@@ -203,7 +203,7 @@
 /// Promise: a handle to a server that is gone never names its successor, even
 /// where that one takes the same place.
 #[test]
-fn a_handle_outlives_no_server() {
+fn a_handle_is_invalid_after_its_server_is_gone() {
     let now = Instant::now();
     let mut catalog = ServerCatalog::new(domains());
     catalog.on_read(now, &reading(now, &[server("x", "a1")]));
--- a/crates/place/tests/limits.rs
+++ b/crates/place/tests/limits.rs
@@ -197,9 +197,9 @@
 }
 
 /// Plays entries of one region whose requests wish for two regions by turns of a die,
-/// one half each, and gives the part that was sent elsewhere. `told` lets them hear
+/// one half each, and gives the part that was sent elsewhere. `is_shared` lets them hear
 /// what the others sent.
-fn diverted_share(told: bool) -> f64 {
+fn diverted_share(is_shared: bool) -> f64 {
     const ENTRIES: u64 = 6;
     const PAUSE_MS: u64 = 60;
     const TOLD_EVERY_MS: u64 = 80;
@@ -228,7 +228,7 @@
             sent += 1;
             elsewhere += u32::from(!is_free);
         }
-        if told && at % TOLD_EVERY_MS == 0 {
+        if is_shared && at % TOLD_EVERY_MS == 0 {
             let words: Vec<Vec<u32>> = limiters.iter().map(|one| one.sent().to_vec()).collect();
             for (entry, limiter) in limiters.iter_mut().enumerate() {
                 for (peer, word) in words.iter().enumerate().filter(|(peer, _)| *peer != entry) {
--- a/crates/place/tests/load.rs
+++ b/crates/place/tests/load.rs
@@ -15,8 +15,8 @@
         assert!(pause <= Duration::from_millis(334), "{near}: {pause:?}");
         assert!(f64::from(near) / pause.as_secs_f64() <= 85.0, "{near}");
         for far in 0..=110_u32 {
-            let words = (1..).find(|round| is_sent_far(*round, near, far));
-            let pause = pause * words.unwrap();
+            let first_far = (1..).find(|round| is_sent_far(*round, near, far));
+            let pause = pause * first_far.unwrap();
             assert!(
                 pause <= Duration::from_millis(1000),
                 "{near}, {far}: {pause:?}"
--- a/crates/place/tests/near.rs
+++ b/crates/place/tests/near.rs
@@ -22,32 +22,32 @@
 /// Fixed, so that each run gives the same verdict.
 const SEED: u64 = 19;
 /// Ranks of a place within which an object may belong to a server here.
-const RANKS: usize = 6;
+const PREFERRED_RANKS: usize = 6;
 const OBJECT: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// What befell a server.
 #[derive(Debug, Clone, Copy)]
-enum Fate {
+enum ServerSetup {
     Idle,
     Busy(u32),
     Cold,
     Leaving,
     Paused,
-    Holds,
+    HasObject,
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn server_setup() -> impl Strategy<Value = ServerSetup> {
     prop_oneof![
-        4 => Just(Fate::Idle),
-        3 => (1..14u32).prop_map(Fate::Busy),
-        1 => Just(Fate::Cold),
-        1 => Just(Fate::Leaving),
-        1 => Just(Fate::Paused),
-        1 => Just(Fate::Holds),
+        4 => Just(ServerSetup::Idle),
+        3 => (1..14u32).prop_map(ServerSetup::Busy),
+        1 => Just(ServerSetup::Cold),
+        1 => Just(ServerSetup::Leaving),
+        1 => Just(ServerSetup::Paused),
+        1 => Just(ServerSetup::HasObject),
     ]
 }
 
-struct Crowd {
+struct Fixture {
     now: Instant,
     catalog: ServerCatalog,
     warmth: WarmthMap,
@@ -55,16 +55,16 @@
     route: RouteSpec,
 }
 
-impl Crowd {
-    fn new(fates: &[Fate]) -> Self {
+impl Fixture {
+    fn new(setups: &[ServerSetup]) -> Self {
         let now = Instant::now();
         let mut servers: Vec<ServerEntry> = Vec::new();
-        for (number, fate) in fates.iter().enumerate() {
+        for (number, server_setup) in setups.iter().enumerate() {
             let mut entry = server(&format!("s{number}"), ["a1", "a2", "b1"][number % 3]);
-            if let Fate::Leaving = fate {
+            if let ServerSetup::Leaving = server_setup {
                 entry.state = EntryState::Draining;
             }
-            if let Fate::Cold = fate {
+            if let ServerSetup::Cold = server_setup {
                 entry.cold_remaining = ms(3000);
             }
             servers.push(entry);
@@ -72,12 +72,12 @@
         let mut catalog = ServerCatalog::new(common::domains()).with_location("a1", "a");
         catalog.on_read(now, &reading(now, &servers));
         let mut warmth = WarmthMap::default();
-        for (record, fate) in by_number(&mut catalog, fates) {
-            match fate {
-                Fate::Busy(count) => record.in_flight = count,
-                Fate::Paused => record.on_unreachable(now),
-                Fate::Holds => warmth.on_handled(now, record.hash, OBJECT),
-                Fate::Idle | Fate::Cold | Fate::Leaving => {}
+        for (record, server_setup) in by_number(&mut catalog, setups) {
+            match server_setup {
+                ServerSetup::Busy(count) => record.in_flight = count,
+                ServerSetup::Paused => record.on_unreachable(now),
+                ServerSetup::HasObject => warmth.on_handled(now, record.hash, OBJECT),
+                ServerSetup::Idle | ServerSetup::Cold | ServerSetup::Leaving => {}
             }
         }
         let route = route("browse", "/");
@@ -127,11 +127,11 @@
 
 fn by_number<'a>(
     catalog: &'a mut ServerCatalog,
-    fates: &'a [Fate],
-) -> impl Iterator<Item = (&'a mut place::server::ServerRecord, Fate)> {
+    setups: &'a [ServerSetup],
+) -> impl Iterator<Item = (&'a mut place::server::ServerRecord, ServerSetup)> {
     catalog.iter_mut().map(|record| {
         let number: usize = record.entry.id[1..].parse().unwrap();
-        (record, fates[number])
+        (record, setups[number])
     })
 }
 
@@ -145,32 +145,32 @@
         failure_persistence: None,
         ..ProptestConfig::default()
     };
-    let fates = proptest::collection::vec(fate(), 1..160);
+    let setups = proptest::collection::vec(server_setup(), 1..160);
     let mut runner = proptest::test_runner::TestRunner::new(config);
     let compared = std::cell::Cell::new(0);
     runner
-        .run(&fates, |fates| {
-            let mut crowd = Crowd::new(&fates);
-            let route = crowd.route.clone();
+        .run(&setups, |setups| {
+            let mut fixture = Fixture::new(&setups);
+            let route = fixture.route.clone();
             let wanted = request(&route, Some(OBJECT));
             for scope in [RankScope::Region, RankScope::Domain] {
-                let holders = crowd.warmth.holders(OBJECT).to_vec();
+                let holders = fixture.warmth.holders(OBJECT).to_vec();
                 let query = CandidateQuery {
                     service: "board",
                     request: &wanted,
                     object: OBJECT,
                     scope,
-                    preferred_ranks: RANKS,
+                    preferred_ranks: PREFERRED_RANKS,
                     holders: &holders,
                 };
-                let near = top_candidates(crowd.now, &mut crowd.catalog, &query);
-                let all = ranked_candidates(crowd.now, &crowd.catalog, "board", &wanted, scope);
-                let Some(near) = near else {
+                let top = top_candidates(fixture.now, &mut fixture.catalog, &query);
+                let all = ranked_candidates(fixture.now, &fixture.catalog, "board", &wanted, scope);
+                let Some(top) = top else {
                     continue;
                 };
-                if let Some(chosen) = crowd.choose(&near) {
+                if let Some(chosen) = fixture.choose(&top) {
                     compared.set(compared.get() + 1);
-                    prop_assert_eq!(Some(chosen), crowd.choose(&all));
+                    prop_assert_eq!(Some(chosen), fixture.choose(&all));
                 }
             }
             Ok(())
@@ -202,26 +202,26 @@
         .iter()
         .map(|record| short_id(record.hash))
         .collect();
-    let mut looked = 0;
-    for turn in 0..400_u64 {
-        let at = now + ms(20 * turn);
-        let object = (turn % 50).wrapping_mul(OBJECT);
+    let mut examined = 0;
+    for step in 0..400_u64 {
+        let at = now + ms(20 * step);
+        let object = (step % 50).wrapping_mul(OBJECT);
         let update = LoadUpdate {
             load: (0..8)
-                .map(|n| (names[(turn as usize * 31 + n) % names.len()], 1))
+                .map(|n| (names[(step as usize * 31 + n) % names.len()], 1))
                 .collect(),
             ..LoadUpdate::default()
         };
         let before = placer.catalog.records_examined();
-        placer.on_peer_load(at, turn % 9, update);
+        placer.on_peer_load(at, step % 9, update);
         let wanted = request(&browse, Some(object));
         placer.on_request(at, &browse, Some(object), Some(ms(1000)));
         let placement = placer.place(at, &wanted).unwrap();
         let good = ServerOutcome::Answered { good: true };
         placer.on_outcome(at + ms(10), &placement, &wanted, good, None);
-        looked += placer.catalog.records_examined() - before;
+        examined += placer.catalog.records_examined() - before;
     }
-    looked / 400
+    examined / 400
 }
 
 /// Promise: a request looks at as many servers whether there are 1,000 of its service or
--- a/crates/place/tests/placer.rs
+++ b/crates/place/tests/placer.rs
@@ -12,7 +12,7 @@
 
 const GOOD: ServerOutcome = ServerOutcome::Answered { good: true };
 
-fn four() -> Vec<ServerEntry> {
+fn four_servers() -> Vec<ServerEntry> {
     vec![
         server("p", "a1"),
         server("q", "a1"),
@@ -24,9 +24,9 @@
 /// Promise: requests for an object keep meeting the same server, and other
 /// objects meet others.
 #[test]
-fn an_object_keeps_its_server() {
+fn requests_for_an_object_use_the_same_server() {
     let now = Instant::now();
-    let mut placer = placer(now, &four());
+    let mut placer = placer(now, &four_servers());
     let browse = route("browse", "/");
     let mut servers = std::collections::HashSet::new();
     for object in 0..20u64 {
@@ -46,9 +46,9 @@
 
 /// Promise: a server that rejects requests as full is spared while it is.
 #[test]
-fn a_full_server_is_spared() {
+fn a_full_server_gets_no_requests() {
     let now = Instant::now();
-    let mut placer = placer(now, &four());
+    let mut placer = placer(now, &four_servers());
     let browse = route("browse", "/");
     let wanted = request(&browse, Some(7));
     let placement = placer.place(now, &wanted).unwrap();
@@ -75,7 +75,7 @@
 /// Promise: a request that can't be answered in time is refused at once, with a
 /// time to come back that a caller can keep.
 #[test]
-fn what_can_not_be_in_time_is_refused_at_once() {
+fn late_requests_are_refused_at_once() {
     let now = Instant::now();
     let mut placer = placer(now, &[server("p", "a1")]);
     let browse = route("browse", "/");
@@ -97,7 +97,7 @@
 #[test]
 fn home_regions_bind() {
     let now = Instant::now();
-    let mut placer = placer(now, &four());
+    let mut placer = placer(now, &four_servers());
     let mut bound = route("browse", "/");
     bound.home_regions = vec!["b".to_owned()];
     for turn in 0..50u64 {
@@ -114,7 +114,7 @@
 
 /// Promise: a cold server gets no more than its rate, also while others are full.
 #[test]
-fn a_cold_server_gets_its_rate() {
+fn a_cold_server_gets_at_most_its_rate() {
     let now = Instant::now();
     let mut cold = server("p", "a1");
     cold.cold_remaining = Duration::from_secs(30);
@@ -249,7 +249,7 @@
 
 /// Promise: after a server is replaced, only its own objects move.
 #[test]
-fn a_replacement_moves_few_objects() {
+fn a_replacement_moves_only_its_own_objects() {
     let now = Instant::now();
     let names: Vec<String> = (0..10).map(|n| format!("p{n}")).collect();
     let servers: Vec<ServerEntry> = names.iter().map(|id| server(id, "a1")).collect();
@@ -282,7 +282,7 @@
 /// Promise: requests that concern no object, or whose route holds none, spread over
 /// all servers as these fill.
 #[test]
-fn requests_without_an_object_spread() {
+fn requests_without_affinity_are_spread() {
     let now = Instant::now();
     let servers: Vec<ServerEntry> = ["p", "q", "r"].map(|id| server(id, "a1")).to_vec();
     let held = route("browse", "/");
@@ -349,9 +349,9 @@
     let mut at = now;
     for step in 0..40 {
         at = now + ms(100 + 80 * step);
-        let mut told = update(vec![(name(&first.id), 10), (name(other), 2)]);
-        told.handled = vec![(name(other), short_id(7))];
-        placer.on_peer_load(at, 5, told);
+        let mut update_of_peer = update(vec![(name(&first.id), 10), (name(other), 2)]);
+        update_of_peer.handled = vec![(name(other), short_id(7))];
+        placer.on_peer_load(at, 5, update_of_peer);
         placer.own_load(at);
     }
     assert_eq!(placer.place(at + ms(1), &wanted).unwrap().id, other);
--- a/crates/place/tests/trip.rs
+++ b/crates/place/tests/trip.rs
@@ -11,11 +11,11 @@
 /// Promise: an estimate follows the network wherever it stands, and neither queues nor
 /// lost packets make it much longer.
 #[test]
-fn trips_are_learned_and_outliers_are_not() {
+fn round_trips_are_learned_despite_outliers() {
     for true_trip in [0.4, 40.0, 190.0] {
         let mut trips = RoundTripEstimator::new("a1", "a");
-        for turn in 0..400 {
-            let took = match turn % 20 {
+        for step in 0..400 {
+            let took = match step % 20 {
                 7 => true_trip * 3.0,
                 13 => true_trip + 1000.0,
                 _ => true_trip,
@@ -37,12 +37,12 @@
 /// after the way and the usual work makes the server neither slow nor fast, and one that
 /// joins later is known to be as far.
 #[test]
-fn the_way_is_not_taken_for_work() {
+fn round_trips_do_not_count_as_work() {
     let now = Instant::now();
     let mut placer = placer(now, &[server("x", "b1")]);
     let board = route("browse", "/");
-    for turn in 0..60 {
-        let at = now + ms(turn * 500);
+    for step in 0..60 {
+        let at = now + ms(step * 500);
         let request = request(&board, Some(1));
         let placement = placer.place(at, &request).unwrap();
         let record = placer.catalog.get(placement.handle).unwrap();
