--- a/crates/place/src/placing/trip.rs
+++ b/crates/place/src/placing/trip.rs
@@ -8,8 +8,8 @@
 /// Initial round trip to another failure domain of the same region, in milliseconds: the
 /// domains of a region are a few kilometres apart.
 const INITIAL_SAME_REGION_MS: f64 = 3.0;
-/// Initial round trip to another region, in milliseconds: regions are in the same country or a
-/// neighbouring one.
+/// Initial round trip to another region, in milliseconds: the regions lie in one or two
+/// countries.
 const INITIAL_OTHER_REGION_MS: f64 = 72.0;
 /// Weight of a sample below the estimate.
 const FALL_WEIGHT: f64 = 0.3;
--- a/crates/place/tests/catalog.rs
+++ b/crates/place/tests/catalog.rs
@@ -1,4 +1,4 @@
-//! Which servers may get requests, by the registry's word and its age.
+//! Tests of which servers may get requests, given what the registry lists and how old that is.
 
 mod common;
 
@@ -18,8 +18,7 @@
     ids
 }
 
-/// Promise: a server that is leaving, or gone while the registry is well, gets
-/// nothing new.
+/// A draining server, or one that was removed while the registry works, gets no new requests.
 #[test]
 fn draining_and_removed_servers_get_no_requests() {
     let now = Instant::now();
@@ -39,8 +38,8 @@
     assert_eq!(open(&catalog), ["x"]);
 }
 
-/// Promise: a heartbeat that was written before the server began to leave, and
-/// is read after it, does not bring the server back.
+/// A heartbeat written before the server started draining, and read after it, does not make the
+/// server ready again.
 #[test]
 fn an_old_heartbeat_brings_no_server_back() {
     let now = Instant::now();
@@ -58,8 +57,8 @@
     }
 }
 
-/// Promise: entries that lapsed while the registry was away keep their servers in
-/// use until it has been back for two seconds; what is missing then is gone.
+/// Servers whose rows lapsed during a registry outage stay in use until the registry has been
+/// back for two seconds. Those that are still missing then are removed.
 #[test]
 fn lapsed_entries_are_kept_until_the_registry_has_heard_from_all() {
     let now = Instant::now();
@@ -68,18 +67,26 @@
     catalog.on_read_failed(now + ms(100));
     let back = now + Duration::from_secs(5);
     catalog.on_read(back, &reading(back, &[]));
-    assert_eq!(open(&catalog), ["x", "y"], "lapsed, not gone");
+    assert_eq!(
+        open(&catalog),
+        ["x", "y"],
+        "servers with lapsed rows must be kept"
+    );
     let soon = back + ms(1500);
     catalog.on_read(soon, &reading(soon, &[server("x", "a1")]));
     assert_eq!(open(&catalog), ["x", "y"]);
     let settled = back + ms(2300);
     catalog.on_read(settled, &reading(settled, &[server("x", "a1")]));
-    assert_eq!(open(&catalog), ["x"], "still missing: gone");
+    assert_eq!(
+        open(&catalog),
+        ["x"],
+        "a server that is still missing must be removed"
+    );
 }
 
-/// Promise: a disturbance that only this entry met is over once another one's reading is
-/// told: a server that leaves later is gone at once, as for everybody. What lapsed at the
-/// time is still kept for two seconds.
+/// An outage that only this instance saw ends when another instance reports a snapshot: a
+/// server that leaves later is removed at once. Rows that disappeared during the outage are
+/// still kept for two seconds.
 #[test]
 fn another_entrys_reading_ends_a_disturbance() {
     let now = Instant::now();
@@ -95,7 +102,7 @@
     }
 }
 
-/// Promise: a reading that began before the newest one changes nothing.
+/// A snapshot that began before the newest one is ignored.
 #[test]
 fn an_older_snapshot_is_ignored() {
     let now = Instant::now();
@@ -105,8 +112,8 @@
     assert_eq!(open(&catalog), ["x"]);
 }
 
-/// Promise: a choice stands until the server leaves, is gone, starts again, or is closed by a
-/// foreign row or an evacuation; that others can't reach it changes nothing.
+/// A placement stays valid until its server drains, is removed, restarts, or is closed by a
+/// foreign row or an evacuation. A server that other requests could not reach stays valid.
 #[test]
 fn a_choice_stands_until_its_server_is_closed() {
     let now = Instant::now();
@@ -140,8 +147,8 @@
     }
 }
 
-/// Promise: a version that the store never had, as after a damaged message, keeps no answer
-/// of the store out.
+/// A version that the store never had, such as from a damaged message, does not block later
+/// snapshots.
 #[test]
 fn a_version_that_the_store_never_had_keeps_nothing_out() {
     let now = Instant::now();
@@ -159,8 +166,8 @@
     assert_eq!(open(&catalog), ["x"]);
 }
 
-/// Promise: an answer that the store held back until something changed counts, though another
-/// entry's reading began and ended while it waited.
+/// The answer to a long poll counts, although another instance's read began and ended during
+/// the poll.
 #[test]
 fn an_answer_that_waited_counts_for_what_it_holds() {
     let now = Instant::now();
@@ -176,8 +183,8 @@
     assert_eq!(open(&catalog), ["x"]);
 }
 
-/// Promise: nothing goes to an evacuated failure domain, and its servers count as
-/// cold for a warm-up after it is taken back.
+/// An evacuated failure domain gets no requests. When the evacuation ends, its servers count as
+/// cold for the warm-up time.
 #[test]
 fn an_evacuated_domain_gets_nothing_and_returns_cold() {
     let now = Instant::now();
@@ -200,8 +207,8 @@
     assert_eq!(cold(back + ms(3100)), [false, false]);
 }
 
-/// Promise: a handle to a server that is gone never names its successor, even
-/// where that one takes the same place.
+/// A handle of a removed server never refers to its successor, even if that one uses the same
+/// record index.
 #[test]
 fn a_handle_is_invalid_after_its_server_is_gone() {
     let now = Instant::now();
--- a/crates/place/tests/limits.rs
+++ b/crates/place/tests/limits.rs
@@ -1,4 +1,5 @@
-//! Bounds that all entries hold together: repeats, cold rates, shifts.
+//! Tests of the limits that all instances share: retries, cold rates and shifts between
+//! regions.
 
 mod common;
 
@@ -13,7 +14,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Fixed, so that each run gives the same verdict.
+/// Fixed, so that every run tests the same cases.
 const SEED: u64 = 7;
 
 proptest! {
@@ -24,8 +25,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Promise: whatever each entry wants, all repeats of a window stay within the
-    /// platform's ratio and slack, as long as each knows how many they are.
+    /// All retries of a window stay within the platform's ratio and slack, whatever each
+    /// instance tries, if each one knows the number of instances.
     #[test]
     fn repeats_stay_within_the_budget(
         entries in 1usize..12,
@@ -65,8 +66,8 @@
         }
     }
 
-    /// Promise: all entries together send a cold server no more than its rate in
-    /// any second, though they don't talk, and though some don't know of all.
+    /// All instances together send a cold server at most its rate in any second, without
+    /// communication and even if some don't know all others.
     #[test]
     fn cold_servers_get_their_rate_from_all_entries_together(
         entries in 1usize..90,
@@ -95,17 +96,17 @@
             while sent.front().is_some_and(|at| now - *at >= Duration::from_secs(1)) {
                 sent.pop_front();
             }
-            // What the platform bears beyond the rate covers entries that don't
-            // know of each other.
+            // The platform's tolerance above the rate covers instances that don't know each
+            // other.
             let most = if unknown == 0 { 1.15 * rate } else { 1.5 * rate + 5.0 };
-            prop_assert!(sent.len() as f64 <= most, "{} in a second, {rate} allowed", sent.len());
+            prop_assert!(sent.len() as f64 <= most, "{} requests in a second, {rate} allowed", sent.len());
         }
     }
 }
 
-/// Promise: no more than the cap of a region's requests change the region in which
-/// they run from one window to the next, wherever the windows begin, however hard
-/// the load pushes: out, from one other region to another, and back.
+/// At most the cap's share of a region's requests changes its region from one window to the
+/// next, for windows that begin at any time, while the load pushes to another region, to a
+/// third one, and back.
 #[test]
 fn shift_cap_holds_when_a_region_fills_and_empties() {
     const CAP: f64 = 0.15;
@@ -139,10 +140,16 @@
     };
     assert!(
         share(24 * PER_WINDOW, "b") > 0.8,
-        "it must get there in the end"
+        "the load must reach region b"
+    );
+    assert!(
+        share(44 * PER_WINDOW, "c") > 0.8,
+        "the load must reach region c"
+    );
+    assert!(
+        share(78 * PER_WINDOW, "a") > 0.9,
+        "the load must return to region a"
     );
-    assert!(share(44 * PER_WINDOW, "c") > 0.8, "and elsewhere");
-    assert!(share(78 * PER_WINDOW, "a") > 0.9, "and back");
     for from in 0..sent.len() - 2 * PER_WINDOW {
         let change: f64 = REGIONS
             .iter()
@@ -152,9 +159,9 @@
     }
 }
 
-/// Promise: the shift cap holds from the first window to the second over all entries of
-/// a region, though their first requests come at different moments and caches that
-/// are empty send many requests elsewhere before the first window is over.
+/// The shift cap holds from the first window to the second over all instances of a region. The
+/// failure: their first requests come at different times, and empty caches send many requests
+/// to other regions before the first window is over.
 #[test]
 fn shift_cap_holds_from_the_first_window_on() {
     const CAP: f64 = 0.15;
@@ -172,7 +179,7 @@
         let mut at = first;
         while at < 4 * WINDOW_MS {
             let now = start + ms(at);
-            // Most of them, once servers are full of work that fills their caches.
+            // Most requests, once the servers are busy filling their caches.
             let away = at >= 1400 && stable_hash(&[entry as u8, request as u8]) % 100 < 70;
             let wanted = if away { "b" } else { "a" };
             limiter.advance(now);
@@ -193,12 +200,15 @@
         let change = (share(pair[1]) - share(pair[0])).abs();
         assert!(change <= CAP, "{change} of {windows:?}");
     }
-    assert!(share(windows[3]) > 0.35, "it gets there: {windows:?}");
+    assert!(
+        share(windows[3]) > 0.35,
+        "requests must reach region b: {windows:?}"
+    );
 }
 
-/// Plays entries of one region whose requests wish for two regions by turns of a die,
-/// one half each, and gives the part that was sent elsewhere. `is_shared` lets them hear
-/// what the others sent.
+/// Simulates instances of one region whose requests choose one of two regions at random, and
+/// returns the share that was sent to the other one. With `is_shared` the instances report
+/// their counts to each other.
 fn diverted_share(is_shared: bool) -> f64 {
     const ENTRIES: u64 = 6;
     const PAUSE_MS: u64 = 60;
@@ -245,10 +255,9 @@
     f64::from(elsewhere) / f64::from(sent)
 }
 
-/// Pattern: servers are spread unevenly, so that a part of a region's requests runs
-/// elsewhere all the time. Entries that know what the others sent let chance have its
-/// way within the cap; each for itself sends a tenth of all requests away from the
-/// server that was chosen.
+/// Servers are spread unevenly, so that a part of a region's requests always runs elsewhere.
+/// Instances that know each other's counts allow random variation within the cap; without them,
+/// each diverts a tenth of all requests from the chosen server.
 #[test]
 fn steady_shares_divert_few_requests() {
     let (alone, together) = (diverted_share(false), diverted_share(true));
--- a/crates/place/tests/load.rs
+++ b/crates/place/tests/load.rs
@@ -1,13 +1,13 @@
-//! How often entries tell each other their load.
+//! Tests of the intervals between load updates.
 
 use std::time::Duration;
 
 use place::placing::load::{is_sent_far, load_interval};
 
-/// Promise: in a region of up to 28 entries each hears the load of each other three times
-/// a second, up to 110 of other regions hear it once a second, in a fleet of nine with
-/// every word, and nobody sends more than 85 words a second within its region and 170 to
-/// others.
+/// In a region of up to 28 instances each gets the load of the others three times per second.
+/// Up to 110 instances of other regions get it once per second, and with every update in a
+/// fleet of nine. No instance sends more than 85 updates per second within its region and 170
+/// to others.
 #[test]
 fn words_on_load_are_fresh_where_they_count() {
     for near in 0..=27_u32 {
--- a/crates/place/tests/near.rs
+++ b/crates/place/tests/near.rs
@@ -1,5 +1,5 @@
-//! The choice of a server among many: the same as from a look at all of them, at a cost that
-//! doesn't grow with them.
+//! Server selection with many servers: it makes the same choice as an evaluation of all
+//! servers, at a cost that doesn't grow with their number.
 
 mod common;
 
@@ -19,13 +19,13 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Fixed, so that each run gives the same verdict.
+/// Fixed, so that every run tests the same cases.
 const SEED: u64 = 19;
-/// Ranks of a place within which an object may belong to a server here.
+/// Number of ranks per locality that may be preferred in these tests.
 const PREFERRED_RANKS: usize = 6;
 const OBJECT: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// What befell a server.
+/// State that a server is set up with.
 #[derive(Debug, Clone, Copy)]
 enum ServerSetup {
     Idle,
@@ -135,8 +135,8 @@
     })
 }
 
-/// Promise: where the servers near an object have room, the choice among them is the one that a
-/// look at all servers makes.
+/// If the top servers of an object have capacity, the choice among them is the same as among
+/// all servers.
 #[test]
 fn the_nearest_are_as_good_as_all() {
     let config = ProptestConfig {
@@ -180,7 +180,7 @@
     assert!(compared > 300, "only {compared} choices were compared");
 }
 
-/// A placer that knows `count` servers, of which others spoke.
+/// A placer that knows `count` servers.
 fn large_placer(now: Instant, count: usize) -> RequestPlacer {
     let servers: Vec<ServerEntry> = (0..count)
         .map(|number| server(&format!("s{number}"), ["a1", "a2", "b1"][number % 3]))
@@ -191,8 +191,8 @@
     placer
 }
 
-/// Records that are looked at for a request and the words between two, where each entry has
-/// ten servers.
+/// Average number of records read for a request and a load update, with ten servers per
+/// instance.
 fn records_examined(entries: usize) -> u64 {
     let now = Instant::now();
     let mut placer = large_placer(now, entries * 10);
@@ -224,8 +224,7 @@
     examined / 400
 }
 
-/// Promise: a request looks at as many servers whether there are 1,000 of its service or
-/// 20,000.
+/// A request reads as many records with 1,000 servers of its service as with 20,000.
 #[test]
 fn a_choice_costs_the_same_at_any_size() {
     let costs: HashMap<usize, u64> = [100, 300, 1000, 2000]
@@ -237,8 +236,8 @@
     assert!(*most <= 150, "{costs:?}");
 }
 
-/// Promise: a request that is turned away costs the same at any size, and is told when its own
-/// servers have room.
+/// A refusal costs the same with any number of servers, and has a retry delay based on the
+/// preferred servers.
 #[test]
 fn a_refusal_costs_the_same_at_any_size() {
     let mut costs = Vec::new();
@@ -250,7 +249,7 @@
         let mut placed = 0;
         while placer.place(now, &wanted).is_ok() {
             placed += 1;
-            assert!(placed < 1000, "nobody is turned away");
+            assert!(placed < 1000, "no request is refused");
         }
         let before = placer.catalog.records_examined();
         let refusal = placer.place(now, &wanted).unwrap_err();
@@ -261,7 +260,7 @@
     assert!(costs.iter().all(|cost| *cost <= 150), "{costs:?}");
 }
 
-/// Promise: at a start, when all servers are cold, a request looks at few of them as well.
+/// At a cold start, when all servers are cold, a request also reads few records.
 #[test]
 fn a_cold_start_costs_the_same_at_any_size() {
     let mut costs = Vec::new();
--- a/crates/place/tests/placer.rs
+++ b/crates/place/tests/placer.rs
@@ -1,4 +1,4 @@
-//! The choice of a server.
+//! Tests of server selection.
 
 mod common;
 
@@ -21,8 +21,8 @@
     ]
 }
 
-/// Promise: requests for an object keep meeting the same server, and other
-/// objects meet others.
+/// Requests for an object go to the same server each time, and different objects use different
+/// servers.
 #[test]
 fn requests_for_an_object_use_the_same_server() {
     let now = Instant::now();
@@ -44,7 +44,7 @@
     assert!(servers.len() >= 3, "{servers:?}");
 }
 
-/// Promise: a server that rejects requests as full is spared while it is.
+/// A server that rejects requests as full gets no more until it has capacity again.
 #[test]
 fn a_full_server_gets_no_requests() {
     let now = Instant::now();
@@ -57,8 +57,7 @@
     assert_ne!(next.id, placement.id);
 }
 
-/// Promise: a server that can't be reached is left alone, and found again when
-/// it is back.
+/// An unreachable server is paused, and used again after the pause.
 #[test]
 fn an_unreachable_server_is_left_alone_and_found_again() {
     let now = Instant::now();
@@ -72,8 +71,8 @@
     assert!(placer.place(now + ms(700), &wanted).is_ok());
 }
 
-/// Promise: a request that can't be answered in time is refused at once, with a
-/// time to come back that a caller can keep.
+/// A request that can't be answered in time is refused at once, with a retry delay that a
+/// caller can keep.
 #[test]
 fn late_requests_are_refused_at_once() {
     let now = Instant::now();
@@ -92,8 +91,7 @@
     assert!(refusal.retry_after <= ms(1000), "{refusal:?}");
 }
 
-/// Promise: a route with home regions never leaves them, even where nothing else
-/// is there.
+/// A route with home regions never leaves them, even if no server is available there.
 #[test]
 fn home_regions_bind() {
     let now = Instant::now();
@@ -112,7 +110,7 @@
     assert_eq!(refusal.reason, RefusalReason::NoServer);
 }
 
-/// Promise: a cold server gets no more than its rate, also while others are full.
+/// A cold server gets at most its rate, even if there is no other server.
 #[test]
 fn a_cold_server_gets_at_most_its_rate() {
     let now = Instant::now();
@@ -131,11 +129,11 @@
     }
     assert!(
         (5..=10).contains(&sent),
-        "{sent} in ten seconds by one entry"
+        "{sent} requests in ten seconds from one instance"
     );
 }
 
-/// A word of an entry of another region.
+/// An update of an instance of another region.
 fn update(load: Vec<(u32, u16)>) -> LoadUpdate {
     LoadUpdate {
         load,
@@ -144,7 +142,7 @@
     }
 }
 
-/// Promise: what other entries have at a server counts as if it were one's own.
+/// Requests of other instances count towards a server's load like own ones.
 #[test]
 fn other_entries_requests_count() {
     let now = Instant::now();
@@ -163,7 +161,8 @@
     assert!(placer.place(now + ms(4), &wanted).is_ok());
 }
 
-/// Promise: an entry that died with requests at servers doesn't block them for good.
+/// An instance that died with requests at a server must not block that server: its load
+/// expires.
 #[test]
 fn a_dead_entrys_requests_are_forgotten() {
     let now = Instant::now();
@@ -178,8 +177,8 @@
     assert!(placer.place(now + ms(2001), &wanted).is_ok());
 }
 
-/// Promise: the requests of entries that died don't block servers for the last one,
-/// which hears from nobody.
+/// The load of dead instances also expires at the last instance, which receives no updates that
+/// could trigger it.
 #[test]
 fn the_last_entry_forgets_the_others_requests() {
     let now = Instant::now();
@@ -194,7 +193,7 @@
     assert!(placer.place(now + ms(1600), &wanted).is_ok());
 }
 
-/// Promise: a newer word counts within 60 ms where 5,900 entries are heard.
+/// An update takes effect within 60 ms among updates of 5,900 instances.
 #[test]
 fn a_word_among_many_counts_soon() {
     let now = Instant::now();
@@ -212,8 +211,8 @@
     assert!(placer.place(now + ms(61), &wanted).is_err());
 }
 
-/// Promise: an object that alone keeps more than a server busy gets a second one,
-/// though the others are in use for other objects.
+/// An object that keeps more than one server busy gets a second one, even if the others are in
+/// use for other objects.
 #[test]
 fn a_hot_object_gets_more_servers() {
     let now = Instant::now();
@@ -237,7 +236,7 @@
         placer.on_peer_load(at, 5, update(busy.clone()));
         placer.on_request(at, &browse, Some(7), Some(ms(3000)));
         if let Ok(placement) = placer.place(at, &wanted) {
-            // Before, the other servers' load was not yet known.
+            // In the first turns the load of the other servers is not known yet.
             if turn > 200 {
                 served.insert(placement.id.clone());
             }
@@ -247,7 +246,7 @@
     assert!(served.len() >= 2, "{served:?}");
 }
 
-/// Promise: after a server is replaced, only its own objects move.
+/// Replacing a server moves only the objects of that server.
 #[test]
 fn a_replacement_moves_only_its_own_objects() {
     let now = Instant::now();
@@ -276,11 +275,11 @@
         .zip(&after)
         .filter(|(old, new)| old != new && *old != "p3" && *new != "new")
         .count();
-    assert_eq!(moved, 0, "objects of servers that stayed must stay");
+    assert_eq!(moved, 0, "objects of the other servers must not move");
 }
 
-/// Promise: requests that concern no object, or whose route holds none, spread over
-/// all servers as these fill.
+/// Requests without an object, or of a route without affinity, spread over all servers as these
+/// fill up.
 #[test]
 fn requests_without_affinity_are_spread() {
     let now = Instant::now();
@@ -300,9 +299,8 @@
     }
 }
 
-/// Pattern: answers of 90 kB beside small ones. Large ones come from the own failure
-/// domain, whatever server of the region is first for the object; small ones from
-/// where the object is held.
+/// Answers of 90 kB come from the own failure domain, whichever server of the region has the
+/// highest rank for the object. Small answers come from the object's preferred server.
 #[test]
 fn large_answers_come_from_the_own_domain() {
     let now = Instant::now();
@@ -333,8 +331,8 @@
     assert!((10..=30).contains(&own), "{own} of {}", small.len());
 }
 
-/// Pattern: a hot object under load. A server that is told to hold it takes it, though
-/// the object belongs to busier ones.
+/// If the preferred server of a hot object is busier, the object goes to a server that is
+/// reported to have it cached.
 #[test]
 fn a_holder_takes_the_object() {
     let now = Instant::now();
@@ -357,8 +355,8 @@
     assert_eq!(placer.place(at + ms(1), &wanted).unwrap().id, other);
 }
 
-/// Pattern: the server of an object is full, and there is no other region. A second
-/// server takes the object, though neither is known to hold it.
+/// If the preferred server is full and there is no other region, a second server takes the
+/// object, although neither is known to have it cached.
 #[test]
 fn an_object_has_two_servers_where_there_is_one_region() {
     let now = Instant::now();
--- a/crates/place/tests/trip.rs
+++ b/crates/place/tests/trip.rs
@@ -1,4 +1,4 @@
-//! How the way to servers is learned.
+//! Tests of the round trip estimates.
 
 mod common;
 
@@ -8,8 +8,8 @@
 use place::placing::trip::RoundTripEstimator;
 use place::prelude::*;
 
-/// Promise: an estimate follows the network wherever it stands, and neither queues nor
-/// lost packets make it much longer.
+/// An estimate converges to the round trip from any initial value, and neither queues nor lost
+/// packets raise it much.
 #[test]
 fn round_trips_are_learned_despite_outliers() {
     for true_trip in [0.4, 40.0, 190.0] {
@@ -33,9 +33,9 @@
     assert!(trips.trip("a2", "a") < trips.trip("b1", "b"));
 }
 
-/// Promise: work at a far server is told from the way there, whatever that is: an answer
-/// after the way and the usual work makes the server neither slow nor fast, and one that
-/// joins later is known to be as far.
+/// The round trip to a distant server does not count as work: an answer after the round trip
+/// and the usual work leaves the server's speed unchanged. A server that joins the failure
+/// domain later gets the same estimate.
 #[test]
 fn round_trips_do_not_count_as_work() {
     let now = Instant::now();
