--- a/bin/lh-entry/src/words.rs
+++ b/bin/lh-entry/src/words.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use place::fleet::message::{LoadBeat, PeerMessage};
-use place::placing::load::{LoadUpdate, is_sent_far, load_interval};
+use place::placing::load::{LoadUpdate, is_sent_to_other_regions, load_interval};
 use place::rank::stable_hash;
 use team::quota::QuotaWord;
 use tokio::net::UdpSocket;
@@ -69,7 +69,7 @@
         .round
         .replace_with(|round| round.wrapping_add(1));
     let count = near.len() as u32;
-    if !is_sent_far(round, count, far.len() as u32) {
+    if !is_sent_to_other_regions(round, count, far.len() as u32) {
         far.clear();
     }
     let now = Instant::now();
--- a/crates/emulate/src/quota/world.rs
+++ b/crates/emulate/src/quota/world.rs
@@ -4,7 +4,7 @@
 use std::collections::BinaryHeap;
 use std::time::Instant;
 
-use place::placing::load::{is_sent_far, load_interval};
+use place::placing::load::{is_sent_to_other_regions, load_interval};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use team::spec::{TeamQuota, TeamSpec};
@@ -249,7 +249,7 @@
         let near = self.play.entries.div_ceil(REGIONS).saturating_sub(1) as u32;
         let far = self.play.entries as u32 - near - 1;
         let (word, bytes) = self.entries[entry].word(now);
-        let tells_far = is_sent_far(round, near, far);
+        let tells_far = is_sent_to_other_regions(round, near, far);
         self.words.push(word);
         let index = self.words.len() - 1;
         for to in 0..self.play.entries {
--- a/crates/place/src/catalog/index.rs
+++ b/crates/place/src/catalog/index.rs
@@ -129,14 +129,19 @@
 #[derive(Debug, Clone, Default)]
 struct TopServersBuilder {
     top: Vec<(u64, usize)>,
-    seen: usize,
+    offered: usize,
 }
 
 impl TopServersBuilder {
     fn offer(&mut self, weight: u64, record_index: usize) {
-        self.seen += 1;
+        self.offered += 1;
         let is_full = self.top.len() >= TOP_SERVERS;
-        if is_full && self.top.last().is_some_and(|(least, _)| weight <= *least) {
+        if is_full
+            && self
+                .top
+                .last()
+                .is_some_and(|(lowest_weight, _)| weight <= *lowest_weight)
+        {
             return;
         }
         let at = self.top.partition_point(|(other, _)| *other > weight);
@@ -146,7 +151,7 @@
 
     fn finish(self) -> TopServers {
         TopServers {
-            is_all: self.seen == self.top.len(),
+            is_all: self.offered == self.top.len(),
             record_indexes: self
                 .top
                 .into_iter()
--- a/crates/place/src/catalog/mod.rs
+++ b/crates/place/src/catalog/mod.rs
@@ -285,9 +285,9 @@
         index.map_or(1, ServiceIndex::min_slots)
     }
 
-    /// Indexes of the records with the short id `name`.
-    pub(crate) fn indexes_by_short_id(&self, name: u32) -> impl Iterator<Item = usize> {
-        self.table.indexes_by_short_id(name)
+    /// Indexes of the records with the short id `short_id`.
+    pub(crate) fn indexes_by_short_id(&self, short_id: u32) -> impl Iterator<Item = usize> {
+        self.table.indexes_by_short_id(short_id)
     }
 
     /// The record at `record_index`, mutable.
--- a/crates/place/src/catalog/outage.rs
+++ b/crates/place/src/catalog/outage.rs
@@ -87,8 +87,8 @@
     /// meanwhile. Without this bound each failed call restarted the wait, and a row that had
     /// been dropped for good was kept for as long as calls failed occasionally.
     pub(super) fn removal_time(&self, row: VanishedRow) -> Instant {
-        let unread = row.missing_since.saturating_duration_since(row.listed_at);
-        if unread < MIN_LAPSE_TIME {
+        let unread_time = row.missing_since.saturating_duration_since(row.listed_at);
+        if unread_time < MIN_LAPSE_TIME {
             row.listed_at + self.relist_time
         } else {
             row.missing_since + self.relist_time
@@ -98,8 +98,8 @@
     /// When all live servers are listed again, if the registry recovered between a failed call
     /// and an answered one.
     fn settle_time(&self, failed_at: Instant, answered_at: Instant) -> Instant {
-        let between = answered_at.saturating_duration_since(failed_at);
-        answered_at - (between / 2).min(MAX_RETURN_OFFSET) + self.relist_time
+        let gap = answered_at.saturating_duration_since(failed_at);
+        answered_at - (gap / 2).min(MAX_RETURN_OFFSET) + self.relist_time
     }
 }
 
--- a/crates/place/src/catalog/table.rs
+++ b/crates/place/src/catalog/table.rs
@@ -145,9 +145,9 @@
         self.by_service.get_mut(service)
     }
 
-    /// Indexes of the records with the short id `name`.
-    pub(super) fn indexes_by_short_id(&self, name: u32) -> impl Iterator<Item = usize> {
-        let range = self.by_short_id.range((name, 0)..=(name, usize::MAX));
+    /// Indexes of the records with the short id `id`.
+    pub(super) fn indexes_by_short_id(&self, id: u32) -> impl Iterator<Item = usize> {
+        let range = self.by_short_id.range((id, 0)..=(id, usize::MAX));
         range.map(|(_, record_index)| *record_index)
     }
 
--- a/crates/place/src/catalog/update.rs
+++ b/crates/place/src/catalog/update.rs
@@ -137,8 +137,8 @@
             let Some(record) = self.table.by_id(&departure.id) else {
                 continue;
             };
-            let again = listed.get(departure.id.as_str());
-            let is_back = again.is_some_and(|entry| {
+            let relisted = listed.get(departure.id.as_str());
+            let is_back = relisted.is_some_and(|entry| {
                 entry.is_same_run(&record.entry) && !self.departures.refuses(now, entry)
             });
             if !is_back {
@@ -155,9 +155,9 @@
         changes: &mut Vec<CatalogChange>,
     ) {
         let current = self.table.iter().map(|record| &record.entry.id);
-        let others = current.filter(|id| !listed.contains(id.as_str()));
-        let others: Vec<String> = others.cloned().collect();
-        for id in others {
+        let unlisted = current.filter(|id| !listed.contains(id.as_str()));
+        let unlisted: Vec<String> = unlisted.cloned().collect();
+        for id in unlisted {
             self.table.remove(&id);
             changes.push(CatalogChange::Gone(id));
         }
--- a/crates/place/src/limits/refusal.rs
+++ b/crates/place/src/limits/refusal.rs
@@ -25,12 +25,12 @@
     /// A refusal for `reason` if capacity is expected in `available_in` seconds.
     pub fn refusal(&mut self, reason: RefusalReason, available_in: Option<f64>) -> Refusal {
         let jitter = self.random_fraction();
-        let (least, most) = RETRY_AFTER_RANGE;
+        let (min_delay, max_delay) = RETRY_AFTER_RANGE;
         let wait = available_in.unwrap_or(DEFAULT_WAIT);
-        let seconds = (wait + least * jitter).max(least) * (1.0 + jitter);
+        let seconds = (wait + min_delay * jitter).max(min_delay) * (1.0 + jitter);
         Refusal {
             reason,
-            retry_after: Duration::from_secs_f64(seconds.min(most)),
+            retry_after: Duration::from_secs_f64(seconds.min(max_delay)),
         }
     }
 
--- a/crates/place/src/placing/candidates.rs
+++ b/crates/place/src/placing/candidates.rs
@@ -77,8 +77,8 @@
         ranked.localities += usize::from(!found.is_empty());
         ranked.candidates.extend(found);
     }
-    for name in query.holders {
-        for record_index in catalog.indexes_by_short_id(*name) {
+    for id in query.holders {
+        for record_index in catalog.indexes_by_short_id(*id) {
             let Some((handle, record)) = catalog.open_by_index(record_index) else {
                 continue;
             };
--- a/crates/place/src/placing/choice.rs
+++ b/crates/place/src/placing/choice.rs
@@ -89,7 +89,7 @@
     time_limit: f64,
     preferred_count: usize,
     best: Option<(f64, ServerHandle, PlacementReason)>,
-    blocked: RefusalReason,
+    block_reason: RefusalReason,
     available_in: Option<f64>,
 }
 
@@ -109,7 +109,7 @@
             time_limit: time_limit(request, &context, work.resubmit_share()),
             preferred_count: 1,
             best: None,
-            blocked: RefusalReason::Late,
+            block_reason: RefusalReason::Late,
             available_in: None,
         }
     }
@@ -159,15 +159,19 @@
             work: estimate.work,
             ..reason
         };
-        if self.best.as_ref().is_none_or(|(least, ..)| cost < *least) {
+        if self
+            .best
+            .as_ref()
+            .is_none_or(|(lowest_cost, ..)| cost < *lowest_cost)
+        {
             self.best = Some((cost, candidate.handle, reason));
         }
     }
 
     /// Notes that a server can't take the request, and in how many milliseconds it might.
     pub fn note_blocked(&mut self, reason: RefusalReason, available_in: Option<f64>) {
-        if self.blocked != RefusalReason::Full {
-            self.blocked = reason;
+        if self.block_reason != RefusalReason::Full {
+            self.block_reason = reason;
         }
         self.available_in = match (self.available_in, available_in) {
             (Some(known), Some(found)) => Some(known.min(found)),
@@ -201,7 +205,7 @@
         match self.best {
             Some((_, handle, reason)) => Ok((handle, reason)),
             None => Err((
-                self.blocked,
+                self.block_reason,
                 self.available_in.map(|available_in| available_in / 1000.0),
             )),
         }
@@ -319,18 +323,18 @@
     context: &ChoiceContext<'_>,
     resubmit_share: f64,
 ) -> f64 {
-    let (few, many) = RESUBMIT_SHARE_RANGE;
-    let (long, short) = RESUBMIT_TIME_SHARES;
-    let resubmit_level = ((resubmit_share - few) / (many - few)).clamp(0.0, 1.0);
+    let (low_share, high_share) = RESUBMIT_SHARE_RANGE;
+    let (long_wait, short_wait) = RESUBMIT_TIME_SHARES;
+    let resubmit_level = ((resubmit_share - low_share) / (high_share - low_share)).clamp(0.0, 1.0);
     let remaining = millis(request.remaining);
     if context.limiter.is_some() {
         // The shift cap keeps it from a region that could answer at once, so it may queue here
         // as long as a resubmitted request.
-        return remaining * long;
+        return remaining * long_wait;
     }
     if request.returning {
-        return remaining * (long + (short - long) * resubmit_level);
+        return remaining * (long_wait + (short_wait - long_wait) * resubmit_level);
     }
     let step = OBJECTIVE_PRIORITY_STEP * f64::from(request.priority.min(LOWEST_PRIORITY));
-    (remaining * long).min((OBJECTIVE_FACTOR - step) * millis(request.route.objective))
+    (remaining * long_wait).min((OBJECTIVE_FACTOR - step) * millis(request.route.objective))
 }
--- a/crates/place/src/placing/load.rs
+++ b/crates/place/src/placing/load.rs
@@ -17,7 +17,7 @@
 /// Interval of updates to other regions, per instance there: at most 160 datagrams per second.
 /// Small fleets send every update there: with one update in three, callers got 0.533 of their
 /// worth instead of 0.541 where servers are spread unevenly (mean of 15 days with faults).
-const FAR_LOAD_INTERVAL_PER_ENTRY: Duration = Duration::from_millis(6);
+const OTHER_REGION_LOAD_INTERVAL_PER_ENTRY: Duration = Duration::from_millis(6);
 /// Requests of one instance: short ids of servers, with counts.
 pub type LoadList = Vec<(u32, u16)>;
 
@@ -64,18 +64,18 @@
     (hash ^ (hash >> 32)) as u32
 }
 
-/// Time between load updates of an instance with `near` others in its region.
-pub fn load_interval(near: u32) -> Duration {
-    (LOAD_INTERVAL_PER_ENTRY * near).max(MIN_LOAD_INTERVAL)
+/// Time between load updates of an instance with `in_region` others in its region.
+pub fn load_interval(in_region: u32) -> Duration {
+    (LOAD_INTERVAL_PER_ENTRY * in_region).max(MIN_LOAD_INTERVAL)
 }
 
-/// Whether update number `round` of an instance with `near` others in its region is also sent
-/// to the `far` instances of other regions.
-pub fn is_sent_far(round: u32, near: u32, far: u32) -> bool {
-    let interval = FAR_LOAD_INTERVAL_PER_ENTRY * far;
+/// Whether update number `round` of an instance with `in_region` others in its region is also
+/// sent to the `in_other_regions` instances of other regions.
+pub fn is_sent_to_other_regions(round: u32, in_region: u32, in_other_regions: u32) -> bool {
+    let interval = OTHER_REGION_LOAD_INTERVAL_PER_ENTRY * in_other_regions;
     let updates = interval
         .as_millis()
-        .div_ceil(load_interval(near).as_millis());
+        .div_ceil(load_interval(in_region).as_millis());
     u128::from(round).is_multiple_of(updates.max(1))
 }
 
@@ -107,9 +107,9 @@
             self.join_count = catalog.join_count();
             self.changed.extend(self.sums.keys());
         }
-        for name in self.changed.drain() {
-            let sum = self.sums.get(&name).copied().unwrap_or(0);
-            let record_indexes: Vec<usize> = catalog.indexes_by_short_id(name).collect();
+        for id in self.changed.drain() {
+            let sum = self.sums.get(&id).copied().unwrap_or(0);
+            let record_indexes: Vec<usize> = catalog.indexes_by_short_id(id).collect();
             for record_index in record_indexes {
                 if let Some(record) = catalog.by_index_mut(record_index) {
                     record.peer_load = f64::from(sum);
@@ -133,21 +133,21 @@
     }
 
     fn add(&mut self, list: &LoadList) {
-        for (name, count) in list {
-            *self.sums.entry(*name).or_default() += u32::from(*count);
-            self.changed.insert(*name);
+        for (id, count) in list {
+            *self.sums.entry(*id).or_default() += u32::from(*count);
+            self.changed.insert(*id);
         }
     }
 
     fn subtract(&mut self, list: &LoadList) {
-        for (name, count) in list {
-            self.changed.insert(*name);
-            let Some(sum) = self.sums.get_mut(name) else {
+        for (id, count) in list {
+            self.changed.insert(*id);
+            let Some(sum) = self.sums.get_mut(id) else {
                 continue;
             };
             *sum = sum.saturating_sub(u32::from(*count));
             if *sum == 0 {
-                self.sums.remove(name);
+                self.sums.remove(id);
             }
         }
     }
--- a/crates/place/src/placing/placer.rs
+++ b/crates/place/src/placing/placer.rs
@@ -286,12 +286,13 @@
         if self.shift_limiter.permits(&record.region) {
             return unbounded;
         }
-        let stays = !reason.away && self.shift_limiter.permits_own_region(&record.region);
-        let bounded = self.choose(now, request, service, ranked, Some(&self.shift_limiter));
-        if stays {
-            bounded.or(unbounded)
+        let may_stay = !reason.away && self.shift_limiter.permits_own_region(&record.region);
+        let within_shift_cap =
+            self.choose(now, request, service, ranked, Some(&self.shift_limiter));
+        if may_stay {
+            within_shift_cap.or(unbounded)
         } else {
-            bounded
+            within_shift_cap
         }
     }
 
@@ -390,8 +391,8 @@
             ServerOutcome::Broken => record.on_outcome(now, false),
             ServerOutcome::OutOfTime => {
                 record.on_outcome(now, false);
-                let took = millis(now.saturating_duration_since(placement.started));
-                let ratio = took / placement.reason.expected.max(1.0);
+                let elapsed = millis(now.saturating_duration_since(placement.started));
+                let ratio = elapsed / placement.reason.expected.max(1.0);
                 if placement.reason.free && ratio > 1.0 {
                     record.on_speed(now, ratio * record.speed(now));
                 }
@@ -421,9 +422,9 @@
         if !reason.free {
             return;
         }
-        let took = millis(now.saturating_duration_since(placement.started));
+        let elapsed = millis(now.saturating_duration_since(placement.started));
         let trip = self.catalog.get(placement.handle);
-        let work = took - trip.map_or(0.0, |record| record.trip);
+        let work = elapsed - trip.map_or(0.0, |record| record.trip);
         if !reason.cold {
             self.work
                 .get_or_insert(request.route)
--- a/crates/place/src/placing/trip.rs
+++ b/crates/place/src/placing/trip.rs
@@ -65,8 +65,8 @@
                 estimate: initial,
                 used: initial,
             });
-        let most = trip.estimate.max(MIN_SAMPLE_MS) * MAX_SAMPLE_FACTOR;
-        let sample = millis.clamp(MIN_SAMPLE_MS, most);
+        let max_sample = trip.estimate.max(MIN_SAMPLE_MS) * MAX_SAMPLE_FACTOR;
+        let sample = millis.clamp(MIN_SAMPLE_MS, max_sample);
         let weight = if sample < trip.estimate {
             FALL_WEIGHT
         } else {
--- a/crates/place/src/placing/warmth.rs
+++ b/crates/place/src/placing/warmth.rs
@@ -138,8 +138,8 @@
     }
 
     /// Records whether the object was cached.
-    pub fn on_answer(&mut self, belief: Belief, held: bool) {
-        self.rates[belief.0].add(if held { 1.0 } else { 0.0 });
+    pub fn on_answer(&mut self, belief: Belief, is_cached: bool) {
+        self.rates[belief.0].add(if is_cached { 1.0 } else { 0.0 });
     }
 }
 
--- a/crates/place/src/placing/work.rs
+++ b/crates/place/src/placing/work.rs
@@ -119,14 +119,14 @@
     pub fn on_answer(&mut self, work: f64, belief: Option<Belief>) {
         // Counts as cached if the time is closer, by ratio, to the warm average than to the
         // cold one.
-        let held = work * work < self.warm.value() * self.cold.value();
-        if held {
+        let is_cached = work * work < self.warm.value() * self.cold.value();
+        if is_cached {
             self.warm.add(work);
         } else {
             self.cold.add(work);
         }
         if let Some(belief) = belief {
-            self.rates.on_answer(belief, held);
+            self.rates.on_answer(belief, is_cached);
         }
     }
 }
--- a/crates/place/tests/limits.rs
+++ b/crates/place/tests/limits.rs
@@ -110,15 +110,15 @@
 #[test]
 fn shift_cap_holds_when_a_region_fills_and_empties() {
     const CAP: f64 = 0.15;
-    const PAUSE_MS: usize = 40;
-    const PER_WINDOW: usize = 2000 / PAUSE_MS;
+    const REQUEST_INTERVAL_MS: usize = 40;
+    const PER_WINDOW: usize = 2000 / REQUEST_INTERVAL_MS;
     const REGIONS: [&str; 3] = ["a", "b", "c"];
     let start = Instant::now();
     let regions = REGIONS.map(str::to_owned);
     let mut limiter = ShiftLimiter::new(CAP, &regions);
     let mut sent: Vec<&str> = Vec::new();
     for request in 0..80 * PER_WINDOW {
-        let now = start + ms((PAUSE_MS * request) as u64);
+        let now = start + ms((REQUEST_INTERVAL_MS * request) as u64);
         let wanted = match request / PER_WINDOW {
             5..25 => "b",
             25..45 => "c",
@@ -166,7 +166,7 @@
 fn shift_cap_holds_from_the_first_window_on() {
     const CAP: f64 = 0.15;
     const ENTRIES: u64 = 30;
-    const PAUSE_MS: u64 = 40;
+    const REQUEST_INTERVAL_MS: u64 = 40;
     const WINDOW_MS: u64 = 2000;
     let start = Instant::now();
     let regions = ["a", "b"].map(str::to_owned);
@@ -192,7 +192,7 @@
             limiter.on_sent(now, region);
             windows[(at / WINDOW_MS) as usize][usize::from(region == "b")] += 1;
             request += 1;
-            at = first + request * PAUSE_MS;
+            at = first + request * REQUEST_INTERVAL_MS;
         }
     }
     let share = |[near, far]: [u32; 2]| f64::from(far) / f64::from(near + far);
@@ -211,8 +211,8 @@
 /// their counts to each other.
 fn diverted_share(is_shared: bool) -> f64 {
     const ENTRIES: u64 = 6;
-    const PAUSE_MS: u64 = 60;
-    const TOLD_EVERY_MS: u64 = 80;
+    const REQUEST_INTERVAL_MS: u64 = 60;
+    const UPDATE_INTERVAL_MS: u64 = 80;
     const SECONDS: u64 = 30;
     let start = Instant::now();
     let regions = ["a", "b"].map(str::to_owned);
@@ -220,11 +220,11 @@
         .map(|_| ShiftLimiter::new(0.15, &regions))
         .collect();
     let mut windows = vec![[0_u32; 2]; SECONDS as usize / 2];
-    let (mut sent, mut elsewhere) = (0, 0);
+    let (mut sent, mut diverted) = (0, 0);
     for at in 0..SECONDS * 1000 {
         let now = start + ms(at);
         for entry in 0..ENTRIES {
-            if (at + 7 * entry) % PAUSE_MS != 0 {
+            if (at + 7 * entry) % REQUEST_INTERVAL_MS != 0 {
                 continue;
             }
             let limiter = &mut limiters[entry as usize];
@@ -236,9 +236,9 @@
             limiter.on_sent(now, &regions[region]);
             windows[at as usize / 2000][region] += 1;
             sent += 1;
-            elsewhere += u32::from(!is_free);
+            diverted += u32::from(!is_free);
         }
-        if is_shared && at % TOLD_EVERY_MS == 0 {
+        if is_shared && at % UPDATE_INTERVAL_MS == 0 {
             let words: Vec<Vec<u32>> = limiters.iter().map(|one| one.sent().to_vec()).collect();
             for (entry, limiter) in limiters.iter_mut().enumerate() {
                 for (peer, word) in words.iter().enumerate().filter(|(peer, _)| *peer != entry) {
@@ -252,7 +252,7 @@
         let change = (share(pair[1]) - share(pair[0])).abs();
         assert!(change <= 0.15, "{change} of {windows:?}");
     }
-    f64::from(elsewhere) / f64::from(sent)
+    f64::from(diverted) / f64::from(sent)
 }
 
 /// Servers are spread unevenly, so that a part of a region's requests always runs elsewhere.
