--- a/bin/lh-entry/src/state.rs
+++ b/bin/lh-entry/src/state.rs
@@ -15,7 +15,7 @@
 use place::fleet::log::{ReadScope, RegistryDelta, RegistryLog};
 use place::fleet::member::MemberConfig;
 use place::fleet::seat::LeadSeat;
-use place::placing::load::load_pause;
+use place::placing::load::load_interval;
 use place::prelude::*;
 use place::rank::stable_hash;
 use place::routes::ANY_HOST;
@@ -364,8 +364,8 @@
 
     /// Tells the fleet when servers whose rows vanished are gone.
     pub(crate) fn note_settles(&self) {
-        let settles_at = self.placer.borrow().catalog.settles_at();
-        self.fleet.on_event(FleetEvent::Settles(settles_at));
+        let next_removal_at = self.placer.borrow().catalog.next_removal_at();
+        self.fleet.on_event(FleetEvent::Settles(next_removal_at));
     }
 
     /// Tells the rollouts of the versions of servers that joined.
@@ -419,7 +419,7 @@
         let listed = hashes.len() + usize::from(is_listed);
         self.rollouts
             .set_entries(listed, is_listed || self.fleet.is_lone());
-        let pause = load_pause(near as u32);
+        let pause = load_interval(near as u32);
         let now = Instant::now();
         self.quota.borrow_mut().set_entries(now, &hashes, pause);
         let mut placer = self.placer.borrow_mut();
--- a/crates/place/src/catalog/words.rs
+++ b/crates/place/src/catalog/update.rs
@@ -1,4 +1,4 @@
-//! What one word, or the lack of one, changes of a server.
+//! Applies entries, and missing rows, to the records of servers.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Instant;
@@ -9,9 +9,9 @@
 use crate::server::{EntryState, ServerEntry, ServerRecord};
 
 impl ServerCatalog {
-    /// Takes in one entry. Runs of a server are told apart by their start, words of
-    /// one run by `seq`: a late word of a former run changes nothing.
-    pub(super) fn update(
+    /// Applies one entry. The start time tells runs of a server apart, and `seq` orders the
+    /// entries of one run: a late entry of an earlier run changes nothing.
+    pub(super) fn apply_entry(
         &mut self,
         now: Instant,
         begun: Instant,
@@ -19,7 +19,7 @@
         changes: &mut Vec<CatalogChange>,
     ) {
         if !self.domains.contains_key(&entry.domain) {
-            self.overwrite(&entry.id, changes);
+            self.mark_overwritten(&entry.id, changes);
             return;
         }
         if self.departures.refuses(now, entry) {
@@ -41,22 +41,23 @@
             return;
         }
         if !entry.is_same_run(&record.entry) {
-            self.overwrite(&entry.id, changes);
+            self.mark_overwritten(&entry.id, changes);
             return;
         }
         if record.missing_since.is_some() && entry.seq < record.entry.seq {
-            // A live server whose row lapsed comes back with its last word or a newer one.
+            // A live server whose row lapsed comes back with its last entry or a newer one.
             self.remove(now, &entry.id, changes);
             self.on_refused(now, entry, changes);
             return;
         }
-        on_own_word(begun, record, entry, changes);
+        update_record(begun, record, entry, changes);
     }
 
-    /// The registry lists, or another entry tells, a word from before the server's end.
+    /// Handles an entry from before the server's departure, listed by the registry or sent by
+    /// another instance.
     fn on_refused(&mut self, now: Instant, entry: &ServerEntry, changes: &mut Vec<CatalogChange>) {
-        let known = self.table.by_id(&entry.id);
-        if known.is_some_and(|record| self.departures.refuses(now, &record.entry)) {
+        let current = self.table.by_id(&entry.id);
+        if current.is_some_and(|record| self.departures.refuses(now, &record.entry)) {
             self.remove(now, &entry.id, changes);
         }
         if self.departures.on_refused(&entry.id) {
@@ -64,8 +65,9 @@
         }
     }
 
-    /// Somebody else's row stands where the server `id` had its entry, if it had one.
-    pub(super) fn overwrite(&mut self, id: &str, changes: &mut Vec<CatalogChange>) {
+    /// Marks that a foreign row has replaced the row of the server `id`, if that server is
+    /// known.
+    pub(super) fn mark_overwritten(&mut self, id: &str, changes: &mut Vec<CatalogChange>) {
         let Some(record) = self.table.by_id_mut(id) else {
             return;
         };
@@ -85,8 +87,9 @@
         self.table.insert(record);
     }
 
-    /// Ends the servers that a reading doesn't hold, or keeps them while they may have lapsed.
-    pub(super) fn sweep(
+    /// Removes the servers that a snapshot lacks, or keeps them while their rows may have
+    /// lapsed.
+    pub(super) fn remove_missing(
         &mut self,
         now: Instant,
         listed: &HashSet<&str>,
@@ -106,7 +109,7 @@
                 }
             }
             let row = vanished_row(record);
-            if settled || row.is_some_and(|row| now >= self.outage.gone_at(row)) {
+            if settled || row.is_some_and(|row| now >= self.outage.removal_time(row)) {
                 gone.push(record.entry.id.clone());
             }
         }
@@ -115,9 +118,9 @@
         }
     }
 
-    /// Takes in which servers another entry knows to be gone. One that is listed again in the
-    /// same change is the same run, of which nothing is forgotten.
-    pub(super) fn on_told_gone(
+    /// Applies the departures of a delta. A server that the same delta lists again is the same
+    /// run, so its record is kept.
+    pub(super) fn apply_departures(
         &mut self,
         now: Instant,
         delta: &RegistryDelta,
@@ -134,8 +137,8 @@
             let Some(record) = self.table.by_id(&departure.id) else {
                 continue;
             };
-            let again = listed.get(departure.id.as_str());
-            let is_back = again.is_some_and(|entry| {
+            let relisted = listed.get(departure.id.as_str());
+            let is_back = relisted.is_some_and(|entry| {
                 entry.is_same_run(&record.entry) && !self.departures.refuses(now, entry)
             });
             if !is_back {
@@ -144,18 +147,24 @@
         }
     }
 
-    /// Drops the servers that an older copy doesn't list, which tells nothing of their end.
-    pub(super) fn drop_others(&mut self, listed: &HashSet<&str>, changes: &mut Vec<CatalogChange>) {
-        let known = self.table.iter().map(|record| &record.entry.id);
-        let others = known.filter(|id| !listed.contains(id.as_str()));
-        let others: Vec<String> = others.cloned().collect();
-        for id in others {
+    /// Removes the servers that an older copy doesn't list, without noting a departure: the
+    /// copy doesn't show that they left.
+    pub(super) fn remove_unlisted(
+        &mut self,
+        listed: &HashSet<&str>,
+        changes: &mut Vec<CatalogChange>,
+    ) {
+        let current = self.table.iter().map(|record| &record.entry.id);
+        let unlisted = current.filter(|id| !listed.contains(id.as_str()));
+        let unlisted: Vec<String> = unlisted.cloned().collect();
+        for id in unlisted {
             self.table.remove(&id);
             changes.push(CatalogChange::Gone(id));
         }
     }
 
-    /// Removes the server `id`, which is gone by the registry's word.
+    /// Removes the server `id`, which is gone according to the registry, and notes its
+    /// departure.
     pub(super) fn remove(&mut self, now: Instant, id: &str, changes: &mut Vec<CatalogChange>) {
         let Some(record) = self.table.by_id(id) else {
             return;
@@ -166,8 +175,8 @@
     }
 }
 
-/// Takes in a word of the run that is known.
-fn on_own_word(
+/// Applies an entry of the known run.
+fn update_record(
     begun: Instant,
     record: &mut ServerRecord,
     entry: &ServerEntry,
@@ -178,7 +187,7 @@
         record.overwritten = false;
         changes.push(CatalogChange::Reclaimed(entry.id.clone()));
     }
-    // Leaving is final, whatever is read or written late.
+    // Draining is final, whatever is read or written late.
     let was_leaving = record.entry.state == EntryState::Draining;
     if entry.state == EntryState::Draining && !was_leaving {
         record.entry.state = EntryState::Draining;
--- a/crates/place/src/limits/budget.rs
+++ b/crates/place/src/limits/budget.rs
@@ -1,63 +1,63 @@
-//! Bounds what is sent to a second server, as a share of the requests for a
-//! service. The bound is on all entries together; each takes its part.
+//! Limits retries at a second server to a share of the requests for a service. The limit
+//! applies to all instances together; each uses a part of it.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Share of the allowance that is spent; the rest covers entries that this one
-/// doesn't know of, and repeats that are under way.
-const SPENT_SHARE: f64 = 0.6;
+/// Share of the budget that is used. The rest covers instances that this one doesn't know of
+/// and retries in progress.
+const USABLE_SHARE: f64 = 0.6;
 
-/// What the platform allows.
+/// Limits set by the platform.
 #[derive(Debug, Clone, Copy)]
 pub struct BudgetBounds {
-    /// Repeats for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Repeats allowed besides, by all entries in a window.
+    /// Additional retries of all instances together per window.
     pub slack: f64,
-    /// The sliding window.
+    /// Length of the sliding window.
     pub window: Duration,
 }
 
 #[derive(Debug, Default)]
 struct ServiceWindow {
     requests: VecDeque<Instant>,
-    repeats: VecDeque<Instant>,
+    retries: VecDeque<Instant>,
 }
 
-/// Counts requests and repeats of each service in a sliding window.
+/// Counts requests and retries of each service in a sliding window.
 #[derive(Debug)]
 pub struct RetryBudget {
     bounds: BudgetBounds,
-    entries: usize,
-    /// Whether this entry may use a part of the slack.
+    instances: usize,
+    /// Whether this instance may use a part of the slack.
     has_slack: bool,
     services: HashMap<String, ServiceWindow>,
 }
 
 impl RetryBudget {
-    /// A budget within `bounds`, alone.
+    /// Creates a budget within `bounds` for a single instance.
     pub fn new(bounds: BudgetBounds) -> Self {
         Self {
             bounds,
-            entries: 1,
+            instances: 1,
             has_slack: true,
             services: HashMap::new(),
         }
     }
 
-    /// Divides the slack among `entries`.
-    pub fn set_entries(&mut self, entries: usize) {
-        self.entries = entries.max(1);
+    /// Sets the number of instances that share the slack.
+    pub fn set_entries(&mut self, instances: usize) {
+        self.instances = instances.max(1);
     }
 
-    /// Sets whether this entry may use a part of the slack besides what its own requests
-    /// earn: entries that nobody counts may not.
+    /// Sets whether this instance may use a part of the slack in addition to the share of its
+    /// own requests. Instances that the others don't count may not.
     pub fn set_slack(&mut self, has_slack: bool) {
         self.has_slack = has_slack;
     }
 
-    /// A caller's request for `service` arrived.
+    /// Counts a caller's request for `service`.
     pub fn on_request(&mut self, now: Instant, service: &str) {
         if !self.services.contains_key(service) {
             self.services
@@ -65,33 +65,33 @@
         }
         if let Some(window) = self.services.get_mut(service) {
             window.requests.push_back(now);
-            trim(&mut window.requests, now, self.bounds.window);
+            remove_expired(&mut window.requests, now, self.bounds.window);
         }
     }
 
-    /// Takes a repeat out of the budget; `false` where there is none left.
-    pub fn take(&mut self, now: Instant, service: &str) -> bool {
+    /// Takes a retry out of the budget; `false` if none is left.
+    pub fn take_retry(&mut self, now: Instant, service: &str) -> bool {
         let Some(window) = self.services.get_mut(service) else {
             return false;
         };
-        trim(&mut window.requests, now, self.bounds.window);
-        trim(&mut window.repeats, now, self.bounds.window);
+        remove_expired(&mut window.requests, now, self.bounds.window);
+        remove_expired(&mut window.retries, now, self.bounds.window);
         let slack = if self.has_slack {
-            self.bounds.slack / self.entries as f64
+            self.bounds.slack / self.instances as f64
         } else {
             0.0
         };
-        let earned = self.bounds.ratio * window.requests.len() as f64;
-        let allowed = SPENT_SHARE * (earned + slack);
-        if window.repeats.len() as f64 + 1.0 > allowed {
+        let from_requests = self.bounds.ratio * window.requests.len() as f64;
+        let allowed = USABLE_SHARE * (from_requests + slack);
+        if window.retries.len() as f64 + 1.0 > allowed {
             return false;
         }
-        window.repeats.push_back(now);
+        window.retries.push_back(now);
         true
     }
 }
 
-fn trim(times: &mut VecDeque<Instant>, now: Instant, window: Duration) {
+fn remove_expired(times: &mut VecDeque<Instant>, now: Instant, window: Duration) {
     while let Some(first) = times.front() {
         if now.saturating_duration_since(*first) <= window {
             break;
--- a/crates/place/src/placing/placer.rs
+++ b/crates/place/src/placing/placer.rs
@@ -1,116 +1,118 @@
 //! Chooses the backend server of each request, or refuses the request.
 //!
-//! The choice is the server that is expected to answer first: its distance, the
-//! wait in its queue, and the work, which is much shorter where the server has
-//! handled the object before. A server's short queue is used before a request is
-//! refused; a request that can't be answered in time anywhere is refused at once.
+//! The server with the lowest expected response time wins: its round trip, the wait in its
+//! queue and the work, which is much shorter where the object is cached. Short queues are used
+//! before a request is refused. A request that no server can answer in time is refused at once.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use crate::catalog::index::NEAREST;
+use crate::catalog::index::TOP_SERVERS;
 use crate::catalog::{ServerCatalog, ServerHandle};
 use crate::desired::{DesiredState, RouteSpec, ServiceSpec};
 use crate::limits::budget::{BudgetBounds, RetryBudget};
-use crate::limits::ramp::ColdRamp;
-use crate::limits::refusal::ReturnSpread;
+use crate::limits::ramp::ColdRateLimiter;
+use crate::limits::refusal::RetryAfterJitter;
 use crate::limits::shift::ShiftLimiter;
 use crate::limits::split::TrafficSplitter;
 use crate::placing::candidates::{
-    NearSearch, RankScope, RankedServers, near_candidates, ranked_candidates,
+    CandidateQuery, RankScope, RankedServers, ranked_candidates, top_candidates,
 };
-use crate::placing::choice::{ByteCosts, ChoicePlace, HOLDER, ServerChoice, rank_scope, widest};
-use crate::placing::load::{LoadWord, PeerLoads, own_load};
+use crate::placing::choice::{
+    ByteCosts, ChoiceContext, MIN_HOLDER_LIKELIHOOD, ServerChoice, max_preferred_count, rank_scope,
+};
+use crate::placing::load::{LoadUpdate, PeerLoads, own_load};
 use crate::placing::timing::millis;
-use crate::placing::warmth::{RANKS, WarmthMap};
-use crate::placing::work::WorkBook;
+use crate::placing::warmth::{DISTINCT_RANKS, WarmthMap};
+use crate::placing::work::RouteWorkTable;
 use crate::request::{
     Placement, PlacementReason, PlacementRequest, Refusal, RefusalReason, ServerOutcome,
 };
 use crate::server::{EntryState, ServerRecord, ServerReport};
 
-/// A server that rejects a request as full has about this many times its slots.
-const FULL_FACTOR: f64 = 3.0;
-/// Warm-up of a service that isn't known.
-const USUAL_WARMUP: Duration = Duration::from_secs(3);
-/// Rate that a cold server of an unknown service bears, in requests a second.
-const USUAL_COLD_RATE: f64 = 1.0;
-/// A service of so many servers is looked at whole for each request.
-const FEW_SERVERS: usize = 64;
-/// Room after a rejection by servers, in seconds.
-const REJECTED_ROOM: f64 = 0.3;
+/// A server that rejects a request as full is assumed to hold this many times its slots.
+const REJECTED_LOAD_FACTOR: f64 = 3.0;
+/// Warm-up time assumed for an unknown service.
+const DEFAULT_WARMUP: Duration = Duration::from_secs(3);
+/// Rate assumed for a cold server of an unknown service, in requests per second.
+const DEFAULT_COLD_RATE: f64 = 1.0;
+/// Up to this many servers of a service, all of them are evaluated for each request.
+const MAX_FULL_SCAN: usize = 64;
+/// Expected time until capacity is free after servers rejected a request, in seconds.
+const REJECTED_RETRY_AFTER_SECS: f64 = 0.3;
 
-/// What the placer must know of its place and bounds.
+/// Location and limits of the instance that places requests.
 #[derive(Debug, Clone)]
 pub struct PlacerConfig {
-    /// Own failure domain.
+    /// Failure domain of this instance.
     pub domain: String,
-    /// Own region.
+    /// Region of this instance.
     pub region: String,
-    /// Each failure domain's region.
+    /// Maps each failure domain to its region.
     pub domains: HashMap<String, String>,
-    /// Bounds on repeats.
+    /// Limits on retries at a second server.
     pub budget: BudgetBounds,
-    /// Largest change of a region's share from one window to the next.
+    /// Maximum change of a region's share of requests from one window to the next.
     pub shift_cap: f64,
-    /// What it costs to send bytes elsewhere.
+    /// Latency equivalent of sending bytes to other failure domains and regions.
     pub costs: ByteCosts,
-    /// Time within which a leaving server must get no more requests.
+    /// Time within which a draining server must stop getting requests.
     pub drain: Duration,
-    /// Own hash in the division of shared rates.
+    /// Hash of this instance, used to divide shared rates.
     pub own: u64,
 }
 
-/// The chosen server and why, or the reason for a refusal with the seconds until
-/// room is expected.
+/// The chosen server with the figures behind the choice, or the refusal reason with the
+/// expected time until capacity is free, in seconds.
 type ChoiceResult = Result<(ServerHandle, PlacementReason), (RefusalReason, Option<f64>)>;
 
-/// The choice among servers.
+/// Places requests on servers and learns from their outcomes.
 #[derive(Debug)]
 pub struct RequestPlacer {
     config: PlacerConfig,
-    /// The servers.
+    /// The known servers.
     pub catalog: ServerCatalog,
     services: HashMap<String, ServiceSpec>,
     splitter: TrafficSplitter,
     budget: RetryBudget,
-    ramp: ColdRamp,
-    shift: ShiftLimiter,
+    cold_limiter: ColdRateLimiter,
+    shift_limiter: ShiftLimiter,
     warmth: WarmthMap,
-    work: WorkBook,
-    entries: Vec<u64>,
-    region_entries: usize,
-    /// Whether this entry stands by: others don't count it in shared rates.
+    work: RouteWorkTable,
+    instances: Vec<u64>,
+    region_instances: usize,
+    /// Whether this instance is a standby, which the others don't count when they divide shared
+    /// rates.
     standby: bool,
     loads: PeerLoads,
-    spread: ReturnSpread,
+    jitter: RetryAfterJitter,
 }
 
 impl RequestPlacer {
-    /// A placer that knows no servers yet.
+    /// Creates a placer that knows no servers yet.
     pub fn new(config: PlacerConfig) -> Self {
         let regions: Vec<String> = config.domains.values().cloned().collect();
         Self {
             catalog: ServerCatalog::new(config.domains.clone())
-                .with_place(&config.domain, &config.region)
+                .with_location(&config.domain, &config.region)
                 .with_drain(config.drain),
             services: HashMap::new(),
             splitter: TrafficSplitter::default(),
             budget: RetryBudget::new(config.budget),
-            ramp: ColdRamp::default(),
-            shift: ShiftLimiter::new(config.shift_cap, &regions),
+            cold_limiter: ColdRateLimiter::default(),
+            shift_limiter: ShiftLimiter::new(config.shift_cap, &regions),
             warmth: WarmthMap::default(),
-            work: WorkBook::default(),
-            entries: vec![config.own],
-            region_entries: 1,
+            work: RouteWorkTable::default(),
+            instances: vec![config.own],
+            region_instances: 1,
             standby: false,
             loads: PeerLoads::default(),
-            spread: ReturnSpread::new(config.own),
+            jitter: RetryAfterJitter::new(config.own),
             config,
         }
     }
 
-    /// Takes in the services of a new desired state.
+    /// Applies the services of a new desired state.
     pub fn set_desired(&mut self, desired: &DesiredState) {
         self.services = desired
             .services
@@ -119,51 +121,50 @@
             .collect();
     }
 
-    /// Sets whether this entry stands by. Such a one takes no part of the rates that all
-    /// entries share, since the others don't count it.
+    /// Sets whether this instance is a standby. A standby takes no part of the rates that all
+    /// instances share, since the others don't count it.
     pub fn set_standby(&mut self, standby: bool) {
         self.standby = standby;
         self.budget.set_slack(!standby);
     }
 
-    /// Sets the hashes of all entries that get requests, and how many others are in the
-    /// own region; the own entry is added to both.
-    pub fn set_entries(&mut self, mut entries: Vec<u64>, in_region: usize) {
-        entries.push(self.config.own);
-        entries.sort_unstable();
-        entries.dedup();
-        self.budget.set_entries(entries.len());
-        self.shift.keep_peers(&entries);
-        self.entries = entries;
-        self.region_entries = in_region + 1;
+    /// Sets the hashes of all instances that receive requests, and the number of others in the
+    /// own region; this instance is added to both.
+    pub fn set_entries(&mut self, mut instances: Vec<u64>, in_region: usize) {
+        instances.push(self.config.own);
+        instances.sort_unstable();
+        instances.dedup();
+        self.budget.set_entries(instances.len());
+        self.shift_limiter.retain_peers(&instances);
+        self.instances = instances;
+        self.region_instances = in_region + 1;
     }
 
-    /// Takes in what the entry with the hash `entry` has sent.
-    pub fn on_peer_load(&mut self, now: Instant, entry: u64, word: LoadWord) {
-        self.shift.on_peer_sent(now, entry, &word.sent);
-        self.warmth.on_told(now, &word.handled);
-        self.loads.on_list(now, entry, word.load);
+    /// Applies a load update of the instance with the hash `instance`.
+    pub fn on_peer_load(&mut self, now: Instant, instance: u64, update: LoadUpdate) {
+        self.shift_limiter.on_peer_sent(now, instance, &update.sent);
+        self.warmth.on_peer_pairs(now, &update.handled);
+        self.loads.apply_list(now, instance, update.load);
     }
 
-    /// Own requests at servers and what came of them, for the other entries. Call it
-    /// several times a second.
-    pub fn own_load(&mut self, now: Instant) -> LoadWord {
+    /// Returns this instance's load update for the others. Call it several times a second.
+    pub fn own_load(&mut self, now: Instant) -> LoadUpdate {
         self.loads.apply(now, &mut self.catalog);
-        LoadWord {
+        LoadUpdate {
             load: own_load(&self.catalog),
-            sent: self.shift.sent(),
-            handled: self.warmth.take_news(),
+            sent: self.shift_limiter.sent(),
+            handled: self.warmth.take_unsent(),
         }
     }
 
-    /// The longest warm-up of any service.
+    /// The longest warm-up time of any service.
     pub fn longest_warmup(&self) -> Duration {
         let warmups = self.services.values().map(|service| service.warmup);
-        warmups.max().unwrap_or(USUAL_WARMUP)
+        warmups.max().unwrap_or(DEFAULT_WARMUP)
     }
 
-    /// A caller's request on `route` for `object` arrived; returns its part of
-    /// the route and whether it seems to have been refused before.
+    /// Registers a caller's request on `route` for `object`. Returns the index of the route's
+    /// part that takes it, and whether the caller seems to resubmit a refused request.
     pub fn on_request(
         &mut self,
         now: Instant,
@@ -175,112 +176,124 @@
         if let Some(chosen) = route.parts.get(part) {
             self.budget.on_request(now, &chosen.service);
         }
-        let work = self.work.of(route);
+        let work = self.work.get_or_insert(route);
         if let Some(object) = object {
             work.on_request(now, object);
         }
-        let returning = deadline.is_some_and(|deadline| work.is_returning(deadline));
+        let returning = deadline.is_some_and(|deadline| work.is_resubmitted(deadline));
         (part, returning)
     }
 
-    /// Whether one more server may be tried, and takes it out of the budget.
-    pub fn take_repeat(&mut self, now: Instant, service: &str) -> bool {
-        self.budget.take(now, service)
+    /// Takes one retry from the service's budget; `false` if none is left.
+    pub fn take_retry(&mut self, now: Instant, service: &str) -> bool {
+        self.budget.take_retry(now, service)
     }
 
     /// The refusal of a request that servers rejected as full.
-    pub fn rejected(&mut self) -> Refusal {
-        self.spread
-            .refusal(RefusalReason::Full, Some(REJECTED_ROOM))
+    pub fn rejection(&mut self) -> Refusal {
+        self.jitter
+            .refusal(RefusalReason::Full, Some(REJECTED_RETRY_AFTER_SECS))
     }
 
-    /// Chooses the server, and counts the request as sent to it.
+    /// Chooses a server and counts the request as sent to it.
     ///
     /// # Errors
-    /// The refusal, where no server should get it.
+    /// Returns the refusal if no server should get the request.
     pub fn place(
         &mut self,
         now: Instant,
         request: &PlacementRequest<'_>,
     ) -> Result<Placement, Refusal> {
         let Some(part) = request.route.parts.get(request.part) else {
-            return Err(self.spread.refusal(RefusalReason::NoServer, None));
+            return Err(self.jitter.refusal(RefusalReason::NoServer, None));
         };
         self.loads.apply(now, &mut self.catalog);
         let service = part.service.as_str();
-        let scope = rank_scope(request, self.work.of(request.route), &self.config.costs);
-        let near = self.near(now, request, service, scope);
-        let ranked =
-            near.unwrap_or_else(|| ranked_candidates(now, &self.catalog, service, request, scope));
+        let scope = rank_scope(
+            request,
+            self.work.get_or_insert(request.route),
+            &self.config.costs,
+        );
+        let top_ranked = self.top_ranked(now, request, service, scope);
+        let ranked = top_ranked
+            .unwrap_or_else(|| ranked_candidates(now, &self.catalog, service, request, scope));
         if ranked.candidates.is_empty() {
-            return Err(self.spread.refusal(RefusalReason::NoServer, None));
+            return Err(self.jitter.refusal(RefusalReason::NoServer, None));
         }
-        let wanted = self.choose(now, request, service, &ranked, None);
-        let chosen = self.within_cap(now, request, service, &ranked, wanted);
+        let unbounded = self.choose(now, request, service, &ranked, None);
+        let chosen = self.within_cap(now, request, service, &ranked, unbounded);
         let (handle, reason) =
-            chosen.map_err(|(reason, room_in)| self.spread.refusal(reason, room_in))?;
-        let placement = self.send(now, handle, reason);
-        placement.ok_or_else(|| self.spread.refusal(RefusalReason::NoServer, None))
+            chosen.map_err(|(reason, available_in)| self.jitter.refusal(reason, available_in))?;
+        let placement = self.mark_sent(now, handle, reason);
+        placement.ok_or_else(|| self.jitter.refusal(RefusalReason::NoServer, None))
     }
 
-    /// The servers that can get the request, where there are many others and these can be told
-    /// without a look at all. Where none of them has room, when they will tells when the
-    /// caller should come back: others wouldn't take the request then either.
-    fn near(
+    /// The only servers that can get the request, if the service has many servers and these can
+    /// be determined without evaluating all. If none of them has capacity, the caller is told
+    /// when they will have it, since no other server would take the request then either.
+    fn top_ranked(
         &mut self,
         now: Instant,
         request: &PlacementRequest<'_>,
         service: &str,
         scope: RankScope,
     ) -> Option<RankedServers> {
-        if self.catalog.servers_of(service) <= FEW_SERVERS {
+        if self.catalog.server_count(service) <= MAX_FULL_SCAN {
             return None;
         }
-        let work = self.work.known(request.route)?;
-        let slots = self.catalog.least_slots(service);
-        let widest = widest(now, request, work, self.region_entries, slots)?;
-        let ranks = widest.max(RANKS);
-        // Where any server likely holds any object, none is out of the question.
-        if ranks >= NEAREST || work.rates.least() >= HOLDER {
+        let work = self.work.get(request.route)?;
+        let slots = self.catalog.min_slots(service);
+        let max_preferred_count =
+            max_preferred_count(now, request, work, self.region_instances, slots)?;
+        let preferred_ranks = max_preferred_count.max(DISTINCT_RANKS);
+        // If any server is likely to have any object cached, none can be ruled out.
+        if preferred_ranks >= TOP_SERVERS || work.rates.unseen_likelihood() >= MIN_HOLDER_LIKELIHOOD
+        {
             return None;
         }
         let object = request.object?;
-        let search = NearSearch {
+        let query = CandidateQuery {
             service,
             request,
             object,
             scope,
-            ranks,
+            preferred_ranks,
             holders: self.warmth.holders(object),
         };
-        let ranked = near_candidates(now, &mut self.catalog, &search)?;
-        // Whether there is any server at all must not depend on these few.
+        let ranked = top_candidates(now, &mut self.catalog, &query)?;
+        // An empty result falls back to all servers: these few don't tell whether any server
+        // exists.
         (!ranked.candidates.is_empty()).then_some(ranked)
     }
 
-    /// Replaces a choice that would move requests between regions too fast. One
-    /// for the own region stands where no other that should get more has room.
+    /// Replaces a choice that would shift requests between regions too fast. A choice in the
+    /// own region is kept if no server that should get the request instead has capacity.
     fn within_cap(
         &mut self,
         now: Instant,
         request: &PlacementRequest<'_>,
         service: &str,
         ranked: &RankedServers,
-        wanted: ChoiceResult,
+        unbounded: ChoiceResult,
     ) -> ChoiceResult {
-        let Ok((handle, reason)) = wanted else {
-            return wanted;
+        let Ok((handle, reason)) = unbounded else {
+            return unbounded;
         };
         let Some(record) = self.catalog.get(handle) else {
-            return wanted;
+            return unbounded;
         };
-        self.shift.advance(now);
-        if self.shift.permits(&record.region) {
-            return wanted;
+        self.shift_limiter.advance(now);
+        if self.shift_limiter.permits(&record.region) {
+            return unbounded;
+        }
+        let may_stay = !reason.away && self.shift_limiter.permits_own_region(&record.region);
+        let within_shift_cap =
+            self.choose(now, request, service, ranked, Some(&self.shift_limiter));
+        if may_stay {
+            within_shift_cap.or(unbounded)
+        } else {
+            within_shift_cap
         }
-        let stays = !reason.away && self.shift.permits_own(&record.region);
-        let bounded = self.choose(now, request, service, ranked, Some(&self.shift));
-        if stays { bounded.or(wanted) } else { bounded }
     }
 
     fn choose(
@@ -291,25 +304,25 @@
         ranked: &RankedServers,
         limiter: Option<&ShiftLimiter>,
     ) -> ChoiceResult {
-        let Some(work) = self.work.known(request.route) else {
+        let Some(work) = self.work.get(request.route) else {
             return Err((RefusalReason::NoServer, None));
         };
-        let place = ChoicePlace {
+        let context = ChoiceContext {
             domain: &self.config.domain,
             region: &self.config.region,
-            is_only: ranked.places == 1,
-            entries: self.region_entries,
+            is_single_locality: ranked.localities == 1,
+            instances: self.region_instances,
             costs: self.config.costs,
             limiter,
         };
-        let mut choice = ServerChoice::new(now, request, place, work);
+        let mut choice = ServerChoice::new(now, request, context, work);
         for candidate in &ranked.candidates {
             let Some(record) = self.catalog.get(candidate.handle) else {
                 continue;
             };
             let cold = record.is_cold(now);
-            if cold && !self.may_warm(now, record, service) {
-                choice.block(RefusalReason::Cold, None);
+            if cold && !self.may_use_cold(now, record, service) {
+                choice.note_blocked(RefusalReason::Cold, None);
                 continue;
             }
             let belief = request
@@ -323,18 +336,21 @@
                 belief,
                 ..PlacementReason::default()
             };
-            choice.set_width(f64::from(record.entry.slots.max(1)));
-            choice.weigh(candidate, record, reason);
+            choice.update_preferred_count(f64::from(record.entry.slots.max(1)));
+            choice.consider(candidate, record, reason);
         }
         choice.finish()
     }
 
-    /// Takes in the size of an answer on `route`.
+    /// Records the size of an answer on `route`.
     pub fn on_answer_size(&mut self, route: &RouteSpec, bytes: u64) {
-        self.work.of(route).answer.add(bytes as f64 / 1000.0);
+        self.work
+            .get_or_insert(route)
+            .answer
+            .add(bytes as f64 / 1000.0);
     }
 
-    /// Takes in what became of a request that was placed.
+    /// Records the outcome of a placed request.
     pub fn on_outcome(
         &mut self,
         now: Instant,
@@ -360,7 +376,7 @@
                 record.on_reached();
                 if report.is_none() {
                     let slots = f64::from(record.entry.slots);
-                    record.on_full(now, slots * FULL_FACTOR);
+                    record.on_full(now, slots * REJECTED_LOAD_FACTOR);
                 }
                 record.on_outcome(now, false);
             }
@@ -369,14 +385,14 @@
             }
             ServerOutcome::Unreachable => {
                 record.on_unreachable(now);
-                // It may have crashed, and comes back cold.
+                // It may have crashed, in which case it comes back cold.
                 record.chill(now, warmup);
             }
             ServerOutcome::Broken => record.on_outcome(now, false),
             ServerOutcome::OutOfTime => {
                 record.on_outcome(now, false);
-                let took = millis(now.saturating_duration_since(placement.started));
-                let ratio = took / placement.reason.expected.max(1.0);
+                let elapsed = millis(now.saturating_duration_since(placement.started));
+                let ratio = elapsed / placement.reason.expected.max(1.0);
                 if placement.reason.free && ratio > 1.0 {
                     record.on_speed(now, ratio * record.speed(now));
                 }
@@ -388,11 +404,11 @@
             self.warmth.forget(hash);
         }
         if outcome == (ServerOutcome::Answered { good: true }) {
-            self.learn(now, placement, request, hash);
+            self.learn_from_answer(now, placement, request, hash);
         }
     }
 
-    fn learn(
+    fn learn_from_answer(
         &mut self,
         now: Instant,
         placement: &Placement,
@@ -406,28 +422,30 @@
         if !reason.free {
             return;
         }
-        let took = millis(now.saturating_duration_since(placement.started));
+        let elapsed = millis(now.saturating_duration_since(placement.started));
         let trip = self.catalog.get(placement.handle);
-        let work = took - trip.map_or(0.0, |record| record.trip);
+        let work = elapsed - trip.map_or(0.0, |record| record.trip);
         if !reason.cold {
-            self.work.of(request.route).on_answer(work, reason.belief);
+            self.work
+                .get_or_insert(request.route)
+                .on_answer(work, reason.belief);
         }
         if let Some(record) = self.catalog.get_mut(placement.handle) {
             record.on_speed(now, work / reason.work.max(1.0) * record.speed(now));
         }
     }
 
-    fn send(
+    fn mark_sent(
         &mut self,
         now: Instant,
         handle: ServerHandle,
         reason: PlacementReason,
     ) -> Option<Placement> {
         let record = self.catalog.get_mut(handle)?;
-        self.shift.on_sent(now, &record.region);
+        self.shift_limiter.on_sent(now, &record.region);
         record.in_flight += 1;
         if reason.cold {
-            self.ramp.on_sent(now, record.hash);
+            self.cold_limiter.on_sent(now, record.hash);
         }
         let placement = Placement::new(now, handle, &record.entry);
         Some(Placement {
@@ -436,19 +454,19 @@
         })
     }
 
-    fn may_warm(&self, now: Instant, record: &ServerRecord, service: &str) -> bool {
+    fn may_use_cold(&self, now: Instant, record: &ServerRecord, service: &str) -> bool {
         if self.standby {
             return false;
         }
         let known = self.services.get(service);
-        let rate = known.map_or(USUAL_COLD_RATE, |service| service.cold_rate);
-        self.ramp
-            .allows(now, record.hash, self.config.own, &self.entries, rate)
+        let rate = known.map_or(DEFAULT_COLD_RATE, |service| service.cold_rate);
+        self.cold_limiter
+            .allows(now, record.hash, self.config.own, &self.instances, rate)
     }
 
     fn warmup(&self, request: &PlacementRequest<'_>) -> Duration {
         let part = request.route.parts.get(request.part);
         part.and_then(|part| self.services.get(&part.service))
-            .map_or(USUAL_WARMUP, |service| service.warmup)
+            .map_or(DEFAULT_WARMUP, |service| service.warmup)
     }
 }
--- a/crates/place/tests/near.rs
+++ b/crates/place/tests/near.rs
@@ -1,5 +1,5 @@
-//! The choice of a server among many: the same as from a look at all of them, at a cost that
-//! doesn't grow with them.
+//! Server selection with many servers: it makes the same choice as an evaluation of all
+//! servers, at a cost that doesn't grow with their number.
 
 mod common;
 
@@ -8,81 +8,81 @@
 
 use common::{desired, ms, placer_config, reading, request, route, server};
 use place::placing::candidates::{
-    NearSearch, RankScope, RankedServers, near_candidates, ranked_candidates,
+    CandidateQuery, RankScope, RankedServers, ranked_candidates, top_candidates,
 };
-use place::placing::choice::{ByteCosts, ChoicePlace, ServerChoice};
-use place::placing::load::{LoadWord, short_name};
+use place::placing::choice::{ByteCosts, ChoiceContext, ServerChoice};
+use place::placing::load::{LoadUpdate, short_id};
 use place::placing::warmth::WarmthMap;
-use place::placing::work::WorkBook;
+use place::placing::work::RouteWorkTable;
 use place::prelude::*;
 use place::request::PlacementReason;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Fixed, so that each run gives the same verdict.
+/// Fixed, so that every run tests the same cases.
 const SEED: u64 = 19;
-/// Ranks of a place within which an object may belong to a server here.
-const RANKS: usize = 6;
+/// Number of ranks per locality that may be preferred in these tests.
+const PREFERRED_RANKS: usize = 6;
 const OBJECT: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// What befell a server.
+/// State that a server is set up with.
 #[derive(Debug, Clone, Copy)]
-enum Fate {
+enum ServerSetup {
     Idle,
     Busy(u32),
     Cold,
     Leaving,
     Paused,
-    Holds,
+    HasObject,
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn server_setup() -> impl Strategy<Value = ServerSetup> {
     prop_oneof![
-        4 => Just(Fate::Idle),
-        3 => (1..14u32).prop_map(Fate::Busy),
-        1 => Just(Fate::Cold),
-        1 => Just(Fate::Leaving),
-        1 => Just(Fate::Paused),
-        1 => Just(Fate::Holds),
+        4 => Just(ServerSetup::Idle),
+        3 => (1..14u32).prop_map(ServerSetup::Busy),
+        1 => Just(ServerSetup::Cold),
+        1 => Just(ServerSetup::Leaving),
+        1 => Just(ServerSetup::Paused),
+        1 => Just(ServerSetup::HasObject),
     ]
 }
 
-struct Crowd {
+struct Fixture {
     now: Instant,
     catalog: ServerCatalog,
     warmth: WarmthMap,
-    work: WorkBook,
+    work: RouteWorkTable,
     route: RouteSpec,
 }
 
-impl Crowd {
-    fn new(fates: &[Fate]) -> Self {
+impl Fixture {
+    fn new(setups: &[ServerSetup]) -> Self {
         let now = Instant::now();
         let mut servers: Vec<ServerEntry> = Vec::new();
-        for (number, fate) in fates.iter().enumerate() {
+        for (number, server_setup) in setups.iter().enumerate() {
             let mut entry = server(&format!("s{number}"), ["a1", "a2", "b1"][number % 3]);
-            if let Fate::Leaving = fate {
+            if let ServerSetup::Leaving = server_setup {
                 entry.state = EntryState::Draining;
             }
-            if let Fate::Cold = fate {
+            if let ServerSetup::Cold = server_setup {
                 entry.cold_remaining = ms(3000);
             }
             servers.push(entry);
         }
-        let mut catalog = ServerCatalog::new(common::domains()).with_place("a1", "a");
+        let mut catalog = ServerCatalog::new(common::domains()).with_location("a1", "a");
         catalog.on_read(now, &reading(now, &servers));
         let mut warmth = WarmthMap::default();
-        for (record, fate) in by_number(&mut catalog, fates) {
-            match fate {
-                Fate::Busy(count) => record.in_flight = count,
-                Fate::Paused => record.on_unreachable(now),
-                Fate::Holds => warmth.on_handled(now, record.hash, OBJECT),
-                Fate::Idle | Fate::Cold | Fate::Leaving => {}
+        for (record, server_setup) in by_number(&mut catalog, setups) {
+            match server_setup {
+                ServerSetup::Busy(count) => record.in_flight = count,
+                ServerSetup::Paused => record.on_unreachable(now),
+                ServerSetup::HasObject => warmth.on_handled(now, record.hash, OBJECT),
+                ServerSetup::Idle | ServerSetup::Cold | ServerSetup::Leaving => {}
             }
         }
         let route = route("browse", "/");
-        let mut work = WorkBook::default();
-        work.of(&route).on_request(now, OBJECT);
+        let mut work = RouteWorkTable::default();
+        work.get_or_insert(&route).on_request(now, OBJECT);
         Self {
             now,
             catalog,
@@ -94,12 +94,12 @@
 
     fn choose(&self, ranked: &RankedServers) -> Option<(u64, f64)> {
         let wanted = request(&self.route, Some(OBJECT));
-        let work = self.work.known(&self.route).unwrap();
-        let place = ChoicePlace {
+        let work = self.work.get(&self.route).unwrap();
+        let place = ChoiceContext {
             domain: "a1",
             region: "a",
-            is_only: ranked.places == 1,
-            entries: 3,
+            is_single_locality: ranked.localities == 1,
+            instances: 3,
             costs: ByteCosts {
                 domain: 3.0,
                 region: 6.0,
@@ -117,8 +117,8 @@
             reason.warmth = work.rates.likelihood(belief);
             reason.rank = candidate.rank;
             reason.cold = record.is_cold(self.now);
-            choice.set_width(f64::from(record.entry.slots));
-            choice.weigh(candidate, record, reason);
+            choice.update_preferred_count(f64::from(record.entry.slots));
+            choice.consider(candidate, record, reason);
         }
         let (handle, reason) = choice.finish().ok()?;
         Some((handle.run(), reason.expected))
@@ -127,16 +127,16 @@
 
 fn by_number<'a>(
     catalog: &'a mut ServerCatalog,
-    fates: &'a [Fate],
-) -> impl Iterator<Item = (&'a mut place::server::ServerRecord, Fate)> {
+    setups: &'a [ServerSetup],
+) -> impl Iterator<Item = (&'a mut place::server::ServerRecord, ServerSetup)> {
     catalog.iter_mut().map(|record| {
         let number: usize = record.entry.id[1..].parse().unwrap();
-        (record, fates[number])
+        (record, setups[number])
     })
 }
 
-/// Promise: where the servers near an object have room, the choice among them is the one that a
-/// look at all servers makes.
+/// If the top servers of an object have capacity, the choice among them is the same as among
+/// all servers.
 #[test]
 fn the_nearest_are_as_good_as_all() {
     let config = ProptestConfig {
@@ -145,32 +145,32 @@
         failure_persistence: None,
         ..ProptestConfig::default()
     };
-    let fates = proptest::collection::vec(fate(), 1..160);
+    let setups = proptest::collection::vec(server_setup(), 1..160);
     let mut runner = proptest::test_runner::TestRunner::new(config);
     let compared = std::cell::Cell::new(0);
     runner
-        .run(&fates, |fates| {
-            let mut crowd = Crowd::new(&fates);
-            let route = crowd.route.clone();
+        .run(&setups, |setups| {
+            let mut fixture = Fixture::new(&setups);
+            let route = fixture.route.clone();
             let wanted = request(&route, Some(OBJECT));
             for scope in [RankScope::Region, RankScope::Domain] {
-                let holders = crowd.warmth.holders(OBJECT).to_vec();
-                let search = NearSearch {
+                let holders = fixture.warmth.holders(OBJECT).to_vec();
+                let query = CandidateQuery {
                     service: "board",
                     request: &wanted,
                     object: OBJECT,
                     scope,
-                    ranks: RANKS,
+                    preferred_ranks: PREFERRED_RANKS,
                     holders: &holders,
                 };
-                let near = near_candidates(crowd.now, &mut crowd.catalog, &search);
-                let all = ranked_candidates(crowd.now, &crowd.catalog, "board", &wanted, scope);
-                let Some(near) = near else {
+                let top = top_candidates(fixture.now, &mut fixture.catalog, &query);
+                let all = ranked_candidates(fixture.now, &fixture.catalog, "board", &wanted, scope);
+                let Some(top) = top else {
                     continue;
                 };
-                if let Some(chosen) = crowd.choose(&near) {
+                if let Some(chosen) = fixture.choose(&top) {
                     compared.set(compared.get() + 1);
-                    prop_assert_eq!(Some(chosen), crowd.choose(&all));
+                    prop_assert_eq!(Some(chosen), fixture.choose(&all));
                 }
             }
             Ok(())
@@ -180,7 +180,7 @@
     assert!(compared > 300, "only {compared} choices were compared");
 }
 
-/// A placer that knows `count` servers, of which others spoke.
+/// A placer that knows `count` servers.
 fn large_placer(now: Instant, count: usize) -> RequestPlacer {
     let servers: Vec<ServerEntry> = (0..count)
         .map(|number| server(&format!("s{number}"), ["a1", "a2", "b1"][number % 3]))
@@ -191,45 +191,44 @@
     placer
 }
 
-/// Records that are looked at for a request and the words between two, where each entry has
-/// ten servers.
-fn examined(entries: usize) -> u64 {
+/// Average number of records read for a request and a load update, with ten servers per
+/// instance.
+fn records_examined(instances: usize) -> u64 {
     let now = Instant::now();
-    let mut placer = large_placer(now, entries * 10);
+    let mut placer = large_placer(now, instances * 10);
     let browse = route("browse", "/");
     let names: Vec<u32> = placer
         .catalog
         .iter()
-        .map(|record| short_name(record.hash))
+        .map(|record| short_id(record.hash))
         .collect();
-    let mut looked = 0;
-    for turn in 0..400_u64 {
-        let at = now + ms(20 * turn);
-        let object = (turn % 50).wrapping_mul(OBJECT);
-        let word = LoadWord {
+    let mut examined = 0;
+    for step in 0..400_u64 {
+        let at = now + ms(20 * step);
+        let object = (step % 50).wrapping_mul(OBJECT);
+        let update = LoadUpdate {
             load: (0..8)
-                .map(|n| (names[(turn as usize * 31 + n) % names.len()], 1))
+                .map(|n| (names[(step as usize * 31 + n) % names.len()], 1))
                 .collect(),
-            ..LoadWord::default()
+            ..LoadUpdate::default()
         };
-        let before = placer.catalog.examined();
-        placer.on_peer_load(at, turn % 9, word);
+        let before = placer.catalog.records_examined();
+        placer.on_peer_load(at, step % 9, update);
         let wanted = request(&browse, Some(object));
         placer.on_request(at, &browse, Some(object), Some(ms(1000)));
         let placement = placer.place(at, &wanted).unwrap();
         let good = ServerOutcome::Answered { good: true };
         placer.on_outcome(at + ms(10), &placement, &wanted, good, None);
-        looked += placer.catalog.examined() - before;
+        examined += placer.catalog.records_examined() - before;
     }
-    looked / 400
+    examined / 400
 }
 
-/// Promise: a request looks at as many servers whether there are 1,000 of its service or
-/// 20,000.
+/// A request reads as many records with 1,000 servers of its service as with 20,000.
 #[test]
 fn a_choice_costs_the_same_at_any_size() {
     let costs: HashMap<usize, u64> = [100, 300, 1000, 2000]
-        .map(|entries| (entries, examined(entries)))
+        .map(|instances| (instances, records_examined(instances)))
         .into();
     let least = costs.values().min().unwrap();
     let most = costs.values().max().unwrap();
@@ -237,37 +236,37 @@
     assert!(*most <= 150, "{costs:?}");
 }
 
-/// Promise: a request that is turned away costs the same at any size, and is told when its own
-/// servers have room.
+/// A refusal costs the same with any number of servers, and has a retry delay based on the
+/// preferred servers.
 #[test]
 fn a_refusal_costs_the_same_at_any_size() {
     let mut costs = Vec::new();
-    for entries in [100, 300, 1000, 2000] {
+    for instances in [100, 300, 1000, 2000] {
         let now = Instant::now();
-        let mut placer = large_placer(now, entries * 10);
+        let mut placer = large_placer(now, instances * 10);
         let browse = route("browse", "/");
         let wanted = request(&browse, Some(OBJECT));
         let mut placed = 0;
         while placer.place(now, &wanted).is_ok() {
             placed += 1;
-            assert!(placed < 1000, "nobody is turned away");
+            assert!(placed < 1000, "no request is refused");
         }
-        let before = placer.catalog.examined();
+        let before = placer.catalog.records_examined();
         let refusal = placer.place(now, &wanted).unwrap_err();
         assert_eq!(refusal.reason, RefusalReason::Full);
         assert!(!refusal.retry_after.is_zero());
-        costs.push(placer.catalog.examined() - before);
+        costs.push(placer.catalog.records_examined() - before);
     }
     assert!(costs.iter().all(|cost| *cost <= 150), "{costs:?}");
 }
 
-/// Promise: at a start, when all servers are cold, a request looks at few of them as well.
+/// At a cold start, when all servers are cold, a request also reads few records.
 #[test]
 fn a_cold_start_costs_the_same_at_any_size() {
     let mut costs = Vec::new();
-    for entries in [100, 300, 1000, 2000] {
+    for instances in [100, 300, 1000, 2000] {
         let now = Instant::now();
-        let servers: Vec<ServerEntry> = (0..entries * 10)
+        let servers: Vec<ServerEntry> = (0..instances * 10)
             .map(|number| {
                 let mut entry = server(&format!("s{number}"), ["a1", "a2", "b1"][number % 3]);
                 entry.cold_remaining = ms(3000);
@@ -278,12 +277,12 @@
         placer.set_desired(&desired(1, vec![route("browse", "/")]));
         placer.catalog.on_read(now, &reading(now, &servers));
         let browse = route("browse", "/");
-        let before = placer.catalog.examined();
+        let before = placer.catalog.records_examined();
         for object in 0..100_u64 {
             let wanted = request(&browse, Some(object.wrapping_mul(OBJECT)));
             placer.place(now + ms(object), &wanted).unwrap();
         }
-        costs.push((placer.catalog.examined() - before) / 100);
+        costs.push((placer.catalog.records_examined() - before) / 100);
     }
     assert!(costs.iter().all(|cost| *cost <= 200), "{costs:?}");
 }
--- a/crates/place/tests/placer.rs
+++ b/crates/place/tests/placer.rs
@@ -1,18 +1,18 @@
-//! The choice of a server.
+//! Tests of server selection.
 
 mod common;
 
 use std::time::{Duration, Instant};
 
 use common::{ms, placer, reading, request, route, server};
-use place::placing::load::{LoadWord, short_name};
+use place::placing::load::{LoadUpdate, short_id};
 use place::prelude::*;
 use place::rank::stable_hash;
 use place::server::ServerReport;
 
 const GOOD: ServerOutcome = ServerOutcome::Answered { good: true };
 
-fn four() -> Vec<ServerEntry> {
+fn four_servers() -> Vec<ServerEntry> {
     vec![
         server("p", "a1"),
         server("q", "a1"),
@@ -21,12 +21,12 @@
     ]
 }
 
-/// Promise: requests for an object keep meeting the same server, and other
-/// objects meet others.
+/// Requests for an object go to the same server each time, and different objects use different
+/// servers.
 #[test]
-fn an_object_keeps_its_server() {
+fn requests_for_an_object_use_the_same_server() {
     let now = Instant::now();
-    let mut placer = placer(now, &four());
+    let mut placer = placer(now, &four_servers());
     let browse = route("browse", "/");
     let mut servers = std::collections::HashSet::new();
     for object in 0..20u64 {
@@ -44,11 +44,11 @@
     assert!(servers.len() >= 3, "{servers:?}");
 }
 
-/// Promise: a server that rejects requests as full is spared while it is.
+/// A server that rejects requests as full gets no more until it has capacity again.
 #[test]
-fn a_full_server_is_spared() {
+fn a_full_server_gets_no_requests() {
     let now = Instant::now();
-    let mut placer = placer(now, &four());
+    let mut placer = placer(now, &four_servers());
     let browse = route("browse", "/");
     let wanted = request(&browse, Some(7));
     let placement = placer.place(now, &wanted).unwrap();
@@ -57,8 +57,7 @@
     assert_ne!(next.id, placement.id);
 }
 
-/// Promise: a server that can't be reached is left alone, and found again when
-/// it is back.
+/// An unreachable server is paused, and used again after the pause.
 #[test]
 fn an_unreachable_server_is_left_alone_and_found_again() {
     let now = Instant::now();
@@ -72,10 +71,10 @@
     assert!(placer.place(now + ms(700), &wanted).is_ok());
 }
 
-/// Promise: a request that can't be answered in time is refused at once, with a
-/// time to come back that a caller can keep.
+/// A request that can't be answered in time is refused at once, with a retry delay that a
+/// caller can keep.
 #[test]
-fn what_can_not_be_in_time_is_refused_at_once() {
+fn late_requests_are_refused_at_once() {
     let now = Instant::now();
     let mut placer = placer(now, &[server("p", "a1")]);
     let browse = route("browse", "/");
@@ -92,12 +91,11 @@
     assert!(refusal.retry_after <= ms(1000), "{refusal:?}");
 }
 
-/// Promise: a route with home regions never leaves them, even where nothing else
-/// is there.
+/// A route with home regions never leaves them, even if no server is available there.
 #[test]
 fn home_regions_bind() {
     let now = Instant::now();
-    let mut placer = placer(now, &four());
+    let mut placer = placer(now, &four_servers());
     let mut bound = route("browse", "/");
     bound.home_regions = vec!["b".to_owned()];
     for turn in 0..50u64 {
@@ -112,9 +110,9 @@
     assert_eq!(refusal.reason, RefusalReason::NoServer);
 }
 
-/// Promise: a cold server gets no more than its rate, also while others are full.
+/// A cold server gets at most its rate, even if there is no other server.
 #[test]
-fn a_cold_server_gets_its_rate() {
+fn a_cold_server_gets_at_most_its_rate() {
     let now = Instant::now();
     let mut cold = server("p", "a1");
     cold.cold_remaining = Duration::from_secs(30);
@@ -131,20 +129,20 @@
     }
     assert!(
         (5..=10).contains(&sent),
-        "{sent} in ten seconds by one entry"
+        "{sent} requests in ten seconds from one instance"
     );
 }
 
-/// A word of an entry of another region.
-fn word(load: Vec<(u32, u16)>) -> LoadWord {
-    LoadWord {
+/// An update of an instance of another region.
+fn update(load: Vec<(u32, u16)>) -> LoadUpdate {
+    LoadUpdate {
         load,
         sent: Vec::new(),
         handled: Vec::new(),
     }
 }
 
-/// Promise: what other entries have at a server counts as if it were one's own.
+/// Requests of other instances count towards a server's load like own ones.
 #[test]
 fn other_entries_requests_count() {
     let now = Instant::now();
@@ -157,13 +155,14 @@
         placer.on_outcome(now, &placement, &wanted, GOOD, None);
         list.load[0].0
     };
-    placer.on_peer_load(now + ms(1), 5, word(vec![(name, 12)]));
+    placer.on_peer_load(now + ms(1), 5, update(vec![(name, 12)]));
     assert!(placer.place(now + ms(2), &wanted).is_err());
-    placer.on_peer_load(now + ms(3), 5, word(Vec::new()));
+    placer.on_peer_load(now + ms(3), 5, update(Vec::new()));
     assert!(placer.place(now + ms(4), &wanted).is_ok());
 }
 
-/// Promise: an entry that died with requests at servers doesn't block them for good.
+/// An instance that died with requests at a server must not block that server: its load
+/// expires.
 #[test]
 fn a_dead_entrys_requests_are_forgotten() {
     let now = Instant::now();
@@ -173,13 +172,13 @@
     let placement = placer.place(now, &wanted).unwrap();
     let name = placer.own_load(now).load[0].0;
     placer.on_outcome(now, &placement, &wanted, GOOD, None);
-    placer.on_peer_load(now, 5, word(vec![(name, 12)]));
-    placer.on_peer_load(now + ms(2000), 6, word(Vec::new()));
+    placer.on_peer_load(now, 5, update(vec![(name, 12)]));
+    placer.on_peer_load(now + ms(2000), 6, update(Vec::new()));
     assert!(placer.place(now + ms(2001), &wanted).is_ok());
 }
 
-/// Promise: the requests of entries that died don't block servers for the last one,
-/// which hears from nobody.
+/// The load of dead instances also expires at the last instance, which receives no updates that
+/// could trigger it.
 #[test]
 fn the_last_entry_forgets_the_others_requests() {
     let now = Instant::now();
@@ -189,12 +188,12 @@
     let placement = placer.place(now, &wanted).unwrap();
     let name = placer.own_load(now).load[0].0;
     placer.on_outcome(now, &placement, &wanted, GOOD, None);
-    placer.on_peer_load(now, 5, word(vec![(name, 12)]));
+    placer.on_peer_load(now, 5, update(vec![(name, 12)]));
     assert!(placer.place(now + ms(1400), &wanted).is_err());
     assert!(placer.place(now + ms(1600), &wanted).is_ok());
 }
 
-/// Promise: a newer word counts within 60 ms where 5,900 entries are heard.
+/// An update takes effect within 60 ms among updates of 5,900 instances.
 #[test]
 fn a_word_among_many_counts_soon() {
     let now = Instant::now();
@@ -205,21 +204,21 @@
     let name = placer.own_load(now).load[0].0;
     placer.on_outcome(now, &placement, &wanted, GOOD, None);
     for entry in 0..5900 {
-        placer.on_peer_load(now, entry, word(Vec::new()));
+        placer.on_peer_load(now, entry, update(Vec::new()));
     }
     assert!(placer.place(now + ms(1), &wanted).is_ok());
-    placer.on_peer_load(now + ms(2), 5, word(vec![(name, 12)]));
+    placer.on_peer_load(now + ms(2), 5, update(vec![(name, 12)]));
     assert!(placer.place(now + ms(61), &wanted).is_err());
 }
 
-/// Promise: an object that alone keeps more than a server busy gets a second one,
-/// though the others are in use for other objects.
+/// An object that keeps more than one server busy gets a second one, even if the others are in
+/// use for other objects.
 #[test]
 fn a_hot_object_gets_more_servers() {
     let now = Instant::now();
     let servers: Vec<ServerEntry> = ["p", "q", "r"].map(|id| server(id, "a1")).to_vec();
     let busy: Vec<(u32, u16)> = ["p", "q", "r"]
-        .map(|id| (short_name(stable_hash(id.as_bytes())), 2))
+        .map(|id| (short_id(stable_hash(id.as_bytes())), 2))
         .to_vec();
     let mut placer = placer(now, &servers);
     let browse = route("browse", "/");
@@ -234,10 +233,10 @@
             placer.on_outcome(at, &placement, &wanted, GOOD, None);
         }
         placer.own_load(at);
-        placer.on_peer_load(at, 5, word(busy.clone()));
+        placer.on_peer_load(at, 5, update(busy.clone()));
         placer.on_request(at, &browse, Some(7), Some(ms(3000)));
         if let Ok(placement) = placer.place(at, &wanted) {
-            // Before, the other servers' load was not yet known.
+            // In the first turns the load of the other servers is not known yet.
             if turn > 200 {
                 served.insert(placement.id.clone());
             }
@@ -247,9 +246,9 @@
     assert!(served.len() >= 2, "{served:?}");
 }
 
-/// Promise: after a server is replaced, only its own objects move.
+/// Replacing a server moves only the objects of that server.
 #[test]
-fn a_replacement_moves_few_objects() {
+fn a_replacement_moves_only_its_own_objects() {
     let now = Instant::now();
     let names: Vec<String> = (0..10).map(|n| format!("p{n}")).collect();
     let servers: Vec<ServerEntry> = names.iter().map(|id| server(id, "a1")).collect();
@@ -276,13 +275,13 @@
         .zip(&after)
         .filter(|(old, new)| old != new && *old != "p3" && *new != "new")
         .count();
-    assert_eq!(moved, 0, "objects of servers that stayed must stay");
+    assert_eq!(moved, 0, "objects of the other servers must not move");
 }
 
-/// Promise: requests that concern no object, or whose route holds none, spread over
-/// all servers as these fill.
+/// Requests without an object, or of a route without affinity, spread over all servers as these
+/// fill up.
 #[test]
-fn requests_without_an_object_spread() {
+fn requests_without_affinity_are_spread() {
     let now = Instant::now();
     let servers: Vec<ServerEntry> = ["p", "q", "r"].map(|id| server(id, "a1")).to_vec();
     let held = route("browse", "/");
@@ -300,9 +299,8 @@
     }
 }
 
-/// Pattern: answers of 90 kB beside small ones. Large ones come from the own failure
-/// domain, whatever server of the region is first for the object; small ones from
-/// where the object is held.
+/// Answers of 90 kB come from the own failure domain, whichever server of the region has the
+/// highest rank for the object. Small answers come from the object's preferred server.
 #[test]
 fn large_answers_come_from_the_own_domain() {
     let now = Instant::now();
@@ -333,8 +331,8 @@
     assert!((10..=30).contains(&own), "{own} of {}", small.len());
 }
 
-/// Pattern: a hot object under load. A server that is told to hold it takes it, though
-/// the object belongs to busier ones.
+/// If the preferred server of a hot object is busier, the object goes to a server that is
+/// reported to have it cached.
 #[test]
 fn a_holder_takes_the_object() {
     let now = Instant::now();
@@ -345,20 +343,20 @@
     let first = placer.place(now, &wanted).unwrap();
     placer.on_outcome(now + ms(50), &first, &wanted, GOOD, None);
     let other = if first.id == "p" { "q" } else { "p" };
-    let name = |id: &str| short_name(stable_hash(id.as_bytes()));
+    let name = |id: &str| short_id(stable_hash(id.as_bytes()));
     let mut at = now;
     for step in 0..40 {
         at = now + ms(100 + 80 * step);
-        let mut told = word(vec![(name(&first.id), 10), (name(other), 2)]);
-        told.handled = vec![(name(other), short_name(7))];
-        placer.on_peer_load(at, 5, told);
+        let mut update_of_peer = update(vec![(name(&first.id), 10), (name(other), 2)]);
+        update_of_peer.handled = vec![(name(other), short_id(7))];
+        placer.on_peer_load(at, 5, update_of_peer);
         placer.own_load(at);
     }
     assert_eq!(placer.place(at + ms(1), &wanted).unwrap().id, other);
 }
 
-/// Pattern: the server of an object is full, and there is no other region. A second
-/// server takes the object, though neither is known to hold it.
+/// If the preferred server is full and there is no other region, a second server takes the
+/// object, although neither is known to have it cached.
 #[test]
 fn an_object_has_two_servers_where_there_is_one_region() {
     let now = Instant::now();
@@ -369,8 +367,8 @@
     let browse = route("browse", "/");
     let wanted = request(&browse, Some(7));
     let first = placer.place(now, &wanted).unwrap();
-    let name = short_name(stable_hash(first.id.as_bytes()));
-    placer.on_peer_load(now + ms(1), 5, word(vec![(name, 11)]));
+    let name = short_id(stable_hash(first.id.as_bytes()));
+    placer.on_peer_load(now + ms(1), 5, update(vec![(name, 11)]));
     let second = placer.place(now + ms(2), &wanted).unwrap();
     assert_ne!(second.id, first.id);
 }
--- a/crates/place/tests/trip.rs
+++ b/crates/place/tests/trip.rs
@@ -1,21 +1,21 @@
-//! How the way to servers is learned.
+//! Tests of the round trip estimates.
 
 mod common;
 
 use std::time::Instant;
 
 use common::{ms, placer, request, route, server};
-use place::placing::trip::TripBook;
+use place::placing::trip::RoundTripEstimator;
 use place::prelude::*;
 
-/// Promise: an estimate follows the network wherever it stands, and neither queues nor
-/// lost packets make it much longer.
+/// An estimate converges to the round trip from any initial value, and neither queues nor lost
+/// packets raise it much.
 #[test]
-fn trips_are_learned_and_outliers_are_not() {
+fn round_trips_are_learned_despite_outliers() {
     for true_trip in [0.4, 40.0, 190.0] {
-        let mut trips = TripBook::new("a1", "a");
-        for turn in 0..400 {
-            let took = match turn % 20 {
+        let mut trips = RoundTripEstimator::new("a1", "a");
+        for step in 0..400 {
+            let took = match step % 20 {
                 7 => true_trip * 3.0,
                 13 => true_trip + 1000.0,
                 _ => true_trip,
@@ -28,21 +28,21 @@
             "{learned} of {true_trip}"
         );
     }
-    let trips = TripBook::new("a1", "a");
+    let trips = RoundTripEstimator::new("a1", "a");
     assert_eq!(trips.trip("a1", "a"), 0.0);
     assert!(trips.trip("a2", "a") < trips.trip("b1", "b"));
 }
 
-/// Promise: work at a far server is told from the way there, whatever that is: an answer
-/// after the way and the usual work makes the server neither slow nor fast, and one that
-/// joins later is known to be as far.
+/// The round trip to a distant server does not count as work: an answer after the round trip
+/// and the usual work leaves the server's speed unchanged. A server that joins the failure
+/// domain later gets the same estimate.
 #[test]
-fn the_way_is_not_taken_for_work() {
+fn round_trips_do_not_count_as_work() {
     let now = Instant::now();
     let mut placer = placer(now, &[server("x", "b1")]);
     let board = route("browse", "/");
-    for turn in 0..60 {
-        let at = now + ms(turn * 500);
+    for step in 0..60 {
+        let at = now + ms(step * 500);
         let request = request(&board, Some(1));
         let placement = placer.place(at, &request).unwrap();
         let record = placer.catalog.get(placement.handle).unwrap();
