--- a/bin/lh-entry/src/crash.rs
+++ b/bin/lh-entry/src/crash.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use place::crash::print::RequestPrint;
+use place::crash::print::RequestFingerprint;
 use place::crash::word::CrashReport;
 use place::prelude::FleetEvent;
 use place::request::Placement;
@@ -34,7 +34,7 @@
 /// off.
 #[derive(Debug, Default)]
 pub(crate) struct CrashDesk {
-    looks: RefCell<HashMap<u64, Vec<RequestPrint>>>,
+    looks: RefCell<HashMap<u64, Vec<RequestFingerprint>>>,
 }
 
 /// A run of a server that broke off requests.
@@ -50,7 +50,7 @@
     state: &Rc<InstanceState>,
     placement: &Placement,
     service: &str,
-    print: RequestPrint,
+    print: RequestFingerprint,
 ) {
     let mut looks = state.crashes.looks.borrow_mut();
     let run = placement.handle.run();
--- a/bin/lh-entry/src/fleet.rs
+++ b/bin/lh-entry/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use place::crash::print::RequestPrint;
+use place::crash::print::RequestFingerprint;
 use place::fleet::clock::StoreTime;
 use place::fleet::known::KnownStore;
 use place::fleet::member::{BEAT_EVERY, MemberConfig};
@@ -118,13 +118,13 @@
     }
 
     /// How much longer the request is refused; `None` where it isn't.
-    pub(crate) fn quarantine_left(&self, print: RequestPrint) -> Option<Duration> {
+    pub(crate) fn quarantine_left(&self, print: RequestFingerprint) -> Option<Duration> {
         let member = self.member.borrow();
         member.quarantine_left(Instant::now(), print)
     }
 
     /// The requests in quarantine.
-    pub(crate) fn quarantined(&self) -> Vec<RequestPrint> {
+    pub(crate) fn quarantined(&self) -> Vec<RequestFingerprint> {
         self.member.borrow().quarantined().collect()
     }
 
@@ -134,7 +134,7 @@
     }
 
     /// A server answered the request well.
-    pub(crate) fn on_answered(&self, print: RequestPrint) {
+    pub(crate) fn on_answered(&self, print: RequestFingerprint) {
         let is_news = self.member.borrow().suspects(print);
         if is_news {
             self.on_event(FleetEvent::Cleared(print));
--- a/bin/lh-entry/src/job.rs
+++ b/bin/lh-entry/src/job.rs
@@ -10,7 +10,7 @@
 use hyper::header;
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use place::catalog::ServerHandle;
-use place::crash::print::RequestPrint;
+use place::crash::print::RequestFingerprint;
 use place::desired::RouteSpec;
 use place::placing::timing::millis;
 use place::request::{Placement, PlacementRequest, Refusal, RefusalReason, ServerOutcome};
@@ -59,7 +59,7 @@
     unsent: u32,
     may_have_run: bool,
     /// The request's print, once it was needed.
-    pub(crate) print: Option<RequestPrint>,
+    pub(crate) print: Option<RequestFingerprint>,
 }
 
 /// What came of an attempt.
--- a/bin/lh-entry/src/print.rs
+++ b/bin/lh-entry/src/print.rs
@@ -3,7 +3,7 @@
 
 use hyper::header::{self, HeaderName};
 use hyper::{HeaderMap, Method, Uri};
-use place::crash::print::RequestPrint;
+use place::crash::print::RequestFingerprint;
 use platform::headers;
 use sha2::{Digest, Sha256};
 
@@ -29,7 +29,7 @@
     headers: &HeaderMap,
     team: &str,
     body: &[u8],
-) -> RequestPrint {
+) -> RequestFingerprint {
     let mut hasher = Sha256::new();
     // What one team sends is held against no other.
     add(&mut hasher, team.as_bytes());
@@ -54,7 +54,7 @@
     let digest = hasher.finalize();
     let mut half = [0; 16];
     half.copy_from_slice(&digest[..16]);
-    RequestPrint(u128::from_be_bytes(half))
+    RequestFingerprint(u128::from_be_bytes(half))
 }
 
 /// Adds a part with its length, so that no two lists of parts read alike.
--- a/bin/lh-entry/src/quarantine.rs
+++ b/bin/lh-entry/src/quarantine.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use place::crash::print::RequestPrint;
-use place::crash::word::KeptQuarantine;
+use place::crash::print::RequestFingerprint;
+use place::crash::word::StoredQuarantine;
 use platform::tables::PlatformClient;
 use store::{QuarantineRow, Row, RowWrite, TableService};
 
@@ -12,32 +12,35 @@
 use crate::watch::PATIENCE;
 
 /// What `rows` say of requests in quarantine.
-pub(crate) fn read(rows: &[&Row]) -> Vec<KeptQuarantine> {
+pub(crate) fn read(rows: &[&Row]) -> Vec<StoredQuarantine> {
     let mut kept = Vec::new();
     for row in rows {
         if !QuarantineRow::is_one(row) {
             continue;
         }
         let read = QuarantineRow::read(row)
-            .and_then(|row| RequestPrint::parse(&row.print).map(|print| (print, row)));
+            .and_then(|row| RequestFingerprint::parse(&row.print).map(|print| (print, row)));
         let Some((print, QuarantineRow { age, lifted, .. })) = read else {
             log::warn!(key = row.key.as_str(); "row of a request in quarantine left out");
             continue;
         };
-        kept.push(KeptQuarantine { print, age, lifted });
+        kept.push(StoredQuarantine { print, age, lifted });
     }
     kept
 }
 
 /// Writes a row for each of `quarantines`, which began so long ago.
-pub(crate) async fn keep(state: Rc<InstanceState>, quarantines: Vec<(RequestPrint, Duration)>) {
+pub(crate) async fn keep(
+    state: Rc<InstanceState>,
+    quarantines: Vec<(RequestFingerprint, Duration)>,
+) {
     let writes = quarantines.iter();
     let writes = writes.map(|(print, age)| QuarantineRow::keep(&print.key(), *age));
     commit(&state, &writes.collect::<Vec<_>>()).await;
 }
 
 /// Deletes the rows of `prints`.
-pub(crate) async fn drop_rows(state: Rc<InstanceState>, prints: Vec<RequestPrint>) {
+pub(crate) async fn drop_rows(state: Rc<InstanceState>, prints: Vec<RequestFingerprint>) {
     let writes = prints
         .iter()
         .map(|print| QuarantineRow::delete(&print.key()));
--- a/bin/lh-entry/src/record.rs
+++ b/bin/lh-entry/src/record.rs
@@ -6,7 +6,7 @@
 
 use base::prelude::Outcome;
 use hyper::StatusCode;
-use place::crash::print::RequestPrint;
+use place::crash::print::RequestFingerprint;
 use place::desired::RouteSpec;
 use place::request::{Placement, Refusal};
 use place::server::ServerReport;
@@ -26,7 +26,7 @@
     pub(crate) team: Option<Rc<TeamSpec>>,
     pub(crate) returning: bool,
     /// The request's print, where it was needed.
-    pub(crate) print: Option<RequestPrint>,
+    pub(crate) print: Option<RequestFingerprint>,
     attempts: String,
     count: u32,
     refusal: Option<Refusal>,
--- a/bin/lh-entry/src/suspect.rs
+++ b/bin/lh-entry/src/suspect.rs
@@ -1,6 +1,6 @@
 //! What a request on its way has to do with servers that ended.
 
-use place::crash::print::RequestPrint;
+use place::crash::print::RequestFingerprint;
 use place::prelude::*;
 
 use crate::crash;
@@ -33,7 +33,7 @@
     }
 
     /// The request's print; of a body that is passed on in pieces, its beginning counts.
-    pub(crate) fn print(&mut self, body: &JobBody) -> RequestPrint {
+    pub(crate) fn print(&mut self, body: &JobBody) -> RequestFingerprint {
         let (method, target, headers) = (&self.method, &self.target, &self.headers);
         let team = self.terms.team_name().unwrap_or_default();
         let print = || request_print(method, target, headers, team, body.beginning());
--- a/crates/place/src/crash/ledger.rs
+++ b/crates/place/src/crash/ledger.rs
@@ -4,9 +4,9 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use crate::crash::print::RequestPrint;
-use crate::crash::quarantine::QuarantineBook;
-use crate::crash::word::{CrashReport, PrintStatus};
+use crate::crash::print::RequestFingerprint;
+use crate::crash::quarantine::QuarantineTable;
+use crate::crash::word::{CrashReport, RequestStatus};
 
 /// Servers that a request may end before it is put into quarantine. Two may be chance: a
 /// request and its repeat that each met a server on its way down.
@@ -35,22 +35,22 @@
 
 /// The end of a server.
 #[derive(Debug)]
-struct ServerEnd {
+struct ServerCrash {
     run: u64,
     at: Instant,
-    suspects: Vec<RequestPrint>,
+    suspects: Vec<RequestFingerprint>,
     /// Those that were answered well since.
-    cleared: Vec<RequestPrint>,
+    cleared: Vec<RequestFingerprint>,
 }
 
 /// The ends of servers that are known, and the requests that were at them.
 #[derive(Debug, Default)]
 pub struct CrashLedger {
-    ends: VecDeque<ServerEnd>,
+    ends: VecDeque<ServerCrash>,
     /// Ends for each suspect.
-    totals: HashMap<RequestPrint, usize>,
+    totals: HashMap<RequestFingerprint, usize>,
     /// When suspects were last put into quarantine.
-    quarantined_at: HashMap<RequestPrint, Instant>,
+    quarantined_at: HashMap<RequestFingerprint, Instant>,
     review_due: Option<Instant>,
     newest: Option<Instant>,
 }
@@ -61,7 +61,7 @@
         self.forget(now);
         let found = self.ends.iter().position(|end| end.run == report.run);
         let index = found.unwrap_or_else(|| {
-            self.ends.push_back(ServerEnd {
+            self.ends.push_back(ServerCrash {
                 run: report.run,
                 at: now,
                 suspects: Vec::new(),
@@ -84,7 +84,7 @@
 
     /// The request was answered well: it is no suspect of the ends that are known. Whether
     /// it was one.
-    pub fn clear(&mut self, print: RequestPrint) -> bool {
+    pub fn clear(&mut self, print: RequestFingerprint) -> bool {
         if self.totals.remove(&print).is_none() {
             return false;
         }
@@ -99,7 +99,7 @@
     }
 
     /// Whether the request is a suspect.
-    pub fn suspects(&self, print: RequestPrint) -> bool {
+    pub fn suspects(&self, print: RequestFingerprint) -> bool {
         self.totals.contains_key(&print)
     }
 
@@ -124,8 +124,8 @@
     pub fn review(
         &mut self,
         now: Instant,
-        book: &mut QuarantineBook,
-    ) -> Vec<(RequestPrint, PrintStatus)> {
+        book: &mut QuarantineTable,
+    ) -> Vec<(RequestFingerprint, RequestStatus)> {
         self.review_due = None;
         self.forget(now);
         let mut raised = Vec::new();
@@ -133,9 +133,9 @@
             let room = book.quarantines().count() < QUARANTINES_MOST;
             let status = if room && self.is_cause(print) {
                 self.quarantined_at.insert(print, now);
-                PrintStatus::Quarantined
+                RequestStatus::Quarantined
             } else if !book.contains(print) {
-                PrintStatus::Suspect
+                RequestStatus::Suspect
             } else {
                 continue;
             };
@@ -147,18 +147,18 @@
     }
 
     /// Requests that were at several servers when these ended, those at most of them first.
-    fn often_seen(&self) -> Vec<RequestPrint> {
+    fn often_seen(&self) -> Vec<RequestFingerprint> {
         let totals = self.totals.iter();
         let often = totals.filter(|(_, total)| **total >= SUSPECT_ENDS);
-        let mut prints: Vec<RequestPrint> = often.map(|(print, _)| *print).collect();
+        let mut prints: Vec<RequestFingerprint> = often.map(|(print, _)| *print).collect();
         prints.sort_unstable_by_key(|print| (Reverse(self.total(*print)), *print));
         prints
     }
 
     /// Whether the request alone explains enough ends, one of them since it was last put
     /// into quarantine.
-    fn is_cause(&self, print: RequestPrint) -> bool {
-        let explained: Vec<&ServerEnd> = self
+    fn is_cause(&self, print: RequestFingerprint) -> bool {
+        let explained: Vec<&ServerCrash> = self
             .ends
             .iter()
             .filter(|end| end.suspects.contains(&print) && self.explains(print, end))
@@ -171,7 +171,7 @@
     }
 
     /// Whether no other request that was there has been at as many ends.
-    fn explains(&self, print: RequestPrint, end: &ServerEnd) -> bool {
+    fn explains(&self, print: RequestFingerprint, end: &ServerCrash) -> bool {
         let total = self.total(print);
         let most = if total >= INSEPARABLE_ENDS {
             total
@@ -182,7 +182,7 @@
         others.all(|other| self.total(*other) <= most)
     }
 
-    fn total(&self, print: RequestPrint) -> usize {
+    fn total(&self, print: RequestFingerprint) -> usize {
         self.totals.get(&print).copied().unwrap_or(0)
     }
 
--- a/crates/place/src/crash/outbox.rs
+++ b/crates/place/src/crash/outbox.rs
@@ -3,8 +3,8 @@
 
 use std::time::{Duration, Instant};
 
-use crate::crash::print::RequestPrint;
-use crate::crash::word::{ClearWord, CrashReport, CrashWord};
+use crate::crash::print::RequestFingerprint;
+use crate::crash::word::{ClearedRequest, CrashMessage, CrashReport};
 use crate::fleet::known::millis;
 
 /// A report is held for this long: most requests that were caught beside the cause are
@@ -21,15 +21,15 @@
 /// Something to be told.
 #[derive(Debug, Clone, Copy)]
 struct OutboxItem {
-    news: OutboxNews,
+    news: OutboxPayload,
     due: Instant,
     told: u32,
 }
 
 #[derive(Debug, Clone, Copy)]
-enum OutboxNews {
+enum OutboxPayload {
     Report(CrashReport),
-    Cleared(RequestPrint, Instant),
+    Cleared(RequestFingerprint, Instant),
 }
 
 /// What waits to be told.
@@ -42,23 +42,23 @@
     /// A request was at a server when it ended.
     pub fn on_report(&mut self, now: Instant, report: CrashReport) {
         self.push(OutboxItem {
-            news: OutboxNews::Report(report),
+            news: OutboxPayload::Report(report),
             due: now + HOLD_TIME,
             told: 0,
         });
     }
 
     /// A request was answered well: what wasn't told of it yet need not be.
-    pub fn on_cleared(&mut self, now: Instant, print: RequestPrint, was_told: bool) {
+    pub fn on_cleared(&mut self, now: Instant, print: RequestFingerprint, was_told: bool) {
         let is_of = |item: &OutboxItem| match item.news {
-            OutboxNews::Report(report) => report.print == print,
-            OutboxNews::Cleared(cleared, _) => cleared == print,
+            OutboxPayload::Report(report) => report.print == print,
+            OutboxPayload::Cleared(cleared, _) => cleared == print,
         };
         let told = self.items.iter().any(|item| is_of(item) && item.told > 0);
         self.items.retain(|item| !is_of(item));
         if told || was_told {
             self.push(OutboxItem {
-                news: OutboxNews::Cleared(print, now),
+                news: OutboxPayload::Cleared(print, now),
                 due: now,
                 told: 0,
             });
@@ -71,8 +71,8 @@
     }
 
     /// What is to be told now.
-    pub fn take(&mut self, now: Instant) -> CrashWord {
-        let mut word = CrashWord::default();
+    pub fn take(&mut self, now: Instant) -> CrashMessage {
+        let mut word = CrashMessage::default();
         for item in &mut self.items {
             if item.due > now {
                 continue;
@@ -80,8 +80,8 @@
             item.due = now + RETELL_EVERY;
             item.told += 1;
             match item.news {
-                OutboxNews::Report(report) => word.reports.push(report),
-                OutboxNews::Cleared(print, at) => word.cleared.push(ClearWord {
+                OutboxPayload::Report(report) => word.reports.push(report),
+                OutboxPayload::Cleared(print, at) => word.cleared.push(ClearedRequest {
                     print,
                     age: millis(now.saturating_duration_since(at)),
                 }),
@@ -95,7 +95,7 @@
     /// a request that isn't cleared would be refused.
     fn push(&mut self, item: OutboxItem) {
         if self.items.len() >= WAITING_MOST {
-            let is_report = |item: &OutboxItem| matches!(item.news, OutboxNews::Report(_));
+            let is_report = |item: &OutboxItem| matches!(item.news, OutboxPayload::Report(_));
             let oldest = self.items.iter().position(is_report);
             let Some(oldest) = oldest.filter(|_| !is_report(&item)) else {
                 return;
--- a/crates/place/src/crash/print.rs
+++ b/crates/place/src/crash/print.rs
@@ -9,22 +9,22 @@
     /// A hash of all that a server gets of a request, but for what differs between two
     /// attempts of its caller.
     #[derive(Copy, Eq, Hash, PartialOrd, Ord)]
-    pub struct RequestPrint(pub u128);
+    pub struct RequestFingerprint(pub u128);
 }
 
-impl RequestPrint {
+impl RequestFingerprint {
     /// The print in full, for the store.
     pub fn key(self) -> String {
         format!("{:032x}", self.0)
     }
 
-    /// The print that [`RequestPrint::key`] wrote.
+    /// The print that [`RequestFingerprint::key`] wrote.
     pub fn parse(key: &str) -> Option<Self> {
         u128::from_str_radix(key, 16).ok().map(Self)
     }
 }
 
-impl fmt::Display for RequestPrint {
+impl fmt::Display for RequestFingerprint {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(&self.key()[..SHOWN_DIGITS])
     }
--- a/crates/place/src/crash/quarantine.rs
+++ b/crates/place/src/crash/quarantine.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use crate::crash::print::RequestPrint;
-use crate::crash::word::{ClearWord, PrintStatus, StatusWord};
+use crate::crash::print::RequestFingerprint;
+use crate::crash::word::{ClearedRequest, RequestStatus, RequestStatusMessage};
 use crate::fleet::known::millis;
 
 /// How long a request stays in quarantine: time to mend the service, at the price of a few
@@ -27,7 +27,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct StatusRecord {
-    status: PrintStatus,
+    status: RequestStatus,
     since: Instant,
 }
 
@@ -35,53 +35,58 @@
     fn ends(&self) -> Instant {
         self.since
             + match self.status {
-                PrintStatus::Suspect => SUSPECT_TIME,
-                PrintStatus::Quarantined => QUARANTINE_TIME,
+                RequestStatus::Suspect => SUSPECT_TIME,
+                RequestStatus::Quarantined => QUARANTINE_TIME,
             }
     }
 }
 
 /// What is known of requests.
 #[derive(Debug, Default)]
-pub struct QuarantineBook {
-    records: HashMap<RequestPrint, StatusRecord>,
-    cleared: HashMap<RequestPrint, Instant>,
+pub struct QuarantineTable {
+    records: HashMap<RequestFingerprint, StatusRecord>,
+    cleared: HashMap<RequestFingerprint, Instant>,
 }
 
-impl QuarantineBook {
+impl QuarantineTable {
     /// Whether nothing is known of any request.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
     /// Whether something is known of the request.
-    pub fn contains(&self, print: RequestPrint) -> bool {
+    pub fn contains(&self, print: RequestFingerprint) -> bool {
         self.records.contains_key(&print)
     }
 
     /// How much longer the request stays in quarantine; `None` where it isn't.
-    pub fn quarantine_left(&self, now: Instant, print: RequestPrint) -> Option<Duration> {
+    pub fn quarantine_left(&self, now: Instant, print: RequestFingerprint) -> Option<Duration> {
         let record = self.records.get(&print)?;
         let left = record.ends().saturating_duration_since(now);
-        (record.status == PrintStatus::Quarantined && !left.is_zero()).then_some(left)
+        (record.status == RequestStatus::Quarantined && !left.is_zero()).then_some(left)
     }
 
     /// The requests in quarantine.
-    pub fn quarantined(&self) -> impl Iterator<Item = RequestPrint> {
+    pub fn quarantined(&self) -> impl Iterator<Item = RequestFingerprint> {
         self.quarantines().map(|(print, _)| print)
     }
 
     /// The requests in quarantine, and since when.
-    pub fn quarantines(&self) -> impl Iterator<Item = (RequestPrint, Instant)> {
+    pub fn quarantines(&self) -> impl Iterator<Item = (RequestFingerprint, Instant)> {
         let records = self.records.iter();
         records
-            .filter(|(_, record)| record.status == PrintStatus::Quarantined)
+            .filter(|(_, record)| record.status == RequestStatus::Quarantined)
             .map(|(print, record)| (*print, record.since))
     }
 
     /// The request has had this status since `since`; whether it is stricter than the one
     /// known. What was found before the request was cleared is void.
-    pub fn raise(&mut self, print: RequestPrint, status: PrintStatus, since: Instant) -> bool {
+    pub fn raise(
+        &mut self,
+        print: RequestFingerprint,
+        status: RequestStatus,
+        since: Instant,
+    ) -> bool {
         let is_void = self.cleared.get(&print).is_some_and(|at| *at >= since);
         let known = self.records.get(&print).copied();
         let is_known = known.is_some_and(|known| {
@@ -99,7 +104,7 @@
     /// The request was answered well at `at`; whether that is news. The same answer told
     /// again isn't, though it seems later by the time of the trip: leads would tell each
     /// other of it without end.
-    pub fn clear(&mut self, print: RequestPrint, at: Instant) -> bool {
+    pub fn clear(&mut self, print: RequestFingerprint, at: Instant) -> bool {
         let known = self.cleared.get(&print).copied();
         if known.is_none() && self.cleared.len() >= CLEARED_MOST {
             self.forget_oldest_cleared();
@@ -129,8 +134,8 @@
     }
 
     /// All requests with their status, for others.
-    pub fn words(&self, now: Instant) -> Vec<StatusWord> {
-        let word = |(print, record): (&RequestPrint, &StatusRecord)| StatusWord {
+    pub fn words(&self, now: Instant) -> Vec<RequestStatusMessage> {
+        let word = |(print, record): (&RequestFingerprint, &StatusRecord)| RequestStatusMessage {
             print: *print,
             status: record.status,
             age: millis(now.saturating_duration_since(record.since)),
@@ -139,8 +144,8 @@
     }
 
     /// Requests cleared lately, for others.
-    pub fn cleared_words(&self, now: Instant) -> Vec<ClearWord> {
-        let words = self.cleared.iter().map(|(print, at)| ClearWord {
+    pub fn cleared_words(&self, now: Instant) -> Vec<ClearedRequest> {
+        let words = self.cleared.iter().map(|(print, at)| ClearedRequest {
             print: *print,
             age: millis(now.saturating_duration_since(*at)),
         });
@@ -149,17 +154,17 @@
     }
 
     /// Whether there is room for the request, made by a suspect where need be.
-    fn has_room(&mut self, print: RequestPrint, status: PrintStatus) -> bool {
+    fn has_room(&mut self, print: RequestFingerprint, status: RequestStatus) -> bool {
         if self.records.len() < STATUSES_MOST || self.records.contains_key(&print) {
             return true;
         }
         let records = self.records.iter();
         let oldest = records
-            .filter(|(_, record)| record.status == PrintStatus::Suspect)
+            .filter(|(_, record)| record.status == RequestStatus::Suspect)
             .min_by_key(|(_, record)| record.since)
             .map(|(print, _)| *print);
         match oldest {
-            Some(oldest) if status == PrintStatus::Quarantined => {
+            Some(oldest) if status == RequestStatus::Quarantined => {
                 self.records.remove(&oldest);
                 true
             }
--- a/crates/place/src/crash/word.rs
+++ b/crates/place/src/crash/word.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use crate::crash::print::RequestPrint;
+use crate::crash::print::RequestFingerprint;
 
 /// What the store keeps of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct KeptQuarantine {
+pub struct StoredQuarantine {
     /// The request.
-    pub print: RequestPrint,
+    pub print: RequestFingerprint,
     /// How long ago its quarantine began, or was lifted.
     pub age: Duration,
     /// Whether an operator has lifted it.
@@ -22,12 +22,12 @@
         /// Hash of the server's run.
         pub run: u64,
         /// The request.
-        pub print: RequestPrint,
+        pub print: RequestFingerprint,
     }
 
     /// How a request is treated.
     #[derive(Copy, Eq, PartialOrd, Ord)]
-    pub enum PrintStatus {
+    pub enum RequestStatus {
         /// Served as any other; one good answer clears it.
         Suspect,
         /// Refused at once.
@@ -36,37 +36,37 @@
 
     /// The status of a request as entries tell it.
     #[derive(Copy, Eq)]
-    pub struct StatusWord {
+    pub struct RequestStatusMessage {
         /// The request.
-        pub print: RequestPrint,
+        pub print: RequestFingerprint,
         /// How it is treated.
-        pub status: PrintStatus,
+        pub status: RequestStatus,
         /// Milliseconds since it got this status.
         pub age: u32,
     }
 
     /// A request that a server has answered well.
     #[derive(Copy, Eq)]
-    pub struct ClearWord {
+    pub struct ClearedRequest {
         /// The request.
-        pub print: RequestPrint,
+        pub print: RequestFingerprint,
         /// Milliseconds since the answer.
         pub age: u32,
     }
 
     /// One datagram about such requests.
     #[derive(Eq, Default)]
-    pub struct CrashWord {
+    pub struct CrashMessage {
         /// Requests that were at servers when these ended.
         pub reports: Vec<CrashReport>,
         /// Requests that were answered well all the same.
-        pub cleared: Vec<ClearWord>,
+        pub cleared: Vec<ClearedRequest>,
         /// What the sender knows of requests.
-        pub statuses: Vec<StatusWord>,
+        pub statuses: Vec<RequestStatusMessage>,
     }
 }
 
-impl CrashWord {
+impl CrashMessage {
     /// Whether it says nothing.
     pub fn is_empty(&self) -> bool {
         self.reports.is_empty() && self.cleared.is_empty() && self.statuses.is_empty()
--- a/crates/place/src/fleet/member/crashes.rs
+++ b/crates/place/src/fleet/member/crashes.rs
@@ -2,14 +2,14 @@
 
 use std::time::{Duration, Instant};
 
-use crate::crash::print::RequestPrint;
-use crate::crash::word::{CrashReport, CrashWord, KeptQuarantine, PrintStatus};
+use crate::crash::print::RequestFingerprint;
+use crate::crash::word::{CrashMessage, CrashReport, RequestStatus, StoredQuarantine};
 use crate::fleet::member::{BEAT_EVERY, FleetAction, FleetMember, FleetNote};
 use crate::fleet::message::PeerMessage;
 
 impl FleetMember {
     /// How much longer the request is refused; `None` where it isn't.
-    pub fn quarantine_left(&self, now: Instant, print: RequestPrint) -> Option<Duration> {
+    pub fn quarantine_left(&self, now: Instant, print: RequestFingerprint) -> Option<Duration> {
         self.quarantine.quarantine_left(now, print)
     }
 
@@ -25,12 +25,12 @@
     }
 
     /// Whether a good answer to the request is news.
-    pub fn suspects(&self, print: RequestPrint) -> bool {
+    pub fn suspects(&self, print: RequestFingerprint) -> bool {
         self.quarantine.contains(print) || self.ledger.suspects(print)
     }
 
     /// The requests in quarantine.
-    pub fn quarantined(&self) -> impl Iterator<Item = RequestPrint> {
+    pub fn quarantined(&self) -> impl Iterator<Item = RequestFingerprint> {
         self.quarantine.quarantined()
     }
 
@@ -45,7 +45,7 @@
     pub(super) fn on_cleared(
         &mut self,
         now: Instant,
-        print: RequestPrint,
+        print: RequestFingerprint,
         actions: &mut Vec<FleetAction>,
     ) {
         let was_held = self.quarantine.contains(print);
@@ -57,10 +57,10 @@
     pub(super) fn on_crash_word(
         &mut self,
         now: Instant,
-        word: &CrashWord,
+        word: &CrashMessage,
         actions: &mut Vec<FleetAction>,
     ) {
-        let mut news = CrashWord::default();
+        let mut news = CrashMessage::default();
         for cleared in &word.cleared {
             let at = ago(now, cleared.age);
             if self.clear(at, cleared.print, actions) {
@@ -90,7 +90,7 @@
     pub(super) fn on_kept(
         &mut self,
         now: Instant,
-        rows: &[KeptQuarantine],
+        rows: &[StoredQuarantine],
         actions: &mut Vec<FleetAction>,
     ) {
         for row in rows {
@@ -99,7 +99,7 @@
                 self.clear(now, row.print, actions);
             } else if self
                 .quarantine
-                .raise(row.print, PrintStatus::Quarantined, since)
+                .raise(row.print, RequestStatus::Quarantined, since)
             {
                 actions.push(FleetAction::Note(FleetNote::Quarantined(row.print)));
                 self.statuses_due = now;
@@ -111,9 +111,9 @@
         }
     }
 
-    fn mend_rows(&self, now: Instant, rows: &[KeptQuarantine], actions: &mut Vec<FleetAction>) {
+    fn mend_rows(&self, now: Instant, rows: &[StoredQuarantine], actions: &mut Vec<FleetAction>) {
         let prints = rows.iter().map(|row| row.print);
-        let is_over = |print: &RequestPrint| self.quarantine_left(now, *print).is_none();
+        let is_over = |print: &RequestFingerprint| self.quarantine_left(now, *print).is_none();
         drop_rows(prints.filter(is_over).collect(), actions);
         let is_kept = |print| rows.iter().any(|row| row.print == print);
         let quarantines = self.quarantines(now);
@@ -173,7 +173,7 @@
     /// Tells the entries of the region and the other leads what is held of requests.
     fn tell_statuses(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         self.statuses_due = now + BEAT_EVERY;
-        let word = CrashWord {
+        let word = CrashMessage {
             reports: Vec::new(),
             cleared: self.quarantine.cleared_words(now),
             statuses: self.quarantine.words(now),
@@ -188,7 +188,12 @@
     }
 
     /// The request was answered well at `at`; whether that is news.
-    fn clear(&mut self, at: Instant, print: RequestPrint, actions: &mut Vec<FleetAction>) -> bool {
+    fn clear(
+        &mut self,
+        at: Instant,
+        print: RequestFingerprint,
+        actions: &mut Vec<FleetAction>,
+    ) -> bool {
         let was_held = self.quarantine.contains(print);
         let was_suspect = self.ledger.clear(print);
         let is_news = self.quarantine.clear(print, at);
@@ -203,7 +208,7 @@
     }
 
     /// The requests in quarantine, and how long ago they were put there.
-    fn quarantines(&self, now: Instant) -> impl Iterator<Item = (RequestPrint, Duration)> {
+    fn quarantines(&self, now: Instant) -> impl Iterator<Item = (RequestFingerprint, Duration)> {
         let quarantines = self.quarantine.quarantines();
         quarantines.map(move |(print, since)| (print, now.saturating_duration_since(since)))
     }
@@ -212,11 +217,11 @@
     fn on_raised(
         &mut self,
         now: Instant,
-        print: RequestPrint,
-        status: PrintStatus,
+        print: RequestFingerprint,
+        status: RequestStatus,
         actions: &mut Vec<FleetAction>,
     ) {
-        if status == PrintStatus::Suspect {
+        if status == RequestStatus::Suspect {
             actions.push(FleetAction::Note(FleetNote::Suspected(print)));
             return;
         }
@@ -227,13 +232,13 @@
     }
 }
 
-fn keep(quarantines: Vec<(RequestPrint, Duration)>, actions: &mut Vec<FleetAction>) {
+fn keep(quarantines: Vec<(RequestFingerprint, Duration)>, actions: &mut Vec<FleetAction>) {
     if !quarantines.is_empty() {
         actions.push(FleetAction::KeepQuarantines(quarantines));
     }
 }
 
-fn drop_rows(prints: Vec<RequestPrint>, actions: &mut Vec<FleetAction>) {
+fn drop_rows(prints: Vec<RequestFingerprint>, actions: &mut Vec<FleetAction>) {
     if !prints.is_empty() {
         actions.push(FleetAction::DropQuarantines(prints));
     }
--- a/crates/place/src/fleet/member/mod.rs
+++ b/crates/place/src/fleet/member/mod.rs
@@ -15,9 +15,9 @@
 
 use crate::crash::ledger::CrashLedger;
 use crate::crash::outbox::CrashOutbox;
-use crate::crash::print::RequestPrint;
-use crate::crash::quarantine::QuarantineBook;
-use crate::crash::word::{CrashReport, KeptQuarantine};
+use crate::crash::print::RequestFingerprint;
+use crate::crash::quarantine::QuarantineTable;
+use crate::crash::word::{CrashReport, StoredQuarantine};
 use crate::fleet::clock::{StoreClock, StoreTime};
 use crate::fleet::doubt::ContentDoubt;
 use crate::fleet::follow::{PullState, PullTarget};
@@ -105,11 +105,11 @@
     /// The store's rows of leads: regions and addresses.
     Rows(Vec<(String, SocketAddr)>),
     /// The store's rows of requests in quarantine.
-    Kept(Vec<KeptQuarantine>),
+    Kept(Vec<StoredQuarantine>),
     /// Requests of this entry that were at a server when it ended.
     Crashed(Vec<CrashReport>),
     /// A server answered a request well that had been at one that ended.
-    Cleared(RequestPrint),
+    Cleared(RequestFingerprint),
 }
 
 /// What the entry is to do.
@@ -128,9 +128,9 @@
     /// Write the region's row of leads.
     WriteRow(Vec<SocketAddr>),
     /// Write rows of requests in quarantine, and how long ago they were put there.
-    KeepQuarantines(Vec<(RequestPrint, Duration)>),
+    KeepQuarantines(Vec<(RequestFingerprint, Duration)>),
     /// Delete the rows of requests that are in quarantine no longer.
-    DropQuarantines(Vec<RequestPrint>),
+    DropQuarantines(Vec<RequestFingerprint>),
     /// What is known of the registry is as fresh as of this time.
     Confirm(Instant),
     /// The entries that get requests have changed.
@@ -147,11 +147,11 @@
     /// It leads no longer, for the entry that is named.
     Follows(String),
     /// A request was at two servers when they ended.
-    Suspected(RequestPrint),
+    Suspected(RequestFingerprint),
     /// A request has ended servers and is refused from now on.
-    Quarantined(RequestPrint),
+    Quarantined(RequestFingerprint),
     /// A request that something was held of was answered well.
-    Cleared(RequestPrint),
+    Cleared(RequestFingerprint),
     /// Its region's reader and deputy.
     Leaders(Vec<String>),
     /// The region's leads are silent.
@@ -201,7 +201,7 @@
     row: Vec<SocketAddr>,
     /// Which requests were at servers when these ended.
     ledger: CrashLedger,
-    quarantine: QuarantineBook,
+    quarantine: QuarantineTable,
     outbox: CrashOutbox,
     statuses_due: Instant,
 }
@@ -238,7 +238,7 @@
             rows_due: now,
             row: Vec::new(),
             ledger: CrashLedger::default(),
-            quarantine: QuarantineBook::default(),
+            quarantine: QuarantineTable::default(),
             outbox: CrashOutbox::default(),
             statuses_due: now,
             config,
--- a/crates/place/src/fleet/message.rs
+++ b/crates/place/src/fleet/message.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use crate::crash::word::CrashWord;
+use crate::crash::word::CrashMessage;
 use crate::fleet::front::FrontEntry;
 use crate::fleet::known::StoreWord;
 use crate::fleet::list::ListVersion;
@@ -25,7 +25,7 @@
         Load(LoadBeat),
         /// Requests under which servers ended; from an entry to its leads, among leads,
         /// and from leads to the entries of their region.
-        Crash(CrashWord),
+        Crash(CrashMessage),
         /// How requests fare in rollouts; among the entries that get requests, and to leads.
         Rollout(RolloutBeat),
     }
--- a/crates/place/tests/crash_load.rs
+++ b/crates/place/tests/crash_load.rs
@@ -7,14 +7,14 @@
 use std::time::{Duration, Instant};
 
 use fleet_world::{FleetWorld, ms};
-use place::crash::print::RequestPrint;
+use place::crash::print::RequestFingerprint;
 use place::crash::word::CrashReport;
 use place::prelude::*;
 use place::rank::pair_weight;
 
 const STEP: Duration = Duration::from_millis(10);
 /// The request that ends servers, and how long it runs before.
-const FATAL: RequestPrint = RequestPrint(1);
+const FATAL: RequestFingerprint = RequestFingerprint(1);
 const FATAL_TIME: Duration = Duration::from_millis(80);
 /// Servers of the service, and requests at each of them at most.
 const SERVERS: usize = 22;
@@ -36,7 +36,7 @@
 
 #[derive(Clone)]
 struct Job {
-    print: RequestPrint,
+    print: RequestFingerprint,
     entry: usize,
     ends: Instant,
     repeats: bool,
@@ -125,7 +125,7 @@
         for _ in 0..4 {
             if self.happens(ARRIVALS / 4.0) {
                 self.prints += 1;
-                let print = RequestPrint(self.prints);
+                let print = RequestFingerprint(self.prints);
                 let repeats = self.draw() < 0.7;
                 self.send(print, repeats, 0);
             }
@@ -139,12 +139,12 @@
         }
     }
 
-    fn send(&mut self, print: RequestPrint, repeats: bool, sends: u32) {
+    fn send(&mut self, print: RequestFingerprint, repeats: bool, sends: u32) {
         let entry = self.pick(self.world.entries.len());
         self.send_from(entry, print, repeats, sends);
     }
 
-    fn send_from(&mut self, entry: usize, print: RequestPrint, repeats: bool, sends: u32) {
+    fn send_from(&mut self, entry: usize, print: RequestFingerprint, repeats: bool, sends: u32) {
         let now = self.world.now;
         let member = &self.world.entries[entry].member;
         if member.quarantine_left(now, print).is_some() {
--- a/crates/place/tests/crashes.rs
+++ b/crates/place/tests/crashes.rs
@@ -8,15 +8,15 @@
 use fleet_world::{FleetWorld, ms};
 use place::crash::ledger::CrashLedger;
 use place::crash::outbox::CrashOutbox;
-use place::crash::print::RequestPrint;
-use place::crash::quarantine::QuarantineBook;
-use place::crash::word::{CrashReport, PrintStatus};
+use place::crash::print::RequestFingerprint;
+use place::crash::quarantine::QuarantineTable;
+use place::crash::word::{CrashReport, RequestStatus};
 use place::prelude::*;
 use proptest::prelude::*;
 
-const FATAL: RequestPrint = RequestPrint(1);
+const FATAL: RequestFingerprint = RequestFingerprint(1);
 
-fn report(run: u64, print: RequestPrint) -> CrashReport {
+fn report(run: u64, print: RequestFingerprint) -> CrashReport {
     CrashReport { run, print }
 }
 
@@ -191,7 +191,7 @@
 /// request is served.
 #[test]
 fn a_quarantine_ends_and_returns() {
-    let (mut ledger, mut book) = (CrashLedger::default(), QuarantineBook::default());
+    let (mut ledger, mut book) = (CrashLedger::default(), QuarantineTable::default());
     let mut now = Instant::now();
     for run in 0..3 {
         ledger.on_report(now, report(run, FATAL));
@@ -200,7 +200,7 @@
     let left = book.quarantine_left(now, FATAL).unwrap();
     now += left + ms(1);
     book.forget(now);
-    ledger.on_report(now, report(50, RequestPrint(7)));
+    ledger.on_report(now, report(50, RequestFingerprint(7)));
     ledger.review(now, &mut book);
     assert_eq!(book.quarantine_left(now, FATAL), None);
     now += ms(1);
@@ -212,11 +212,11 @@
 /// Promise: requests that never part are both refused in the end, not served for good.
 #[test]
 fn inseparable_requests_are_found_out() {
-    let (mut ledger, mut book) = (CrashLedger::default(), QuarantineBook::default());
+    let (mut ledger, mut book) = (CrashLedger::default(), QuarantineTable::default());
     let now = Instant::now();
     for run in 0..5 {
         ledger.on_report(now, report(run, FATAL));
-        ledger.on_report(now, report(run, RequestPrint(2)));
+        ledger.on_report(now, report(run, RequestFingerprint(2)));
     }
     ledger.review(now, &mut book);
     assert_eq!(book.quarantined().count(), 2);
@@ -225,15 +225,15 @@
 /// Promise: a request is cleared however many others were before.
 #[test]
 fn one_among_many_is_cleared() {
-    let mut book = QuarantineBook::default();
+    let mut book = QuarantineTable::default();
     let now = Instant::now();
     for print in 100..1000 {
-        book.clear(RequestPrint(print), now);
+        book.clear(RequestFingerprint(print), now);
     }
-    book.raise(FATAL, PrintStatus::Quarantined, now);
+    book.raise(FATAL, RequestStatus::Quarantined, now);
     assert!(book.clear(FATAL, now + ms(1)));
     assert_eq!(book.quarantined().count(), 0);
-    assert!(!book.raise(FATAL, PrintStatus::Quarantined, now));
+    assert!(!book.raise(FATAL, RequestStatus::Quarantined, now));
 }
 
 /// Promise: what is cleared is told also where many reports wait.
@@ -242,7 +242,7 @@
     let mut outbox = CrashOutbox::default();
     let now = Instant::now();
     for print in 100..1000 {
-        outbox.on_report(now, report(1, RequestPrint(print)));
+        outbox.on_report(now, report(1, RequestFingerprint(print)));
     }
     outbox.on_cleared(now, FATAL, true);
     let word = outbox.take(now + ms(1));
@@ -253,12 +253,12 @@
 /// Promise: a request that was caught often beside the cause is not taken for it.
 #[test]
 fn a_constant_companion_is_not_refused() {
-    let (mut ledger, mut book) = (CrashLedger::default(), QuarantineBook::default());
+    let (mut ledger, mut book) = (CrashLedger::default(), QuarantineTable::default());
     let now = Instant::now();
     for run in 0..8 {
         ledger.on_report(now, report(run, FATAL));
         if run < 6 {
-            ledger.on_report(now, report(run, RequestPrint(2)));
+            ledger.on_report(now, report(run, RequestFingerprint(2)));
         }
     }
     ledger.review(now, &mut book);
@@ -268,10 +268,10 @@
 /// Promise: where servers end whatever they run, few callers are refused for it.
 #[test]
 fn a_service_that_ends_by_itself_refuses_few() {
-    let (mut ledger, mut book) = (CrashLedger::default(), QuarantineBook::default());
+    let (mut ledger, mut book) = (CrashLedger::default(), QuarantineTable::default());
     let now = Instant::now();
     for run in 0..400 {
-        ledger.on_report(now, report(run, RequestPrint(u128::from(run % 50))));
+        ledger.on_report(now, report(run, RequestFingerprint(u128::from(run % 50))));
         ledger.review(now, &mut book);
     }
     assert!(book.quarantined().count() <= 8);
@@ -290,28 +290,28 @@
     /// end by themselves as well; the cause is refused once it ended enough servers.
     #[test]
     fn bystanders_are_never_refused(ends in ends()) {
-        let (mut ledger, mut book) = (CrashLedger::default(), QuarantineBook::default());
+        let (mut ledger, mut book) = (CrashLedger::default(), QuarantineTable::default());
         let mut now = Instant::now();
         let mut fatal_ends = 0;
         for (run, (bystanders, is_fatal)) in ends.into_iter().enumerate() {
             let run = run as u64;
             for print in &bystanders {
-                ledger.on_report(now, report(run, RequestPrint(*print)));
+                ledger.on_report(now, report(run, RequestFingerprint(*print)));
             }
             if is_fatal {
                 ledger.on_report(now, report(run, FATAL));
                 fatal_ends += 1;
             }
             let news = ledger.review(now, &mut book);
-            let refused = |print: &RequestPrint| {
-                news.contains(&(*print, PrintStatus::Quarantined)) && *print != FATAL
+            let refused = |print: &RequestFingerprint| {
+                news.contains(&(*print, RequestStatus::Quarantined)) && *print != FATAL
             };
-            prop_assert!(!bystanders.iter().any(|print| refused(&RequestPrint(*print))));
+            prop_assert!(!bystanders.iter().any(|print| refused(&RequestFingerprint(*print))));
             // They run again on another server, and are answered.
             now += ms(200);
             for print in &bystanders {
-                ledger.clear(RequestPrint(*print));
-                book.clear(RequestPrint(*print), now);
+                ledger.clear(RequestFingerprint(*print));
+                book.clear(RequestFingerprint(*print), now);
             }
             now += Duration::from_millis(50);
             if book.quarantine_left(now, FATAL).is_some() {
--- a/crates/place/tests/fleet_world/mod.rs
+++ b/crates/place/tests/fleet_world/mod.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use place::crash::print::RequestPrint;
-use place::crash::word::KeptQuarantine;
+use place::crash::print::RequestFingerprint;
+use place::crash::word::StoredQuarantine;
 use place::fleet::clock::StoreTime;
 use place::fleet::follow::{PullScope, PullTarget};
 use place::fleet::log::log_version;
@@ -149,7 +149,7 @@
     sent: u64,
     row: Vec<(String, SocketAddr)>,
     /// The store's rows of requests in quarantine: since when, and whether lifted.
-    pub kept: BTreeMap<RequestPrint, (Instant, bool)>,
+    pub kept: BTreeMap<RequestFingerprint, (Instant, bool)>,
     queue: BinaryHeap<Reverse<Arrival>>,
     number: u64,
     seeds: Vec<usize>,
@@ -340,7 +340,7 @@
             Delivery::WatchTold { operator, time } => self.end_watch(to, Some((operator, time))),
             Delivery::Rows => {
                 let kept = self.kept.iter();
-                let kept = kept.map(|(print, (at, lifted))| KeptQuarantine {
+                let kept = kept.map(|(print, (at, lifted))| StoredQuarantine {
                     print: *print,
                     age: self.now - *at,
                     lifted: *lifted,
