--- a/crates/place/src/crash/ledger.rs
+++ b/crates/place/src/crash/ledger.rs
@@ -10,28 +10,28 @@
 
 /// Servers that a request may end before it is put into quarantine. Two may be chance: a
 /// request and its repeat that each met a server on its way down.
-const FREE_ENDS: usize = 3;
+const QUARANTINE_CRASHES: usize = 3;
 /// Ends after which a request is a suspect everywhere: all entries look out for a good
 /// answer to it.
-const SUSPECT_ENDS: usize = 2;
+const SUSPECT_CRASHES: usize = 2;
 /// Ends from which a request counts as a cause although another was at the same servers:
 /// two that never part can't be told from each other.
-const INSEPARABLE_ENDS: usize = 5;
+const INSEPARABLE_CRASHES: usize = 5;
 /// Requests in quarantine at once. Where more seem to end servers, it is the servers that
 /// end, whatever they run, and refusing callers would only add to it.
-const QUARANTINES_MOST: usize = 8;
+const MAX_QUARANTINED: usize = 8;
 /// Time from the first news until the cause is looked for, so that the words of all entries that had
 /// requests at the server are in: several trips between regions.
-const SETTLE_TIME: Duration = Duration::from_millis(300);
+const REVIEW_DELAY: Duration = Duration::from_millis(300);
 /// How long an end counts: a request that comes every few minutes is found out as well.
-const EVIDENCE_TIME: Duration = Duration::from_secs(1800);
+const CRASH_TTL: Duration = Duration::from_secs(1800);
 /// How long after the last news good answers are compared with the suspects: the longest
 /// time that a repeat takes.
-const FRESH_TIME: Duration = Duration::from_secs(10);
+const RECENT_REPORTS_TIME: Duration = Duration::from_secs(10);
 /// Ends kept at most; with all suspects 0.6 MB.
-const ENDS_KEPT: usize = 512;
+const MAX_CRASHES: usize = 512;
 /// Suspects of one end: all that a server runs and queues.
-const SUSPECTS_MOST: usize = 64;
+const MAX_SUSPECTS_PER_CRASH: usize = 64;
 
 /// The end of a server.
 #[derive(Debug)]
@@ -72,13 +72,13 @@
         let end = &mut self.ends[index];
         let print = report.print;
         let is_known = end.suspects.contains(&print) || end.cleared.contains(&print);
-        if is_known || end.suspects.len() >= SUSPECTS_MOST {
+        if is_known || end.suspects.len() >= MAX_SUSPECTS_PER_CRASH {
             return false;
         }
         end.suspects.push(print);
         *self.totals.entry(print).or_default() += 1;
         self.newest = Some(now);
-        self.review_due = self.review_due.or(Some(now + SETTLE_TIME));
+        self.review_due = self.review_due.or(Some(now + REVIEW_DELAY));
         true
     }
 
@@ -106,7 +106,7 @@
     /// Whether there were news lately.
     pub fn is_fresh(&self, now: Instant) -> bool {
         let age = self.newest.map(|at| now.saturating_duration_since(at));
-        age.is_some_and(|age| age < FRESH_TIME)
+        age.is_some_and(|age| age < RECENT_REPORTS_TIME)
     }
 
     /// When the cause is to be looked for next.
@@ -130,7 +130,7 @@
         self.forget(now);
         let mut raised = Vec::new();
         for print in self.often_seen() {
-            let room = book.quarantines().count() < QUARANTINES_MOST;
+            let room = book.quarantines().count() < MAX_QUARANTINED;
             let status = if room && self.is_cause(print) {
                 self.quarantined_at.insert(print, now);
                 RequestStatus::Quarantined
@@ -149,7 +149,7 @@
     /// Requests that were at several servers when these ended, those at most of them first.
     fn often_seen(&self) -> Vec<RequestFingerprint> {
         let totals = self.totals.iter();
-        let often = totals.filter(|(_, total)| **total >= SUSPECT_ENDS);
+        let often = totals.filter(|(_, total)| **total >= SUSPECT_CRASHES);
         let mut prints: Vec<RequestFingerprint> = often.map(|(print, _)| *print).collect();
         prints.sort_unstable_by_key(|print| (Reverse(self.total(*print)), *print));
         prints
@@ -167,13 +167,13 @@
         let is_new = explained
             .iter()
             .any(|end| since.is_none_or(|at| end.at > *at));
-        explained.len() >= FREE_ENDS && is_new
+        explained.len() >= QUARANTINE_CRASHES && is_new
     }
 
     /// Whether no other request that was there has been at as many ends.
     fn explains(&self, print: RequestFingerprint, end: &ServerCrash) -> bool {
         let total = self.total(print);
-        let most = if total >= INSEPARABLE_ENDS {
+        let most = if total >= INSEPARABLE_CRASHES {
             total
         } else {
             total - 1
@@ -189,7 +189,7 @@
     fn forget(&mut self, now: Instant) {
         while let Some(oldest) = self.ends.front() {
             let age = now.saturating_duration_since(oldest.at);
-            if age < EVIDENCE_TIME && self.ends.len() <= ENDS_KEPT {
+            if age < CRASH_TTL && self.ends.len() <= MAX_CRASHES {
                 return;
             }
             let Some(oldest) = self.ends.pop_front() else {
--- a/crates/place/src/crash/outbox.rs
+++ b/crates/place/src/crash/outbox.rs
@@ -9,14 +9,14 @@
 
 /// A report is held for this long: most requests that were caught beside the cause are
 /// answered by another server meanwhile, and need not be told.
-const HOLD_TIME: Duration = Duration::from_millis(200);
+const REPORT_DELAY: Duration = Duration::from_millis(200);
 /// Time between two tellings of the same.
-const RETELL_EVERY: Duration = Duration::from_millis(400);
+const RESEND_INTERVAL: Duration = Duration::from_millis(400);
 /// How often the same is told: for longer than a region without leads takes to find new
 /// ones.
-const TELLINGS: u32 = 8;
+const MAX_SENDS: u32 = 8;
 /// Reports and clearings that wait at most; 48 bytes each. A datagram holds as many.
-const WAITING_MOST: usize = 256;
+const MAX_QUEUED: usize = 256;
 
 /// Something to be told.
 #[derive(Debug, Clone, Copy)]
@@ -43,7 +43,7 @@
     pub fn on_report(&mut self, now: Instant, report: CrashReport) {
         self.push(OutboxItem {
             news: OutboxPayload::Report(report),
-            due: now + HOLD_TIME,
+            due: now + REPORT_DELAY,
             told: 0,
         });
     }
@@ -77,7 +77,7 @@
             if item.due > now {
                 continue;
             }
-            item.due = now + RETELL_EVERY;
+            item.due = now + RESEND_INTERVAL;
             item.told += 1;
             match item.news {
                 OutboxPayload::Report(report) => word.reports.push(report),
@@ -87,14 +87,14 @@
                 }),
             }
         }
-        self.items.retain(|item| item.told < TELLINGS);
+        self.items.retain(|item| item.told < MAX_SENDS);
         word
     }
 
     /// Adds `item`, if there is room; a clearing takes the place of the oldest report, since
     /// a request that isn't cleared would be refused.
     fn push(&mut self, item: OutboxItem) {
-        if self.items.len() >= WAITING_MOST {
+        if self.items.len() >= MAX_QUEUED {
             let is_report = |item: &OutboxItem| matches!(item.news, OutboxPayload::Report(_));
             let oldest = self.items.iter().position(is_report);
             let Some(oldest) = oldest.filter(|_| !is_report(&item)) else {
--- a/crates/place/src/crash/print.rs
+++ b/crates/place/src/crash/print.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 /// Digits of a print that logs show: enough to find it again.
-const SHOWN_DIGITS: usize = 12;
+const DISPLAY_DIGITS: usize = 12;
 
 base::common! {
     /// A hash of all that a server gets of a request, but for what differs between two
@@ -26,6 +26,6 @@
 
 impl fmt::Display for RequestFingerprint {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str(&self.key()[..SHOWN_DIGITS])
+        formatter.write_str(&self.key()[..DISPLAY_DIGITS])
     }
 }
--- a/crates/place/src/crash/quarantine.rs
+++ b/crates/place/src/crash/quarantine.rs
@@ -9,21 +9,21 @@
 
 /// How long a request stays in quarantine: time to mend the service, at the price of a few
 /// servers each time that it is tried again.
-const QUARANTINE_TIME: Duration = Duration::from_secs(900);
+const QUARANTINE_TTL: Duration = Duration::from_secs(900);
 /// How long all entries look out for a good answer to a suspect.
-const SUSPECT_TIME: Duration = Duration::from_secs(60);
+const SUSPECT_TTL: Duration = Duration::from_secs(60);
 /// How long a cleared request is safe from what was found before.
-const CLEARED_TIME: Duration = Duration::from_secs(60);
+const CLEARED_TTL: Duration = Duration::from_secs(60);
 /// How long others are told that a request is cleared: several tellings.
-const CLEARED_TOLD: Duration = Duration::from_secs(3);
+const CLEARED_SEND_TIME: Duration = Duration::from_secs(3);
 /// Words of the same status whose times differ by less are the same one: each entry that
 /// tells it on adds the time of the trip.
-const SAME_STATUS: Duration = Duration::from_secs(5);
+const SAME_STATUS_TOLERANCE: Duration = Duration::from_secs(5);
 /// Requests kept at most: a datagram of 3 kB holds them all. Those in quarantine stay
 /// where suspects make room.
-const STATUSES_MOST: usize = 128;
+const MAX_STATUSES: usize = 128;
 /// Clearings kept at most; the oldest make room.
-const CLEARED_MOST: usize = 256;
+const MAX_CLEARED: usize = 256;
 
 #[derive(Debug, Clone, Copy)]
 struct StatusRecord {
@@ -35,8 +35,8 @@
     fn ends(&self) -> Instant {
         self.since
             + match self.status {
-                RequestStatus::Suspect => SUSPECT_TIME,
-                RequestStatus::Quarantined => QUARANTINE_TIME,
+                RequestStatus::Suspect => SUSPECT_TTL,
+                RequestStatus::Quarantined => QUARANTINE_TTL,
             }
     }
 }
@@ -90,7 +90,7 @@
         let is_void = self.cleared.get(&print).is_some_and(|at| *at >= since);
         let known = self.records.get(&print).copied();
         let is_known = known.is_some_and(|known| {
-            let is_older = since < known.since + SAME_STATUS;
+            let is_older = since < known.since + SAME_STATUS_TOLERANCE;
             known.status > status || (known.status == status && is_older)
         });
         if is_void || is_known || !self.has_room(print, status) {
@@ -106,7 +106,7 @@
     /// other of it without end.
     pub fn clear(&mut self, print: RequestFingerprint, at: Instant) -> bool {
         let known = self.cleared.get(&print).copied();
-        if known.is_none() && self.cleared.len() >= CLEARED_MOST {
+        if known.is_none() && self.cleared.len() >= MAX_CLEARED {
             self.forget_oldest_cleared();
         }
         let latest = known.map_or(at, |known| known.max(at));
@@ -123,7 +123,7 @@
     pub fn forget(&mut self, now: Instant) {
         self.records.retain(|_, record| record.ends() > now);
         self.cleared
-            .retain(|_, at| now.saturating_duration_since(*at) < CLEARED_TIME);
+            .retain(|_, at| now.saturating_duration_since(*at) < CLEARED_TTL);
     }
 
     fn forget_oldest_cleared(&mut self) {
@@ -149,13 +149,13 @@
             print: *print,
             age: millis(now.saturating_duration_since(*at)),
         });
-        let told = CLEARED_TOLD.as_millis();
+        let told = CLEARED_SEND_TIME.as_millis();
         words.filter(|word| u128::from(word.age) < told).collect()
     }
 
     /// Whether there is room for the request, made by a suspect where need be.
     fn has_room(&mut self, print: RequestFingerprint, status: RequestStatus) -> bool {
-        if self.records.len() < STATUSES_MOST || self.records.contains_key(&print) {
+        if self.records.len() < MAX_STATUSES || self.records.contains_key(&print) {
             return true;
         }
         let records = self.records.iter();
