--- a/crates/place/src/crash/ledger.rs
+++ b/crates/place/src/crash/ledger.rs
@@ -4,7 +4,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use crate::crash::print::RequestFingerprint;
+use crate::crash::fingerprint::RequestFingerprint;
 use crate::crash::quarantine::QuarantineTable;
 use crate::crash::word::{CrashReport, RequestStatus};
 
@@ -46,7 +46,7 @@
 /// The ends of servers that are known, and the requests that were at them.
 #[derive(Debug, Default)]
 pub struct CrashLedger {
-    ends: VecDeque<ServerCrash>,
+    crashes: VecDeque<ServerCrash>,
     /// Ends for each suspect.
     totals: HashMap<RequestFingerprint, usize>,
     /// When suspects were last put into quarantine.
@@ -58,25 +58,25 @@
 impl CrashLedger {
     /// Takes in that a request was at a server when it ended; whether that is news.
     pub fn on_report(&mut self, now: Instant, report: CrashReport) -> bool {
-        self.forget(now);
-        let found = self.ends.iter().position(|end| end.run == report.run);
+        self.drop_expired(now);
+        let found = self.crashes.iter().position(|end| end.run == report.run);
         let index = found.unwrap_or_else(|| {
-            self.ends.push_back(ServerCrash {
+            self.crashes.push_back(ServerCrash {
                 run: report.run,
                 at: now,
                 suspects: Vec::new(),
                 cleared: Vec::new(),
             });
-            self.ends.len() - 1
+            self.crashes.len() - 1
         });
-        let end = &mut self.ends[index];
-        let print = report.print;
-        let is_known = end.suspects.contains(&print) || end.cleared.contains(&print);
+        let end = &mut self.crashes[index];
+        let fingerprint = report.fingerprint;
+        let is_known = end.suspects.contains(&fingerprint) || end.cleared.contains(&fingerprint);
         if is_known || end.suspects.len() >= MAX_SUSPECTS_PER_CRASH {
             return false;
         }
-        end.suspects.push(print);
-        *self.totals.entry(print).or_default() += 1;
+        end.suspects.push(fingerprint);
+        *self.totals.entry(fingerprint).or_default() += 1;
         self.newest = Some(now);
         self.review_due = self.review_due.or(Some(now + REVIEW_DELAY));
         true
@@ -84,27 +84,27 @@
 
     /// The request was answered well: it is no suspect of the ends that are known. Whether
     /// it was one.
-    pub fn clear(&mut self, print: RequestFingerprint) -> bool {
-        if self.totals.remove(&print).is_none() {
+    pub fn clear(&mut self, fingerprint: RequestFingerprint) -> bool {
+        if self.totals.remove(&fingerprint).is_none() {
             return false;
         }
-        self.quarantined_at.remove(&print);
-        for end in &mut self.ends {
-            if let Some(index) = end.suspects.iter().position(|known| *known == print) {
+        self.quarantined_at.remove(&fingerprint);
+        for end in &mut self.crashes {
+            if let Some(index) = end.suspects.iter().position(|known| *known == fingerprint) {
                 end.suspects.swap_remove(index);
-                end.cleared.push(print);
+                end.cleared.push(fingerprint);
             }
         }
         true
     }
 
     /// Whether the request is a suspect.
-    pub fn suspects(&self, print: RequestFingerprint) -> bool {
-        self.totals.contains_key(&print)
+    pub fn suspects(&self, fingerprint: RequestFingerprint) -> bool {
+        self.totals.contains_key(&fingerprint)
     }
 
     /// Whether there were news lately.
-    pub fn is_fresh(&self, now: Instant) -> bool {
+    pub fn has_recent_reports(&self, now: Instant) -> bool {
         let age = self.newest.map(|at| now.saturating_duration_since(at));
         age.is_some_and(|age| age < RECENT_REPORTS_TIME)
     }
@@ -127,80 +127,80 @@
         book: &mut QuarantineTable,
     ) -> Vec<(RequestFingerprint, RequestStatus)> {
         self.review_due = None;
-        self.forget(now);
+        self.drop_expired(now);
         let mut raised = Vec::new();
-        for print in self.often_seen() {
+        for fingerprint in self.frequent_suspects() {
             let room = book.quarantines().count() < MAX_QUARANTINED;
-            let status = if room && self.is_cause(print) {
-                self.quarantined_at.insert(print, now);
+            let status = if room && self.is_cause(fingerprint) {
+                self.quarantined_at.insert(fingerprint, now);
                 RequestStatus::Quarantined
-            } else if !book.contains(print) {
+            } else if !book.contains(fingerprint) {
                 RequestStatus::Suspect
             } else {
                 continue;
             };
-            if book.raise(print, status, now) {
-                raised.push((print, status));
+            if book.raise(fingerprint, status, now) {
+                raised.push((fingerprint, status));
             }
         }
         raised
     }
 
     /// Requests that were at several servers when these ended, those at most of them first.
-    fn often_seen(&self) -> Vec<RequestFingerprint> {
+    fn frequent_suspects(&self) -> Vec<RequestFingerprint> {
         let totals = self.totals.iter();
         let often = totals.filter(|(_, total)| **total >= SUSPECT_CRASHES);
-        let mut prints: Vec<RequestFingerprint> = often.map(|(print, _)| *print).collect();
-        prints.sort_unstable_by_key(|print| (Reverse(self.total(*print)), *print));
+        let mut prints: Vec<RequestFingerprint> = often.map(|(fingerprint, _)| *fingerprint).collect();
+        prints.sort_unstable_by_key(|fingerprint| (Reverse(self.total(*fingerprint)), *fingerprint));
         prints
     }
 
     /// Whether the request alone explains enough ends, one of them since it was last put
     /// into quarantine.
-    fn is_cause(&self, print: RequestFingerprint) -> bool {
-        let explained: Vec<&ServerCrash> = self
-            .ends
+    fn is_cause(&self, fingerprint: RequestFingerprint) -> bool {
+        let explained_crashes: Vec<&ServerCrash> = self
+            .crashes
             .iter()
-            .filter(|end| end.suspects.contains(&print) && self.explains(print, end))
+            .filter(|end| end.suspects.contains(&fingerprint) && self.explains(fingerprint, end))
             .collect();
-        let since = self.quarantined_at.get(&print);
-        let is_new = explained
+        let since = self.quarantined_at.get(&fingerprint);
+        let is_new = explained_crashes
             .iter()
             .any(|end| since.is_none_or(|at| end.at > *at));
-        explained.len() >= QUARANTINE_CRASHES && is_new
+        explained_crashes.len() >= QUARANTINE_CRASHES && is_new
     }
 
     /// Whether no other request that was there has been at as many ends.
-    fn explains(&self, print: RequestFingerprint, end: &ServerCrash) -> bool {
-        let total = self.total(print);
+    fn explains(&self, fingerprint: RequestFingerprint, end: &ServerCrash) -> bool {
+        let total = self.total(fingerprint);
         let most = if total >= INSEPARABLE_CRASHES {
             total
         } else {
             total - 1
         };
-        let mut others = end.suspects.iter().filter(|other| **other != print);
+        let mut others = end.suspects.iter().filter(|other| **other != fingerprint);
         others.all(|other| self.total(*other) <= most)
     }
 
-    fn total(&self, print: RequestFingerprint) -> usize {
-        self.totals.get(&print).copied().unwrap_or(0)
+    fn total(&self, fingerprint: RequestFingerprint) -> usize {
+        self.totals.get(&fingerprint).copied().unwrap_or(0)
     }
 
-    fn forget(&mut self, now: Instant) {
-        while let Some(oldest) = self.ends.front() {
+    fn drop_expired(&mut self, now: Instant) {
+        while let Some(oldest) = self.crashes.front() {
             let age = now.saturating_duration_since(oldest.at);
-            if age < CRASH_TTL && self.ends.len() <= MAX_CRASHES {
+            if age < CRASH_TTL && self.crashes.len() <= MAX_CRASHES {
                 return;
             }
-            let Some(oldest) = self.ends.pop_front() else {
+            let Some(oldest) = self.crashes.pop_front() else {
                 return;
             };
-            for print in oldest.suspects {
-                if let Some(total) = self.totals.get_mut(&print) {
+            for fingerprint in oldest.suspects {
+                if let Some(total) = self.totals.get_mut(&fingerprint) {
                     *total -= 1;
                     if *total == 0 {
-                        self.totals.remove(&print);
-                        self.quarantined_at.remove(&print);
+                        self.totals.remove(&fingerprint);
+                        self.quarantined_at.remove(&fingerprint);
                     }
                 }
             }
--- a/crates/place/src/crash/mod.rs
+++ b/crates/place/src/crash/mod.rs
@@ -12,6 +12,6 @@
 
 pub mod ledger;
 pub mod outbox;
-pub mod print;
+pub mod fingerprint;
 pub mod quarantine;
 pub mod word;
--- a/crates/place/src/crash/outbox.rs
+++ b/crates/place/src/crash/outbox.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::crash::print::RequestFingerprint;
+use crate::crash::fingerprint::RequestFingerprint;
 use crate::crash::word::{ClearedRequest, CrashMessage, CrashReport};
 use crate::fleet::known::millis;
 
@@ -21,9 +21,9 @@
 /// Something to be told.
 #[derive(Debug, Clone, Copy)]
 struct OutboxItem {
-    news: OutboxPayload,
+    payload: OutboxPayload,
     due: Instant,
-    told: u32,
+    send_count: u32,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -42,25 +42,25 @@
     /// A request was at a server when it ended.
     pub fn on_report(&mut self, now: Instant, report: CrashReport) {
         self.push(OutboxItem {
-            news: OutboxPayload::Report(report),
+            payload: OutboxPayload::Report(report),
             due: now + REPORT_DELAY,
-            told: 0,
+            send_count: 0,
         });
     }
 
     /// A request was answered well: what wasn't told of it yet need not be.
-    pub fn on_cleared(&mut self, now: Instant, print: RequestFingerprint, was_told: bool) {
-        let is_of = |item: &OutboxItem| match item.news {
-            OutboxPayload::Report(report) => report.print == print,
-            OutboxPayload::Cleared(cleared, _) => cleared == print,
+    pub fn on_cleared(&mut self, now: Instant, fingerprint: RequestFingerprint, was_told: bool) {
+        let is_of = |item: &OutboxItem| match item.payload {
+            OutboxPayload::Report(report) => report.fingerprint == fingerprint,
+            OutboxPayload::Cleared(cleared, _) => cleared == fingerprint,
         };
-        let told = self.items.iter().any(|item| is_of(item) && item.told > 0);
+        let send_count = self.items.iter().any(|item| is_of(item) && item.send_count > 0);
         self.items.retain(|item| !is_of(item));
-        if told || was_told {
+        if send_count || was_told {
             self.push(OutboxItem {
-                news: OutboxPayload::Cleared(print, now),
+                payload: OutboxPayload::Cleared(fingerprint, now),
                 due: now,
-                told: 0,
+                send_count: 0,
             });
         }
     }
@@ -78,16 +78,16 @@
                 continue;
             }
             item.due = now + RESEND_INTERVAL;
-            item.told += 1;
-            match item.news {
+            item.send_count += 1;
+            match item.payload {
                 OutboxPayload::Report(report) => word.reports.push(report),
-                OutboxPayload::Cleared(print, at) => word.cleared.push(ClearedRequest {
-                    print,
+                OutboxPayload::Cleared(fingerprint, at) => word.cleared.push(ClearedRequest {
+                    fingerprint,
                     age: millis(now.saturating_duration_since(at)),
                 }),
             }
         }
-        self.items.retain(|item| item.told < MAX_SENDS);
+        self.items.retain(|item| item.send_count < MAX_SENDS);
         word
     }
 
@@ -95,7 +95,7 @@
     /// a request that isn't cleared would be refused.
     fn push(&mut self, item: OutboxItem) {
         if self.items.len() >= MAX_QUEUED {
-            let is_report = |item: &OutboxItem| matches!(item.news, OutboxPayload::Report(_));
+            let is_report = |item: &OutboxItem| matches!(item.payload, OutboxPayload::Report(_));
             let oldest = self.items.iter().position(is_report);
             let Some(oldest) = oldest.filter(|_| !is_report(&item)) else {
                 return;
--- a/crates/place/src/crash/quarantine.rs
+++ b/crates/place/src/crash/quarantine.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use crate::crash::print::RequestFingerprint;
+use crate::crash::fingerprint::RequestFingerprint;
 use crate::crash::word::{ClearedRequest, RequestStatus, RequestStatusMessage};
 use crate::fleet::known::millis;
 
@@ -55,20 +55,20 @@
     }
 
     /// Whether something is known of the request.
-    pub fn contains(&self, print: RequestFingerprint) -> bool {
-        self.records.contains_key(&print)
+    pub fn contains(&self, fingerprint: RequestFingerprint) -> bool {
+        self.records.contains_key(&fingerprint)
     }
 
     /// How much longer the request stays in quarantine; `None` where it isn't.
-    pub fn quarantine_left(&self, now: Instant, print: RequestFingerprint) -> Option<Duration> {
-        let record = self.records.get(&print)?;
+    pub fn quarantine_left(&self, now: Instant, fingerprint: RequestFingerprint) -> Option<Duration> {
+        let record = self.records.get(&fingerprint)?;
         let left = record.ends().saturating_duration_since(now);
         (record.status == RequestStatus::Quarantined && !left.is_zero()).then_some(left)
     }
 
     /// The requests in quarantine.
     pub fn quarantined(&self) -> impl Iterator<Item = RequestFingerprint> {
-        self.quarantines().map(|(print, _)| print)
+        self.quarantines().map(|(fingerprint, _)| fingerprint)
     }
 
     /// The requests in quarantine, and since when.
@@ -76,67 +76,67 @@
         let records = self.records.iter();
         records
             .filter(|(_, record)| record.status == RequestStatus::Quarantined)
-            .map(|(print, record)| (*print, record.since))
+            .map(|(fingerprint, record)| (*fingerprint, record.since))
     }
 
     /// The request has had this status since `since`; whether it is stricter than the one
     /// known. What was found before the request was cleared is void.
     pub fn raise(
         &mut self,
-        print: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         status: RequestStatus,
         since: Instant,
     ) -> bool {
-        let is_void = self.cleared.get(&print).is_some_and(|at| *at >= since);
-        let known = self.records.get(&print).copied();
+        let is_void = self.cleared.get(&fingerprint).is_some_and(|at| *at >= since);
+        let known = self.records.get(&fingerprint).copied();
         let is_known = known.is_some_and(|known| {
             let is_older = since < known.since + SAME_STATUS_TOLERANCE;
             known.status > status || (known.status == status && is_older)
         });
-        if is_void || is_known || !self.has_room(print, status) {
+        if is_void || is_known || !self.has_room(fingerprint, status) {
             return false;
         }
         let is_stricter = known.is_none_or(|known| known.status < status);
-        self.records.insert(print, StatusRecord { status, since });
+        self.records.insert(fingerprint, StatusRecord { status, since });
         is_stricter
     }
 
     /// The request was answered well at `at`; whether that is news. The same answer told
     /// again isn't, though it seems later by the time of the trip: leads would tell each
     /// other of it without end.
-    pub fn clear(&mut self, print: RequestFingerprint, at: Instant) -> bool {
-        let known = self.cleared.get(&print).copied();
+    pub fn clear(&mut self, fingerprint: RequestFingerprint, at: Instant) -> bool {
+        let known = self.cleared.get(&fingerprint).copied();
         if known.is_none() && self.cleared.len() >= MAX_CLEARED {
-            self.forget_oldest_cleared();
+            self.drop_oldest_cleared();
         }
         let latest = known.map_or(at, |known| known.max(at));
-        self.cleared.insert(print, latest);
-        let held = self.records.get(&print);
+        self.cleared.insert(fingerprint, latest);
+        let held = self.records.get(&fingerprint);
         let is_held = held.is_some_and(|held| held.since <= at);
         if is_held {
-            self.records.remove(&print);
+            self.records.remove(&fingerprint);
         }
         is_held || known.is_none()
     }
 
     /// Drops what no longer counts.
-    pub fn forget(&mut self, now: Instant) {
+    pub fn drop_expired(&mut self, now: Instant) {
         self.records.retain(|_, record| record.ends() > now);
         self.cleared
             .retain(|_, at| now.saturating_duration_since(*at) < CLEARED_TTL);
     }
 
-    fn forget_oldest_cleared(&mut self) {
+    fn drop_oldest_cleared(&mut self) {
         let oldest = self.cleared.iter().min_by_key(|(_, at)| **at);
-        if let Some(print) = oldest.map(|(print, _)| *print) {
-            self.cleared.remove(&print);
+        if let Some(fingerprint) = oldest.map(|(fingerprint, _)| *fingerprint) {
+            self.cleared.remove(&fingerprint);
         }
     }
 
     /// All requests with their status, for others.
-    pub fn words(&self, now: Instant) -> Vec<RequestStatusMessage> {
-        let word = |(print, record): (&RequestFingerprint, &StatusRecord)| RequestStatusMessage {
-            print: *print,
+    pub fn status_messages(&self, now: Instant) -> Vec<RequestStatusMessage> {
+        let word = |(fingerprint, record): (&RequestFingerprint, &StatusRecord)| RequestStatusMessage {
+            fingerprint: *fingerprint,
             status: record.status,
             age: millis(now.saturating_duration_since(record.since)),
         };
@@ -144,25 +144,25 @@
     }
 
     /// Requests cleared lately, for others.
-    pub fn cleared_words(&self, now: Instant) -> Vec<ClearedRequest> {
-        let words = self.cleared.iter().map(|(print, at)| ClearedRequest {
-            print: *print,
+    pub fn cleared_requests(&self, now: Instant) -> Vec<ClearedRequest> {
+        let status_messages = self.cleared.iter().map(|(fingerprint, at)| ClearedRequest {
+            fingerprint: *fingerprint,
             age: millis(now.saturating_duration_since(*at)),
         });
         let told = CLEARED_SEND_TIME.as_millis();
-        words.filter(|word| u128::from(word.age) < told).collect()
+        status_messages.filter(|word| u128::from(word.age) < told).collect()
     }
 
     /// Whether there is room for the request, made by a suspect where need be.
-    fn has_room(&mut self, print: RequestFingerprint, status: RequestStatus) -> bool {
-        if self.records.len() < MAX_STATUSES || self.records.contains_key(&print) {
+    fn has_room(&mut self, fingerprint: RequestFingerprint, status: RequestStatus) -> bool {
+        if self.records.len() < MAX_STATUSES || self.records.contains_key(&fingerprint) {
             return true;
         }
         let records = self.records.iter();
         let oldest = records
             .filter(|(_, record)| record.status == RequestStatus::Suspect)
             .min_by_key(|(_, record)| record.since)
-            .map(|(print, _)| *print);
+            .map(|(fingerprint, _)| *fingerprint);
         match oldest {
             Some(oldest) if status == RequestStatus::Quarantined => {
                 self.records.remove(&oldest);
--- a/crates/place/src/crash/word.rs
+++ b/crates/place/src/crash/word.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use crate::crash::print::RequestFingerprint;
+use crate::crash::fingerprint::RequestFingerprint;
 
 /// What the store keeps of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoredQuarantine {
     /// The request.
-    pub print: RequestFingerprint,
+    pub fingerprint: RequestFingerprint,
     /// How long ago its quarantine began, or was lifted.
     pub age: Duration,
     /// Whether an operator has lifted it.
@@ -22,7 +22,7 @@
         /// Hash of the server's run.
         pub run: u64,
         /// The request.
-        pub print: RequestFingerprint,
+        pub fingerprint: RequestFingerprint,
     }
 
     /// How a request is treated.
@@ -38,7 +38,7 @@
     #[derive(Copy, Eq)]
     pub struct RequestStatusMessage {
         /// The request.
-        pub print: RequestFingerprint,
+        pub fingerprint: RequestFingerprint,
         /// How it is treated.
         pub status: RequestStatus,
         /// Milliseconds since it got this status.
@@ -49,7 +49,7 @@
     #[derive(Copy, Eq)]
     pub struct ClearedRequest {
         /// The request.
-        pub print: RequestFingerprint,
+        pub fingerprint: RequestFingerprint,
         /// Milliseconds since the answer.
         pub age: u32,
     }
--- a/crates/place/src/fleet/member/crashes.rs
+++ b/crates/place/src/fleet/member/crashes.rs
@@ -21,7 +21,7 @@
     /// Whether good answers are to be compared with the suspects now. Callers need make no
     /// prints otherwise.
     pub fn has_suspects(&self, now: Instant) -> bool {
-        self.has_statuses() || self.ledger.is_fresh(now)
+        self.has_statuses() || self.ledger.has_recent_reports(now)
     }
 
     /// Whether a good answer to the request is news.
