--- a/bin/lh-entry/src/fleet.rs
+++ b/bin/lh-entry/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use place::crash::print::RequestFingerprint;
+use place::crash::fingerprint::RequestFingerprint;
 use place::fleet::clock::StoreTime;
 use place::fleet::known::KnownStore;
 use place::fleet::member::{BEAT_EVERY, MemberConfig};
--- a/crates/place/src/crash/ledger.rs
+++ b/crates/place/src/crash/ledger.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use crate::crash::fingerprint::RequestFingerprint;
+use crate::crash::message::{CrashReport, RequestStatus};
 use crate::crash::quarantine::QuarantineTable;
-use crate::crash::word::{CrashReport, RequestStatus};
 
 /// Servers that a request may end before it is put into quarantine. Two may be chance: a
 /// request and its repeat that each met a server on its way down.
@@ -18,7 +18,7 @@
 /// two that never part can't be told from each other.
 const INSEPARABLE_CRASHES: usize = 5;
 /// Requests in quarantine at once. Where more seem to end servers, it is the servers that
-/// end, whatever they run, and refusing callers would only add to it.
+/// crash, whatever they run, and refusing callers would only add to it.
 const MAX_QUARANTINED: usize = 8;
 /// Time from the first news until the cause is looked for, so that the words of all entries that had
 /// requests at the server are in: several trips between regions.
@@ -30,7 +30,7 @@
 const RECENT_REPORTS_TIME: Duration = Duration::from_secs(10);
 /// Ends kept at most; with all suspects 0.6 MB.
 const MAX_CRASHES: usize = 512;
-/// Suspects of one end: all that a server runs and queues.
+/// Suspects of one crash: all that a server runs and queues.
 const MAX_SUSPECTS_PER_CRASH: usize = 64;
 
 /// The end of a server.
@@ -59,7 +59,10 @@
     /// Takes in that a request was at a server when it ended; whether that is news.
     pub fn on_report(&mut self, now: Instant, report: CrashReport) -> bool {
         self.drop_expired(now);
-        let found = self.crashes.iter().position(|end| end.run == report.run);
+        let found = self
+            .crashes
+            .iter()
+            .position(|crash| crash.run == report.run);
         let index = found.unwrap_or_else(|| {
             self.crashes.push_back(ServerCrash {
                 run: report.run,
@@ -69,13 +72,14 @@
             });
             self.crashes.len() - 1
         });
-        let end = &mut self.crashes[index];
-        let fingerprint = report.fingerprint;
-        let is_known = end.suspects.contains(&fingerprint) || end.cleared.contains(&fingerprint);
-        if is_known || end.suspects.len() >= MAX_SUSPECTS_PER_CRASH {
+        let crash = &mut self.crashes[index];
+        let fingerprint = report.print;
+        let is_known =
+            crash.suspects.contains(&fingerprint) || crash.cleared.contains(&fingerprint);
+        if is_known || crash.suspects.len() >= MAX_SUSPECTS_PER_CRASH {
             return false;
         }
-        end.suspects.push(fingerprint);
+        crash.suspects.push(fingerprint);
         *self.totals.entry(fingerprint).or_default() += 1;
         self.newest = Some(now);
         self.review_due = self.review_due.or(Some(now + REVIEW_DELAY));
@@ -89,17 +93,21 @@
             return false;
         }
         self.quarantined_at.remove(&fingerprint);
-        for end in &mut self.crashes {
-            if let Some(index) = end.suspects.iter().position(|known| *known == fingerprint) {
-                end.suspects.swap_remove(index);
-                end.cleared.push(fingerprint);
+        for crash in &mut self.crashes {
+            if let Some(index) = crash
+                .suspects
+                .iter()
+                .position(|known| *known == fingerprint)
+            {
+                crash.suspects.swap_remove(index);
+                crash.cleared.push(fingerprint);
             }
         }
         true
     }
 
     /// Whether the request is a suspect.
-    pub fn suspects(&self, fingerprint: RequestFingerprint) -> bool {
+    pub fn is_suspect(&self, fingerprint: RequestFingerprint) -> bool {
         self.totals.contains_key(&fingerprint)
     }
 
@@ -115,7 +123,7 @@
     }
 
     /// Leaves what is known so far to others.
-    pub fn leave(&mut self) {
+    pub fn cancel_review(&mut self) {
         self.review_due = None;
     }
 
@@ -150,9 +158,11 @@
     fn frequent_suspects(&self) -> Vec<RequestFingerprint> {
         let totals = self.totals.iter();
         let often = totals.filter(|(_, total)| **total >= SUSPECT_CRASHES);
-        let mut prints: Vec<RequestFingerprint> = often.map(|(fingerprint, _)| *fingerprint).collect();
-        prints.sort_unstable_by_key(|fingerprint| (Reverse(self.total(*fingerprint)), *fingerprint));
-        prints
+        let mut fingerprints: Vec<RequestFingerprint> =
+            often.map(|(fingerprint, _)| *fingerprint).collect();
+        fingerprints
+            .sort_unstable_by_key(|fingerprint| (Reverse(self.total(*fingerprint)), *fingerprint));
+        fingerprints
     }
 
     /// Whether the request alone explains enough ends, one of them since it was last put
@@ -161,24 +171,26 @@
         let explained_crashes: Vec<&ServerCrash> = self
             .crashes
             .iter()
-            .filter(|end| end.suspects.contains(&fingerprint) && self.explains(fingerprint, end))
+            .filter(|crash| {
+                crash.suspects.contains(&fingerprint) && self.explains(fingerprint, crash)
+            })
             .collect();
         let since = self.quarantined_at.get(&fingerprint);
         let is_new = explained_crashes
             .iter()
-            .any(|end| since.is_none_or(|at| end.at > *at));
+            .any(|crash| since.is_none_or(|at| crash.at > *at));
         explained_crashes.len() >= QUARANTINE_CRASHES && is_new
     }
 
     /// Whether no other request that was there has been at as many ends.
-    fn explains(&self, fingerprint: RequestFingerprint, end: &ServerCrash) -> bool {
+    fn explains(&self, fingerprint: RequestFingerprint, crash: &ServerCrash) -> bool {
         let total = self.total(fingerprint);
         let most = if total >= INSEPARABLE_CRASHES {
             total
         } else {
             total - 1
         };
-        let mut others = end.suspects.iter().filter(|other| **other != fingerprint);
+        let mut others = crash.suspects.iter().filter(|other| **other != fingerprint);
         others.all(|other| self.total(*other) <= most)
     }
 
--- a/crates/place/src/crash/word.rs
+++ b/crates/place/src/crash/message.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoredQuarantine {
     /// The request.
-    pub fingerprint: RequestFingerprint,
+    pub print: RequestFingerprint,
     /// How long ago its quarantine began, or was lifted.
     pub age: Duration,
     /// Whether an operator has lifted it.
@@ -22,7 +22,7 @@
         /// Hash of the server's run.
         pub run: u64,
         /// The request.
-        pub fingerprint: RequestFingerprint,
+        pub print: RequestFingerprint,
     }
 
     /// How a request is treated.
@@ -38,7 +38,7 @@
     #[derive(Copy, Eq)]
     pub struct RequestStatusMessage {
         /// The request.
-        pub fingerprint: RequestFingerprint,
+        pub print: RequestFingerprint,
         /// How it is treated.
         pub status: RequestStatus,
         /// Milliseconds since it got this status.
@@ -49,7 +49,7 @@
     #[derive(Copy, Eq)]
     pub struct ClearedRequest {
         /// The request.
-        pub fingerprint: RequestFingerprint,
+        pub print: RequestFingerprint,
         /// Milliseconds since the answer.
         pub age: u32,
     }
--- a/crates/place/src/crash/mod.rs
+++ b/crates/place/src/crash/mod.rs
@@ -10,8 +10,8 @@
 //! What an entry sends and hears for this doesn't grow with the fleet: it tells its two
 //! leads of its own broken requests, and hears from them which are in quarantine.
 
+pub mod fingerprint;
 pub mod ledger;
+pub mod message;
 pub mod outbox;
-pub mod fingerprint;
 pub mod quarantine;
-pub mod word;
--- a/crates/place/src/crash/outbox.rs
+++ b/crates/place/src/crash/outbox.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use crate::crash::fingerprint::RequestFingerprint;
-use crate::crash::word::{ClearedRequest, CrashMessage, CrashReport};
+use crate::crash::message::{ClearedRequest, CrashMessage, CrashReport};
 use crate::fleet::known::millis;
 
 /// A report is held for this long: most requests that were caught beside the cause are
@@ -49,14 +49,22 @@
     }
 
     /// A request was answered well: what wasn't told of it yet need not be.
-    pub fn on_cleared(&mut self, now: Instant, fingerprint: RequestFingerprint, was_told: bool) {
+    pub fn on_cleared(
+        &mut self,
+        now: Instant,
+        fingerprint: RequestFingerprint,
+        was_reported: bool,
+    ) {
         let is_of = |item: &OutboxItem| match item.payload {
-            OutboxPayload::Report(report) => report.fingerprint == fingerprint,
+            OutboxPayload::Report(report) => report.print == fingerprint,
             OutboxPayload::Cleared(cleared, _) => cleared == fingerprint,
         };
-        let send_count = self.items.iter().any(|item| is_of(item) && item.send_count > 0);
+        let was_sent = self
+            .items
+            .iter()
+            .any(|item| is_of(item) && item.send_count > 0);
         self.items.retain(|item| !is_of(item));
-        if send_count || was_told {
+        if was_sent || was_reported {
             self.push(OutboxItem {
                 payload: OutboxPayload::Cleared(fingerprint, now),
                 due: now,
@@ -71,7 +79,7 @@
     }
 
     /// What is to be told now.
-    pub fn take(&mut self, now: Instant) -> CrashMessage {
+    pub fn take_due(&mut self, now: Instant) -> CrashMessage {
         let mut word = CrashMessage::default();
         for item in &mut self.items {
             if item.due > now {
@@ -82,7 +90,7 @@
             match item.payload {
                 OutboxPayload::Report(report) => word.reports.push(report),
                 OutboxPayload::Cleared(fingerprint, at) => word.cleared.push(ClearedRequest {
-                    fingerprint,
+                    print: fingerprint,
                     age: millis(now.saturating_duration_since(at)),
                 }),
             }
--- a/crates/place/src/crash/quarantine.rs
+++ b/crates/place/src/crash/quarantine.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use crate::crash::fingerprint::RequestFingerprint;
-use crate::crash::word::{ClearedRequest, RequestStatus, RequestStatusMessage};
+use crate::crash::message::{ClearedRequest, RequestStatus, RequestStatusMessage};
 use crate::fleet::known::millis;
 
 /// How long a request stays in quarantine: time to mend the service, at the price of a few
@@ -60,7 +60,11 @@
     }
 
     /// How much longer the request stays in quarantine; `None` where it isn't.
-    pub fn quarantine_left(&self, now: Instant, fingerprint: RequestFingerprint) -> Option<Duration> {
+    pub fn quarantine_left(
+        &self,
+        now: Instant,
+        fingerprint: RequestFingerprint,
+    ) -> Option<Duration> {
         let record = self.records.get(&fingerprint)?;
         let left = record.ends().saturating_duration_since(now);
         (record.status == RequestStatus::Quarantined && !left.is_zero()).then_some(left)
@@ -87,7 +91,10 @@
         status: RequestStatus,
         since: Instant,
     ) -> bool {
-        let is_void = self.cleared.get(&fingerprint).is_some_and(|at| *at >= since);
+        let is_void = self
+            .cleared
+            .get(&fingerprint)
+            .is_some_and(|at| *at >= since);
         let known = self.records.get(&fingerprint).copied();
         let is_known = known.is_some_and(|known| {
             let is_older = since < known.since + SAME_STATUS_TOLERANCE;
@@ -97,7 +104,8 @@
             return false;
         }
         let is_stricter = known.is_none_or(|known| known.status < status);
-        self.records.insert(fingerprint, StatusRecord { status, since });
+        self.records
+            .insert(fingerprint, StatusRecord { status, since });
         is_stricter
     }
 
@@ -135,22 +143,25 @@
 
     /// All requests with their status, for others.
     pub fn status_messages(&self, now: Instant) -> Vec<RequestStatusMessage> {
-        let word = |(fingerprint, record): (&RequestFingerprint, &StatusRecord)| RequestStatusMessage {
-            fingerprint: *fingerprint,
-            status: record.status,
-            age: millis(now.saturating_duration_since(record.since)),
-        };
-        self.records.iter().map(word).collect()
+        let message =
+            |(fingerprint, record): (&RequestFingerprint, &StatusRecord)| RequestStatusMessage {
+                print: *fingerprint,
+                status: record.status,
+                age: millis(now.saturating_duration_since(record.since)),
+            };
+        self.records.iter().map(message).collect()
     }
 
     /// Requests cleared lately, for others.
     pub fn cleared_requests(&self, now: Instant) -> Vec<ClearedRequest> {
-        let status_messages = self.cleared.iter().map(|(fingerprint, at)| ClearedRequest {
-            fingerprint: *fingerprint,
+        let requests = self.cleared.iter().map(|(fingerprint, at)| ClearedRequest {
+            print: *fingerprint,
             age: millis(now.saturating_duration_since(*at)),
         });
-        let told = CLEARED_SEND_TIME.as_millis();
-        status_messages.filter(|word| u128::from(word.age) < told).collect()
+        let send_time = CLEARED_SEND_TIME.as_millis();
+        requests
+            .filter(|request| u128::from(request.age) < send_time)
+            .collect()
     }
 
     /// Whether there is room for the request, made by a suspect where need be.
--- a/crates/place/src/fleet/member/crashes.rs
+++ b/crates/place/src/fleet/member/crashes.rs
@@ -2,15 +2,19 @@
 
 use std::time::{Duration, Instant};
 
-use crate::crash::print::RequestFingerprint;
-use crate::crash::word::{CrashMessage, CrashReport, RequestStatus, StoredQuarantine};
+use crate::crash::fingerprint::RequestFingerprint;
+use crate::crash::message::{CrashMessage, CrashReport, RequestStatus, StoredQuarantine};
 use crate::fleet::member::{BEAT_EVERY, FleetAction, FleetMember, FleetNote};
 use crate::fleet::message::PeerMessage;
 
 impl FleetMember {
     /// How much longer the request is refused; `None` where it isn't.
-    pub fn quarantine_left(&self, now: Instant, print: RequestFingerprint) -> Option<Duration> {
-        self.quarantine.quarantine_left(now, print)
+    pub fn quarantine_left(
+        &self,
+        now: Instant,
+        fingerprint: RequestFingerprint,
+    ) -> Option<Duration> {
+        self.quarantine.quarantine_left(now, fingerprint)
     }
 
     /// Whether any request may be in quarantine.
@@ -25,8 +29,8 @@
     }
 
     /// Whether a good answer to the request is news.
-    pub fn suspects(&self, print: RequestFingerprint) -> bool {
-        self.quarantine.contains(print) || self.ledger.suspects(print)
+    pub fn suspects(&self, fingerprint: RequestFingerprint) -> bool {
+        self.quarantine.contains(fingerprint) || self.ledger.is_suspect(fingerprint)
     }
 
     /// The requests in quarantine.
@@ -45,12 +49,12 @@
     pub(super) fn on_cleared(
         &mut self,
         now: Instant,
-        print: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         actions: &mut Vec<FleetAction>,
     ) {
-        let was_held = self.quarantine.contains(print);
-        self.outbox.on_cleared(now, print, was_held);
-        self.clear(now, print, actions);
+        let was_held = self.quarantine.contains(fingerprint);
+        self.outbox.on_cleared(now, fingerprint, was_held);
+        self.clear(now, fingerprint, actions);
     }
 
     /// Takes in what another entry says; what is news to a lead goes to the other leads.
@@ -105,7 +109,7 @@
                 self.statuses_due = now;
             }
         }
-        self.quarantine.forget(now);
+        self.quarantine.drop_expired(now);
         if self.leading.is_some() && self.is_first(now) {
             self.mend_rows(now, rows, actions);
         }
@@ -113,11 +117,12 @@
 
     fn mend_rows(&self, now: Instant, rows: &[StoredQuarantine], actions: &mut Vec<FleetAction>) {
         let prints = rows.iter().map(|row| row.print);
-        let is_over = |print: &RequestFingerprint| self.quarantine_left(now, *print).is_none();
+        let is_over =
+            |fingerprint: &RequestFingerprint| self.quarantine_left(now, *fingerprint).is_none();
         drop_rows(prints.filter(is_over).collect(), actions);
-        let is_kept = |print| rows.iter().any(|row| row.print == print);
+        let is_kept = |fingerprint| rows.iter().any(|row| row.print == fingerprint);
         let quarantines = self.quarantines(now);
-        let missing = quarantines.filter(|(print, _)| !is_kept(*print));
+        let missing = quarantines.filter(|(fingerprint, _)| !is_kept(*fingerprint));
         keep(missing.collect(), actions);
     }
 
@@ -130,7 +135,7 @@
     }
 
     pub(super) fn review_crashes(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
-        self.quarantine.forget(now);
+        self.quarantine.drop_expired(now);
         self.tell_reports(now, actions);
         if self.ledger.review_due().is_some_and(|due| now >= due) {
             self.review_ledger(now, actions);
@@ -142,7 +147,7 @@
 
     /// Tells the leads what this entry saw itself.
     fn tell_reports(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
-        let word = self.outbox.take(now);
+        let word = self.outbox.take_due(now);
         if word.is_empty() {
             return;
         }
@@ -160,12 +165,12 @@
     /// cause would seem to be it.
     fn review_ledger(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         if self.leading.is_none() && self.hears_lead(now) {
-            self.ledger.leave();
+            self.ledger.cancel_review();
             return;
         }
         let news = self.ledger.review(now, &mut self.quarantine);
-        for (print, status) in &news {
-            self.on_raised(now, *print, *status, actions);
+        for (fingerprint, status) in &news {
+            self.on_raised(now, *fingerprint, *status, actions);
             self.statuses_due = now;
         }
     }
@@ -175,8 +180,8 @@
         self.statuses_due = now + BEAT_EVERY;
         let word = CrashMessage {
             reports: Vec::new(),
-            cleared: self.quarantine.cleared_words(now),
-            statuses: self.quarantine.words(now),
+            cleared: self.quarantine.cleared_requests(now),
+            statuses: self.quarantine.status_messages(now),
         };
         if word.is_empty() {
             return;
@@ -191,16 +196,16 @@
     fn clear(
         &mut self,
         at: Instant,
-        print: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         actions: &mut Vec<FleetAction>,
     ) -> bool {
-        let was_held = self.quarantine.contains(print);
-        let was_suspect = self.ledger.clear(print);
-        let is_news = self.quarantine.clear(print, at);
-        if was_held && !self.quarantine.contains(print) {
-            actions.push(FleetAction::Note(FleetNote::Cleared(print)));
+        let was_held = self.quarantine.contains(fingerprint);
+        let was_suspect = self.ledger.clear(fingerprint);
+        let is_news = self.quarantine.clear(fingerprint, at);
+        if was_held && !self.quarantine.contains(fingerprint) {
+            actions.push(FleetAction::Note(FleetNote::Cleared(fingerprint)));
             if self.leading.is_some() && self.is_first(at) {
-                drop_rows(vec![print], actions);
+                drop_rows(vec![fingerprint], actions);
             }
             self.statuses_due = at;
         }
@@ -210,24 +215,25 @@
     /// The requests in quarantine, and how long ago they were put there.
     fn quarantines(&self, now: Instant) -> impl Iterator<Item = (RequestFingerprint, Duration)> {
         let quarantines = self.quarantine.quarantines();
-        quarantines.map(move |(print, since)| (print, now.saturating_duration_since(since)))
+        quarantines
+            .map(move |(fingerprint, since)| (fingerprint, now.saturating_duration_since(since)))
     }
 
     /// A request is treated more strictly from now on.
     fn on_raised(
         &mut self,
         now: Instant,
-        print: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         status: RequestStatus,
         actions: &mut Vec<FleetAction>,
     ) {
         if status == RequestStatus::Suspect {
-            actions.push(FleetAction::Note(FleetNote::Suspected(print)));
+            actions.push(FleetAction::Note(FleetNote::Suspected(fingerprint)));
             return;
         }
-        actions.push(FleetAction::Note(FleetNote::Quarantined(print)));
+        actions.push(FleetAction::Note(FleetNote::Quarantined(fingerprint)));
         if self.leading.is_some() && self.is_first(now) {
-            keep(vec![(print, Duration::ZERO)], actions);
+            keep(vec![(fingerprint, Duration::ZERO)], actions);
         }
     }
 }
--- a/crates/place/src/fleet/member/mod.rs
+++ b/crates/place/src/fleet/member/mod.rs
@@ -13,11 +13,11 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
+use crate::crash::fingerprint::RequestFingerprint;
 use crate::crash::ledger::CrashLedger;
+use crate::crash::message::{CrashReport, StoredQuarantine};
 use crate::crash::outbox::CrashOutbox;
-use crate::crash::print::RequestFingerprint;
 use crate::crash::quarantine::QuarantineTable;
-use crate::crash::word::{CrashReport, StoredQuarantine};
 use crate::fleet::clock::{StoreClock, StoreTime};
 use crate::fleet::doubt::ContentDoubt;
 use crate::fleet::follow::{PullState, PullTarget};
--- a/crates/place/tests/crash_load.rs
+++ b/crates/place/tests/crash_load.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use fleet_world::{FleetWorld, ms};
-use place::crash::print::RequestFingerprint;
-use place::crash::word::CrashReport;
+use place::crash::fingerprint::RequestFingerprint;
+use place::crash::message::CrashReport;
 use place::prelude::*;
 use place::rank::pair_weight;
 
@@ -36,7 +36,7 @@
 
 #[derive(Clone)]
 struct Job {
-    print: RequestFingerprint,
+    fingerprint: RequestFingerprint,
     entry: usize,
     ends: Instant,
     repeats: bool,
@@ -125,9 +125,9 @@
         for _ in 0..4 {
             if self.happens(ARRIVALS / 4.0) {
                 self.prints += 1;
-                let print = RequestFingerprint(self.prints);
+                let fingerprint = RequestFingerprint(self.prints);
                 let repeats = self.draw() < 0.7;
-                self.send(print, repeats, 0);
+                self.send(fingerprint, repeats, 0);
             }
         }
         if self.happens(FATAL_ARRIVALS) {
@@ -139,16 +139,22 @@
         }
     }
 
-    fn send(&mut self, print: RequestFingerprint, repeats: bool, sends: u32) {
+    fn send(&mut self, fingerprint: RequestFingerprint, repeats: bool, sends: u32) {
         let entry = self.pick(self.world.entries.len());
-        self.send_from(entry, print, repeats, sends);
+        self.send_from(entry, fingerprint, repeats, sends);
     }
 
-    fn send_from(&mut self, entry: usize, print: RequestFingerprint, repeats: bool, sends: u32) {
+    fn send_from(
+        &mut self,
+        entry: usize,
+        fingerprint: RequestFingerprint,
+        repeats: bool,
+        sends: u32,
+    ) {
         let now = self.world.now;
         let member = &self.world.entries[entry].member;
-        if member.quarantine_left(now, print).is_some() {
-            self.tally.refused += usize::from(print != FATAL);
+        if member.quarantine_left(now, fingerprint).is_some() {
+            self.tally.refused += usize::from(fingerprint != FATAL);
             return;
         }
         let first = self.pick(SERVERS);
@@ -160,7 +166,7 @@
         let Some(server) = open else {
             return;
         };
-        let takes = if print == FATAL {
+        let takes = if fingerprint == FATAL {
             self.tally.fatal_sends += 1;
             let is_late = self.third_at.is_some_and(|at| now > at + SPREAD_TIME);
             self.tally.late_sends += usize::from(is_late);
@@ -169,7 +175,7 @@
             Duration::from_secs_f64(0.1 + 0.8 * self.draw())
         };
         self.servers[server].jobs.push(Job {
-            print,
+            fingerprint,
             entry,
             ends: now + takes,
             repeats,
@@ -189,7 +195,7 @@
             let (done, left): (Vec<Job>, Vec<Job>) =
                 server.jobs.drain(..).partition(|job| job.ends <= now);
             server.jobs = left;
-            if done.iter().any(|job| job.print == FATAL) {
+            if done.iter().any(|job| job.fingerprint == FATAL) {
                 self.servers[index].jobs.extend(done);
                 self.end(index);
                 continue;
@@ -203,8 +209,9 @@
     fn answer(&mut self, job: &Job) {
         self.tally.answered += 1;
         let member = &self.world.entries[job.entry].member;
-        if member.has_suspects(self.world.now) && member.suspects(job.print) {
-            self.world.tell(job.entry, FleetEvent::Cleared(job.print));
+        if member.has_suspects(self.world.now) && member.suspects(job.fingerprint) {
+            self.world
+                .tell(job.entry, FleetEvent::Cleared(job.fingerprint));
         }
     }
 
@@ -218,23 +225,26 @@
         server.back_at = Some(now + BACK_AFTER);
         let (run, jobs) = (server.run, std::mem::take(&mut server.jobs));
         self.tally.ended += 1;
-        if jobs.iter().any(|job| job.print == FATAL) {
+        if jobs.iter().any(|job| job.fingerprint == FATAL) {
             self.fatal_ends.insert(run);
             if self.fatal_ends.len() >= 3 {
                 self.third_at.get_or_insert(now);
             }
         }
         for job in jobs {
-            let print = job.print;
-            let report = CrashReport { run, print };
+            let fingerprint = job.fingerprint;
+            let report = CrashReport {
+                run,
+                print: fingerprint,
+            };
             self.reports.push((now + LOOK_TIME, job.entry, report));
             if !job.repeats || job.sends >= SENDS_MOST {
                 continue;
             }
             if job.sends % 2 == 1 {
-                self.send_from(job.entry, print, true, job.sends);
+                self.send_from(job.entry, fingerprint, true, job.sends);
             } else {
-                self.send(print, true, job.sends);
+                self.send(fingerprint, true, job.sends);
             }
         }
     }
--- a/crates/place/tests/crashes.rs
+++ b/crates/place/tests/crashes.rs
@@ -6,18 +6,21 @@
 use std::time::{Duration, Instant};
 
 use fleet_world::{FleetWorld, ms};
+use place::crash::fingerprint::RequestFingerprint;
 use place::crash::ledger::CrashLedger;
+use place::crash::message::{CrashReport, RequestStatus};
 use place::crash::outbox::CrashOutbox;
-use place::crash::print::RequestFingerprint;
 use place::crash::quarantine::QuarantineTable;
-use place::crash::word::{CrashReport, RequestStatus};
 use place::prelude::*;
 use proptest::prelude::*;
 
 const FATAL: RequestFingerprint = RequestFingerprint(1);
 
-fn report(run: u64, print: RequestFingerprint) -> CrashReport {
-    CrashReport { run, print }
+fn report(run: u64, fingerprint: RequestFingerprint) -> CrashReport {
+    CrashReport {
+        run,
+        print: fingerprint,
+    }
 }
 
 /// A fleet of `count` that has run for a while.
@@ -199,7 +202,7 @@
     ledger.review(now, &mut book);
     let left = book.quarantine_left(now, FATAL).unwrap();
     now += left + ms(1);
-    book.forget(now);
+    book.drop_expired(now);
     ledger.on_report(now, report(50, RequestFingerprint(7)));
     ledger.review(now, &mut book);
     assert_eq!(book.quarantine_left(now, FATAL), None);
@@ -227,8 +230,8 @@
 fn one_among_many_is_cleared() {
     let mut book = QuarantineTable::default();
     let now = Instant::now();
-    for print in 100..1000 {
-        book.clear(RequestFingerprint(print), now);
+    for fingerprint in 100..1000 {
+        book.clear(RequestFingerprint(fingerprint), now);
     }
     book.raise(FATAL, RequestStatus::Quarantined, now);
     assert!(book.clear(FATAL, now + ms(1)));
@@ -241,11 +244,11 @@
 fn a_clearing_is_told_among_many_reports() {
     let mut outbox = CrashOutbox::default();
     let now = Instant::now();
-    for print in 100..1000 {
-        outbox.on_report(now, report(1, RequestFingerprint(print)));
+    for fingerprint in 100..1000 {
+        outbox.on_report(now, report(1, RequestFingerprint(fingerprint)));
     }
     outbox.on_cleared(now, FATAL, true);
-    let word = outbox.take(now + ms(1));
+    let word = outbox.take_due(now + ms(1));
     assert_eq!(word.cleared.len(), 1);
     assert_eq!(word.cleared[0].print, FATAL);
 }
@@ -295,23 +298,23 @@
         let mut fatal_ends = 0;
         for (run, (bystanders, is_fatal)) in ends.into_iter().enumerate() {
             let run = run as u64;
-            for print in &bystanders {
-                ledger.on_report(now, report(run, RequestFingerprint(*print)));
+            for fingerprint in &bystanders {
+                ledger.on_report(now, report(run, RequestFingerprint(*fingerprint)));
             }
             if is_fatal {
                 ledger.on_report(now, report(run, FATAL));
                 fatal_ends += 1;
             }
             let news = ledger.review(now, &mut book);
-            let refused = |print: &RequestFingerprint| {
-                news.contains(&(*print, RequestStatus::Quarantined)) && *print != FATAL
+            let refused = |fingerprint: &RequestFingerprint| {
+                news.contains(&(*fingerprint, RequestStatus::Quarantined)) && *fingerprint != FATAL
             };
-            prop_assert!(!bystanders.iter().any(|print| refused(&RequestFingerprint(*print))));
+            prop_assert!(!bystanders.iter().any(|fingerprint| refused(&RequestFingerprint(*fingerprint))));
             // They run again on another server, and are answered.
             now += ms(200);
-            for print in &bystanders {
-                ledger.clear(RequestFingerprint(*print));
-                book.clear(RequestFingerprint(*print), now);
+            for fingerprint in &bystanders {
+                ledger.clear(RequestFingerprint(*fingerprint));
+                book.clear(RequestFingerprint(*fingerprint), now);
             }
             now += Duration::from_millis(50);
             if book.quarantine_left(now, FATAL).is_some() {
--- a/crates/place/tests/fleet_world/mod.rs
+++ b/crates/place/tests/fleet_world/mod.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use place::crash::print::RequestFingerprint;
-use place::crash::word::StoredQuarantine;
+use place::crash::fingerprint::RequestFingerprint;
+use place::crash::message::StoredQuarantine;
 use place::fleet::clock::StoreTime;
 use place::fleet::follow::{PullScope, PullTarget};
 use place::fleet::log::log_version;
@@ -340,8 +340,8 @@
             Delivery::WatchTold { operator, time } => self.end_watch(to, Some((operator, time))),
             Delivery::Rows => {
                 let kept = self.kept.iter();
-                let kept = kept.map(|(print, (at, lifted))| StoredQuarantine {
-                    print: *print,
+                let kept = kept.map(|(fingerprint, (at, lifted))| StoredQuarantine {
+                    print: *fingerprint,
                     age: self.now - *at,
                     lifted: *lifted,
                 });
@@ -431,15 +431,16 @@
             FleetAction::KeepQuarantines(quarantines) => {
                 self.calls += 1;
                 if self.is_served(entry) {
-                    for (print, age) in quarantines {
-                        self.kept.insert(print, (self.now - age, false));
+                    for (fingerprint, age) in quarantines {
+                        self.kept.insert(fingerprint, (self.now - age, false));
                     }
                 }
             }
             FleetAction::DropQuarantines(prints) => {
                 self.calls += 1;
                 if self.is_served(entry) {
-                    self.kept.retain(|print, _| !prints.contains(print));
+                    self.kept
+                        .retain(|fingerprint, _| !prints.contains(fingerprint));
                 }
             }
             FleetAction::WriteRow(leads) => {
