--- a/bin/lh-entry/src/fleet.rs
+++ b/bin/lh-entry/src/fleet.rs
@@ -7,7 +7,7 @@
 
 use place::crash::fingerprint::RequestFingerprint;
 use place::fleet::clock::StoreTime;
-use place::fleet::known::KnownStore;
+use place::fleet::known::StoreProgress;
 use place::fleet::member::{BEAT_EVERY, MemberConfig};
 use place::fleet::message::PeerMessage;
 use place::fleet::regions::RegionBook;
@@ -67,7 +67,7 @@
     }
 
     /// Takes in what this entry knows of the store since `change`.
-    pub(crate) fn on_known(&self, change: impl FnOnce(&mut KnownStore)) {
+    pub(crate) fn on_known(&self, change: impl FnOnce(&mut StoreProgress)) {
         let mut known = self.known();
         change(&mut known);
         self.on_event(FleetEvent::Known(known));
@@ -82,7 +82,7 @@
     }
 
     /// What this entry knows of the store.
-    pub(crate) fn known(&self) -> KnownStore {
+    pub(crate) fn known(&self) -> StoreProgress {
         *self.member.borrow().known()
     }
 
--- a/bin/lh-entry/src/state.rs
+++ b/bin/lh-entry/src/state.rs
@@ -9,9 +9,9 @@
 use base::prelude::{Incarnation, InstanceId, NodeId};
 use place::catalog::CatalogChange;
 use place::departure::Departure;
-use place::fleet::copies::CopyDesk;
+use place::fleet::copies::CopyScheduler;
 use place::fleet::front::RateMeter;
-use place::fleet::known::KnownStore;
+use place::fleet::known::StoreProgress;
 use place::fleet::log::{ReadScope, RegistryDelta, RegistryLog};
 use place::fleet::member::MemberConfig;
 use place::fleet::seat::LeadSeat;
@@ -63,7 +63,7 @@
     /// The same, encoded.
     pub(crate) encoded: RefCell<EncodedChanges>,
     /// Whole copies of it that were told.
-    pub(crate) copies: RefCell<CopyDesk>,
+    pub(crate) copies: RefCell<CopyScheduler>,
     /// Reads the registry; taken while it does.
     pub(crate) registry: RefCell<Option<StoreClient>>,
     pub(crate) registry_dependency: RefCell<Dependency>,
@@ -124,7 +124,7 @@
             evacuated: RefCell::default(),
             servers: RefCell::default(),
             encoded: RefCell::default(),
-            copies: RefCell::new(CopyDesk::new(config.link_megabits)),
+            copies: RefCell::new(CopyScheduler::new(config.link_megabits)),
             registry: RefCell::default(),
             registry_dependency: RefCell::new(Dependency::new("server registry")),
             fleet: FleetDesk::new(member_config(&config, incarnation)),
@@ -234,7 +234,7 @@
     /// was asked for they count also if they seem older.
     pub(crate) fn on_told_operator(
         &self,
-        heard: &KnownStore,
+        heard: &StoreProgress,
         evacuated: &[String],
         is_whole: bool,
     ) {
@@ -312,7 +312,7 @@
     pub(crate) fn on_told_servers(
         &self,
         lead: SocketAddr,
-        heard: &KnownStore,
+        heard: &StoreProgress,
         delta: &RegistryDelta,
         is_whole: bool,
     ) {
--- a/bin/lh-entry/src/view.rs
+++ b/bin/lh-entry/src/view.rs
@@ -17,10 +17,10 @@
 use place::fleet::clock::StoreTime;
 use place::fleet::copies::CopySource;
 use place::fleet::follow::{PullScope, PullTarget};
-use place::fleet::known::{KnownStore, StoreWord};
+use place::fleet::known::{StoreProgress, StoreProgressMessage};
 use place::fleet::list::{EntryList, ListVersion};
 use place::fleet::log::{RegistryDelta, RegistryLog};
-use place::fleet::mark::ContentMark;
+use place::fleet::mark::ContentHash;
 use place::prelude::FleetEvent;
 use quick_error::quick_error;
 use rollout::order::RolloutRecord;
@@ -66,7 +66,7 @@
     /// What the one that asked lacks.
     #[derive(Default)]
     struct ViewAnswer {
-        store: StoreWord,
+        store: StoreProgressMessage,
         /// An encoded [`RegistryDelta`]; empty where nothing changed.
         registry: Vec<u8>,
         /// Where that is to be had instead.
@@ -117,7 +117,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct EncodedChanges {
     /// The log that they are of. Its version alone may stand for other content before.
-    of: (u64, ContentMark),
+    of: (u64, ContentHash),
     by_mark: HashMap<u64, Rc<Vec<u8>>>,
 }
 
@@ -147,7 +147,8 @@
         let log = state.servers.borrow();
         let changes = state.encoded.borrow_mut().since(&log, query.registry);
         let mut copies = state.copies.borrow_mut();
-        let asked = copies.on_asked(Instant::now(), query.view, changes.len(), query.insists);
+        let asked =
+            copies.on_copy_request(Instant::now(), query.view, changes.len(), query.insists);
         match asked {
             CopySource::Here => {
                 state.metrics.on_told(query.registry == 0);
@@ -241,7 +242,7 @@
 ) -> Result<(), ViewError> {
     // The answer was given at some time since the question: taking it for new would hide how
     // long this process had no turn to read it.
-    let heard = KnownStore::heard(begun, &answer.store);
+    let heard = StoreProgress::heard(begun, &answer.store);
     if !answer.desired.is_empty() {
         let desired: DesiredState = postcard::from_bytes(&answer.desired)?;
         state.on_desired(&desired);
--- a/bin/lh-entry/src/watch.rs
+++ b/bin/lh-entry/src/watch.rs
@@ -9,7 +9,7 @@
 
 use place::catalog::CatalogSnapshot;
 use place::fleet::log::ReadScope;
-use place::fleet::reading::{ReadOutcome, RegistryCall, answer_time};
+use place::fleet::reading::{ReadOutcome, RegistryRead, answer_as_of};
 use place::prelude::FleetEvent;
 use platform::Error;
 use platform::client::{OperatorRows, StoreClient};
@@ -72,7 +72,7 @@
                     .fleet
                     .on_event(FleetEvent::StoreTime(begun, rows.time));
                 let has_news = resume.is_none() || rows.has_news;
-                let as_of = answer_time(begun, wait, Instant::now(), has_news);
+                let as_of = answer_as_of(begun, wait, Instant::now(), has_news);
                 on_rows(&state, &rows, as_of, resume.is_none());
                 state.fleet.on_event(FleetEvent::Watched(true));
             }
@@ -142,13 +142,13 @@
 }
 
 /// Reads the registry once.
-pub(crate) async fn read_registry(state: Rc<InstanceState>, call: RegistryCall) {
+pub(crate) async fn read_registry(state: Rc<InstanceState>, call: RegistryRead) {
     let mut client = state
         .registry
         .take()
         .unwrap_or_else(|| StoreClient::new(state.config.store, PATIENCE));
     resume(&state, &mut client);
-    let RegistryCall { wait, whole } = call;
+    let RegistryRead { wait, whole } = call;
     let is_whole = whole || client.servers_version().is_none();
     let begun = Instant::now();
     let result = if whole {
@@ -173,7 +173,7 @@
             let snapshot = CatalogSnapshot {
                 entries: rows.entries,
                 foreign: rows.foreign,
-                begun: answer_time(begun, wait, Instant::now(), has_news),
+                begun: answer_as_of(begun, wait, Instant::now(), has_news),
                 version: rows.version,
             };
             let before = state.servers.borrow().version();
--- a/crates/emulate/benches/slopes.rs
+++ b/crates/emulate/benches/slopes.rs
@@ -9,7 +9,7 @@
 use place::blocks::BlockTableBuilder;
 use place::desired::{DesiredState, RequestKind, RouteSpec, ServiceSpec, SplitPart};
 use place::directory::in_order;
-use place::fleet::known::KnownStore;
+use place::fleet::known::StoreProgress;
 use place::fleet::log::{ReadScope, RegistryDelta, RegistryLog};
 use place::fleet::member::MemberConfig;
 use place::fleet::message::{EntryBeat, PeerMessage};
@@ -358,9 +358,9 @@
         };
         let mut lead = FleetMember::new(start, config);
         let mut actions = Vec::new();
-        let known = KnownStore {
+        let known = StoreProgress {
             registry_at: Some(start),
-            ..KnownStore::default()
+            ..StoreProgress::default()
         };
         lead.on_event(start, FleetEvent::Known(known), &mut actions);
         let mut now = start + Duration::from_secs(2);
--- a/crates/place/src/catalog/mod.rs
+++ b/crates/place/src/catalog/mod.rs
@@ -16,7 +16,7 @@
 use crate::catalog::index::{NearPlaces, ServiceIndex};
 use crate::catalog::outage::{RegistryOutage, VanishedRow};
 use crate::catalog::table::RecordTable;
-use crate::departure::{Departure, DepartureBook};
+use crate::departure::{Departure, DepartureTable};
 use crate::fleet::log::{RegistryDelta, store_version};
 use crate::placing::candidates::RankScope;
 use crate::placing::trip::TripBook;
@@ -39,7 +39,7 @@
     taken_at: Option<Instant>,
     trips: TripBook,
     outage: RegistryOutage,
-    departures: DepartureBook,
+    departures: DepartureTable,
 }
 
 impl ServerCatalog {
--- a/crates/place/src/departure.rs
+++ b/crates/place/src/departure.rs
@@ -83,15 +83,15 @@
 
 /// The departures that an entry knows.
 #[derive(Debug, Default)]
-pub(crate) struct DepartureBook {
-    by_id: HashMap<String, BookEntry>,
+pub(crate) struct DepartureTable {
+    by_id: HashMap<String, DepartureRecord>,
     /// Ids in the order in which they were noted, with the turn of each.
     order: VecDeque<(u64, String)>,
     turn: u64,
 }
 
 #[derive(Debug)]
-struct BookEntry {
+struct DepartureRecord {
     departure: Departure,
     noted_at: Instant,
     turn: u64,
@@ -99,7 +99,7 @@
     has_refused: bool,
 }
 
-impl DepartureBook {
+impl DepartureTable {
     /// Remembers `departure`, for as long as not too many others come after it.
     pub(crate) fn note(&mut self, now: Instant, departure: &Departure) {
         if !departure.is_known() {
@@ -112,7 +112,7 @@
             known.departure.merge(departure);
             (known.noted_at, known.turn, known.has_refused) = (now, turn, false);
         } else {
-            let entry = BookEntry {
+            let entry = DepartureRecord {
                 departure: departure.clone(),
                 noted_at: now,
                 turn,
--- a/crates/place/src/fleet/copies.rs
+++ b/crates/place/src/fleet/copies.rs
@@ -36,7 +36,7 @@
 
 /// The copies that one entry tells.
 #[derive(Debug)]
-pub struct CopyDesk {
+pub struct CopyScheduler {
     /// Of the own link, in bits a second.
     link: f64,
     /// When the link has carried all copies that were told.
@@ -45,7 +45,7 @@
     served: VecDeque<(Instant, SocketAddr)>,
 }
 
-impl CopyDesk {
+impl CopyScheduler {
     /// The desk of an entry whose link carries `megabits` a second.
     pub fn new(megabits: f64) -> Self {
         Self {
@@ -56,7 +56,7 @@
     }
 
     /// The entry at `asker` asks for a copy of `bytes`; it takes no other's where it `insists`.
-    pub fn on_asked(
+    pub fn on_copy_request(
         &mut self,
         now: Instant,
         asker: SocketAddr,
--- a/crates/place/src/fleet/follow.rs
+++ b/crates/place/src/fleet/follow.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use crate::fleet::known::KnownStore;
+use crate::fleet::known::StoreProgress;
 use crate::fleet::leads::{HeardLead, LeadTable};
 use crate::fleet::log::log_version;
 use crate::fleet::regions::RegionBook;
@@ -112,7 +112,7 @@
         &mut self,
         now: Instant,
         place: FollowerPlace<'_>,
-        known: &KnownStore,
+        known: &StoreProgress,
         leads: &LeadTable,
         regions: &RegionBook,
         doubted: Option<SocketAddr>,
@@ -157,7 +157,7 @@
         &mut self,
         now: Instant,
         place: FollowerPlace<'_>,
-        known: &KnownStore,
+        known: &StoreProgress,
         leads: &LeadTable,
     ) -> Option<PullTarget> {
         let is_early = |at: Instant| now.saturating_duration_since(at) < ASK_PAUSE;
@@ -180,7 +180,12 @@
     }
 
     /// Whether what is known has been ahead of the store's word at all leads for too long.
-    fn is_ahead_for_long(&mut self, now: Instant, known: &KnownStore, near: &[&HeardLead]) -> bool {
+    fn is_ahead_for_long(
+        &mut self,
+        now: Instant,
+        known: &StoreProgress,
+        near: &[&HeardLead],
+    ) -> bool {
         let is_ahead = !near.is_empty() && near.iter().all(|lead| is_ahead(now, known, lead));
         self.ahead_since = is_ahead.then(|| self.ahead_since.unwrap_or(now));
         let since = self.ahead_since;
@@ -206,7 +211,7 @@
 fn leads_ahead<'a>(
     now: Instant,
     place: FollowerPlace<'_>,
-    known: &KnownStore,
+    known: &StoreProgress,
     leads: &'a LeadTable,
     regions: &RegionBook,
     near: &[&'a HeardLead],
@@ -225,7 +230,7 @@
 }
 
 /// Whether the entry knows what no reading of the lead can have shown yet.
-fn is_ahead(now: Instant, known: &KnownStore, lead: &HeardLead) -> bool {
+fn is_ahead(now: Instant, known: &StoreProgress, lead: &HeardLead) -> bool {
     let read_at = lead.known.registry_at;
     read_at.is_some_and(|at| now.saturating_duration_since(at) < READ_LIFE)
         && known.registry >= log_version(lead.known.registry_read.saturating_add(1))
@@ -236,7 +241,7 @@
 fn lacks_far(
     now: Instant,
     place: FollowerPlace<'_>,
-    known: &KnownStore,
+    known: &StoreProgress,
     lead: &HeardLead,
     regions: &RegionBook,
 ) -> bool {
--- a/crates/place/src/fleet/known.rs
+++ b/crates/place/src/fleet/known.rs
@@ -4,16 +4,16 @@
 
 use crate::fleet::clock::StoreTime;
 use crate::fleet::log::log_version;
-use crate::fleet::mark::ContentMark;
+use crate::fleet::mark::ContentHash;
 
 base::common! {
     /// What an entry knows of the store, as it tells others.
     #[derive(Copy, Eq, Default)]
-    pub struct StoreWord {
+    pub struct StoreProgressMessage {
         /// The log's version of what is known of the registry.
         pub registry: u64,
         /// The mark of that.
-        pub content: ContentMark,
+        pub content: ContentHash,
         /// The store's version at the newest reading of the registry.
         pub registry_read: u64,
         /// Milliseconds since that reading began; `u32::MAX` before the first.
@@ -31,7 +31,7 @@
     }
 }
 
-impl StoreWord {
+impl StoreProgressMessage {
     /// The word as it is told when it waited for `span` before it was read.
     #[must_use]
     pub fn waited(mut self, span: Duration) -> Self {
@@ -44,11 +44,11 @@
 
 /// The same as this entry keeps it, with times of its own clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct KnownStore {
+pub struct StoreProgress {
     /// The log's version of what is known of the registry.
     pub registry: u64,
     /// The mark of that.
-    pub content: ContentMark,
+    pub content: ContentHash,
     /// The store's version at the newest reading of the registry.
     pub registry_read: u64,
     /// When that reading began.
@@ -66,9 +66,9 @@
     pub desired: u64,
 }
 
-impl KnownStore {
+impl StoreProgress {
     /// What another entry's `word` says, by this entry's clock.
-    pub fn heard(now: Instant, word: &StoreWord) -> Self {
+    pub fn heard(now: Instant, word: &StoreProgressMessage) -> Self {
         let at = |age: u32| {
             let span = Duration::from_millis(u64::from(age));
             (age < u32::MAX).then(|| now.checked_sub(span)).flatten()
@@ -87,11 +87,11 @@
     }
 
     /// The word for other entries.
-    pub fn word(&self, now: Instant) -> StoreWord {
+    pub fn word(&self, now: Instant) -> StoreProgressMessage {
         let age = |at: Option<Instant>| {
             at.map_or(u32::MAX, |at| millis(now.saturating_duration_since(at)))
         };
-        StoreWord {
+        StoreProgressMessage {
             registry: self.registry,
             content: self.content,
             registry_read: self.registry_read,
--- a/crates/place/src/fleet/leads.rs
+++ b/crates/place/src/fleet/leads.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use crate::fleet::known::KnownStore;
+use crate::fleet::known::StoreProgress;
 use crate::fleet::list::ListVersion;
 use crate::fleet::message::RegionDigest;
 use crate::fleet::seat::{LEADS, LeadSeat, SeatOrder};
@@ -24,7 +24,7 @@
     /// Whether its process is about to end.
     pub leaving: bool,
     /// What it knows of the store.
-    pub known: KnownStore,
+    pub known: StoreProgress,
     /// The lists of entries that it knows.
     pub lists: Vec<(String, ListVersion)>,
     /// Who leads its region by its word, and substitutes.
@@ -77,7 +77,7 @@
             seat: digest.seat.clone(),
             region: digest.region.clone(),
             leaving: digest.leaving || !digest.seat.leads,
-            known: KnownStore::heard(now, &digest.store),
+            known: StoreProgress::heard(now, &digest.store),
             lists: digest
                 .regions
                 .iter()
@@ -111,7 +111,7 @@
     pub fn contradicting<'a>(
         &'a self,
         now: Instant,
-        known: &'a KnownStore,
+        known: &'a StoreProgress,
     ) -> impl Iterator<Item = &'a HeardLead> {
         self.fresh(now)
             .filter(|lead| known.contradicts(&lead.known))
--- a/crates/place/src/fleet/log.rs
+++ b/crates/place/src/fleet/log.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
 use crate::departure::Departure;
-use crate::fleet::mark::ContentMark;
+use crate::fleet::mark::ContentHash;
 use crate::server::{EntryState, ServerEntry};
 use crate::snapshot::{CatalogSnapshot, DroppedRow};
 
@@ -62,10 +62,10 @@
 
 /// One server's row.
 #[derive(Debug)]
-struct LogRecord {
+struct LogEntry {
     /// The version at which it changed.
     changed: u64,
-    mark: ContentMark,
+    mark: ContentHash,
     entry: ServerEntry,
 }
 
@@ -76,8 +76,8 @@
     version: u64,
     /// Changes after this version are all known.
     oldest: u64,
-    entries: BTreeMap<String, LogRecord>,
-    content: ContentMark,
+    entries: BTreeMap<String, LogEntry>,
+    content: ContentHash,
     gone: VecDeque<(u64, Departure)>,
     foreign: Vec<String>,
     missing: Vec<String>,
@@ -119,11 +119,11 @@
             let entry = self.newest(known.as_ref(), entry);
             let record = match known {
                 Some(known) if !is_back && is_same(&known.entry, &entry) => {
-                    LogRecord { entry, ..known }
+                    LogEntry { entry, ..known }
                 }
                 _ => {
                     is_changed = true;
-                    LogRecord::new(stamp, entry)
+                    LogEntry::new(stamp, entry)
                 }
             };
             self.entries.insert(record.entry.id.clone(), record);
@@ -232,7 +232,7 @@
         }
         for entry in &delta.entries {
             let known = before.get(&entry.id).or(self.entries.get(&entry.id));
-            let record = LogRecord::new(delta.version, self.newest(known, entry));
+            let record = LogEntry::new(delta.version, self.newest(known, entry));
             self.content = self.content.with(record.mark);
             if let Some(before) = self.entries.insert(entry.id.clone(), record) {
                 self.content = self.content.without(before.mark);
@@ -249,19 +249,19 @@
     /// The mark of which servers there are, and which rows aren't their server's own word. A
     /// row that may have lapsed counts until it is given up: entries differ in when they
     /// miss it.
-    pub fn content(&self) -> ContentMark {
+    pub fn content(&self) -> ContentHash {
         self.content
     }
 
     fn sum_up(&mut self) {
-        let none = ContentMark::default();
+        let none = ContentHash::default();
         let own = self.entries.values().filter(|record| {
             // What stood before somebody else's row is known to some entries only.
             !self.foreign.contains(&record.entry.id)
         });
         let own = own.fold(none, |sum, record| sum.with(record.mark));
-        let foreign = self.foreign.iter().map(|id| ContentMark::of_foreign(id));
-        self.content = foreign.fold(own, ContentMark::with);
+        let foreign = self.foreign.iter().map(|id| ContentHash::of_foreign(id));
+        self.content = foreign.fold(own, ContentHash::with);
     }
 
     /// Takes in what stood last in rows that were dropped and may only have lapsed.
@@ -270,7 +270,7 @@
         for row in kept.filter(|row| scope.missing.contains(&row.id)) {
             let known = self.entries.get_mut(&row.id);
             if let (Some(record), Some(word)) = (known, &row.word) {
-                *record = LogRecord::new(record.changed, newer(&record.entry, word));
+                *record = LogEntry::new(record.changed, newer(&record.entry, word));
             }
         }
     }
@@ -301,7 +301,7 @@
     /// The newest that is known of the server of `entry`, also where the store performed an
     /// older heartbeat late or an entry that is behind told it: a run that leaves doesn't come
     /// back, whether its row was dropped meanwhile or not.
-    fn newest(&self, known: Option<&LogRecord>, entry: &ServerEntry) -> ServerEntry {
+    fn newest(&self, known: Option<&LogEntry>, entry: &ServerEntry) -> ServerEntry {
         if let Some(known) = known {
             return newer(&known.entry, entry);
         }
@@ -315,7 +315,7 @@
     }
 
     /// Remembers the ends of servers that a copy lacks which is as new as what was known `before`.
-    fn forget_others(&mut self, delta: &RegistryDelta, before: &BTreeMap<String, LogRecord>) {
+    fn forget_others(&mut self, delta: &RegistryDelta, before: &BTreeMap<String, LogEntry>) {
         let listed = delta.entries.iter().map(|entry| &entry.id);
         let kept: HashSet<&String> = listed.chain(&delta.foreign).chain(&delta.missing).collect();
         let others = before
@@ -343,11 +343,11 @@
     }
 }
 
-impl LogRecord {
+impl LogEntry {
     fn new(changed: u64, entry: ServerEntry) -> Self {
         Self {
             changed,
-            mark: ContentMark::of_entry(&entry),
+            mark: ContentHash::of_entry(&entry),
             entry,
         }
     }
--- a/crates/place/src/fleet/mark.rs
+++ b/crates/place/src/fleet/mark.rs
@@ -11,10 +11,10 @@
     /// The mark of a set of rows, whose order doesn't matter. Heartbeats and the rest of a
     /// warm-up aren't in it: they differ between two readings of the same row.
     #[derive(Copy, Eq, Default)]
-    pub struct ContentMark(u64);
+    pub struct ContentHash(u64);
 }
 
-impl ContentMark {
+impl ContentHash {
     /// Of one server's own word.
     pub fn of_entry(entry: &ServerEntry) -> Self {
         let text = format!(
@@ -55,7 +55,7 @@
     }
 }
 
-impl std::fmt::Display for ContentMark {
+impl std::fmt::Display for ContentHash {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{:016x}", self.0)
     }
--- a/crates/place/src/fleet/member/mod.rs
+++ b/crates/place/src/fleet/member/mod.rs
@@ -21,12 +21,12 @@
 use crate::fleet::clock::{StoreClock, StoreTime};
 use crate::fleet::doubt::ContentDoubt;
 use crate::fleet::follow::{PullState, PullTarget};
-use crate::fleet::known::KnownStore;
+use crate::fleet::known::StoreProgress;
 use crate::fleet::leads::LeadTable;
 use crate::fleet::list::EntryList;
 use crate::fleet::message::PeerMessage;
-use crate::fleet::pace::ReadPace;
-use crate::fleet::reading::{ReadOutcome, ReadingPlan, RegistryCall};
+use crate::fleet::pace::ReadIntervals;
+use crate::fleet::reading::{ReadOutcome, ReadScheduler, RegistryRead};
 use crate::fleet::regions::RegionBook;
 use crate::fleet::roster::EntryRoster;
 use crate::fleet::seat::LeadSeat;
@@ -86,7 +86,7 @@
     /// Something of its own changed.
     Own(OwnState),
     /// It knows more of the store, by whatever way.
-    Known(KnownStore),
+    Known(StoreProgress),
     /// The store answered a call that began then with its own time; or another entry told
     /// the latest time that the store's clock can show.
     StoreTime(Instant, StoreTime),
@@ -120,7 +120,7 @@
     /// Ask a lead for what it knows more.
     Pull(PullTarget),
     /// Read the registry, and tell the outcome.
-    ReadRegistry(RegistryCall),
+    ReadRegistry(RegistryRead),
     /// Watch the operator's rows from now on, or no longer.
     WatchOperator(bool),
     /// Look at the store's rows of leads.
@@ -176,7 +176,7 @@
     reviewed_at: Instant,
     own: OwnState,
     reads: bool,
-    known: KnownStore,
+    known: StoreProgress,
     clock: StoreClock,
     roster: EntryRoster,
     leads: LeadTable,
@@ -184,7 +184,7 @@
     search: LeadSearch,
     pulls: PullState,
     doubt: ContentDoubt,
-    readings: ReadingPlan,
+    readings: ReadScheduler,
     /// Since when it leads its region.
     leading: Option<Instant>,
     /// Leads and substitutes of the region as known now.
@@ -216,7 +216,7 @@
             reviewed_at: now,
             own: OwnState::default(),
             reads: true,
-            known: KnownStore::default(),
+            known: StoreProgress::default(),
             clock: StoreClock::default(),
             roster: EntryRoster::default(),
             leads: LeadTable::default(),
@@ -224,7 +224,7 @@
             search: LeadSearch::new(&config.seeds, hash),
             pulls: PullState::default(),
             doubt: ContentDoubt::default(),
-            readings: ReadingPlan::new(now, ReadPace::new(config.drain), hash),
+            readings: ReadScheduler::new(now, ReadIntervals::new(config.drain), hash),
             leading: None,
             seats: Vec::new(),
             counted: Vec::new(),
@@ -307,7 +307,7 @@
     }
 
     /// What this entry knows of the store.
-    pub fn known(&self) -> &KnownStore {
+    pub fn known(&self) -> &StoreProgress {
         &self.known
     }
 
@@ -348,7 +348,7 @@
         }
     }
 
-    fn on_known(&mut self, now: Instant, known: KnownStore) {
+    fn on_known(&mut self, now: Instant, known: StoreProgress) {
         let is_news = (known.registry, known.operator, known.desired)
             != (self.known.registry, self.known.operator, self.known.desired);
         let is_read = known.registry_at > self.known.registry_at;
--- a/crates/place/src/fleet/message.rs
+++ b/crates/place/src/fleet/message.rs
@@ -4,7 +4,7 @@
 
 use crate::crash::message::CrashMessage;
 use crate::fleet::front::FrontEntry;
-use crate::fleet::known::StoreWord;
+use crate::fleet::known::StoreProgressMessage;
 use crate::fleet::list::ListVersion;
 use crate::fleet::seat::LeadSeat;
 use crate::placing::load::LoadWord;
@@ -85,7 +85,7 @@
         /// Whether its process is about to end.
         pub leaving: bool,
         /// What it knows of the store.
-        pub store: StoreWord,
+        pub store: StoreProgressMessage,
         /// What it knows of all regions, its own among them.
         pub regions: Vec<RegionWord>,
     }
--- a/crates/place/src/fleet/pace.rs
+++ b/crates/place/src/fleet/pace.rs
@@ -12,7 +12,7 @@
 
 /// Times between readings of the registry.
 #[derive(Debug, Clone, Copy)]
-pub struct ReadPace {
+pub struct ReadIntervals {
     /// Between two readings of a region's reader; it is told of changes at once where the
     /// store holds its answers back until something changes.
     pub reader: Duration,
@@ -22,7 +22,7 @@
     pub member: Duration,
 }
 
-impl ReadPace {
+impl ReadIntervals {
     /// The pace where a server that leaves may get requests for `drain`.
     pub fn new(drain: Duration) -> Self {
         Self {
--- a/crates/place/src/fleet/reading.rs
+++ b/crates/place/src/fleet/reading.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::fleet::pace::ReadPace;
+use crate::fleet::pace::ReadIntervals;
 
 /// First pause after a failed reading, so that a store in trouble isn't pressed.
 const FIRST_PAUSE: Duration = Duration::from_millis(300);
@@ -33,7 +33,7 @@
 
 /// A call to the store for the registry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RegistryCall {
+pub struct RegistryRead {
     /// How long the store may hold its answer back until something changes.
     pub wait: Duration,
     /// Whether all rows are asked for, whatever is known.
@@ -44,7 +44,7 @@
 /// store might hold back for `wait` until there was news. Only an answer without news shows
 /// that the whole wait has passed at the store: one with news that is as late was late on its
 /// way, or this entry was to read it.
-pub fn answer_time(begun: Instant, wait: Duration, now: Instant, has_news: bool) -> Instant {
+pub fn answer_as_of(begun: Instant, wait: Duration, now: Instant, has_news: bool) -> Instant {
     let waited = !has_news && now.saturating_duration_since(begun) >= wait;
     if waited { begun + wait } else { begun }
 }
@@ -74,8 +74,8 @@
 
 /// The readings of the registry by one entry.
 #[derive(Debug)]
-pub struct ReadingPlan {
-    pace: ReadPace,
+pub struct ReadScheduler {
+    pace: ReadIntervals,
     /// 0 to 1, by the hash of the entry's name.
     spread: f64,
     begun: Option<Instant>,
@@ -92,9 +92,9 @@
     settles_at: Option<Instant>,
 }
 
-impl ReadingPlan {
+impl ReadScheduler {
     /// The plan at `pace` of an entry with the hash `hash` that starts at `now`.
-    pub fn new(now: Instant, pace: ReadPace, hash: u64) -> Self {
+    pub fn new(now: Instant, pace: ReadIntervals, hash: u64) -> Self {
         Self {
             pace,
             spread: (hash % 1009) as f64 / 1009.0,
@@ -143,7 +143,7 @@
         role: ReadRole,
         known_at: Option<Instant>,
         whole: bool,
-    ) -> Option<RegistryCall> {
+    ) -> Option<RegistryRead> {
         if self.is_reading || self.not_before.is_some_and(|at| now < at) {
             return None;
         }
@@ -176,7 +176,7 @@
         self.begun = Some(now);
         self.is_reading = true;
         self.overdue_at = now + wait + OVERDUE_AFTER;
-        Some(RegistryCall { wait, whole })
+        Some(RegistryRead { wait, whole })
     }
 
     /// Whether the present reading takes too long.
@@ -190,7 +190,7 @@
     }
 
     /// Times between readings.
-    pub fn pace(&self) -> ReadPace {
+    pub fn pace(&self) -> ReadIntervals {
         self.pace
     }
 
--- a/crates/place/tests/copies.rs
+++ b/crates/place/tests/copies.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use place::fleet::copies::{CopyDesk, CopySource};
+use place::fleet::copies::{CopyScheduler, CopySource};
 
 /// Bytes of a server's row in a copy.
 const ROW: usize = 75;
@@ -38,8 +38,8 @@
 fn spread_time(entries: usize, spreads: bool, lost: usize) -> Option<Duration> {
     let start = Instant::now();
     let bytes = entries * SERVERS * ROW;
-    let mut desks: Vec<CopyDesk> = (0..entries)
-        .map(|entry| CopyDesk::new(if entry < LEADS { LEAD_LINK } else { LINK }))
+    let mut desks: Vec<CopyScheduler> = (0..entries)
+        .map(|entry| CopyScheduler::new(if entry < LEADS { LEAD_LINK } else { LINK }))
         .collect();
     let mut free: Vec<Duration> = vec![Duration::ZERO; entries];
     let mut has: HashMap<usize, Duration> = (0..LEADS).map(|lead| (lead, Duration::ZERO)).collect();
@@ -63,7 +63,7 @@
         }
         let mut source = CopySource::Here;
         if spreads {
-            source = desks[asked].on_asked(start + at, address(entry), bytes, insists);
+            source = desks[asked].on_copy_request(start + at, address(entry), bytes, insists);
         }
         match source {
             CopySource::Elsewhere(relay) => {
@@ -134,28 +134,28 @@
 #[test]
 fn small_answers_are_given_at_once() {
     let now = Instant::now();
-    let mut desk = CopyDesk::new(10.0);
+    let mut desk = CopyScheduler::new(10.0);
     assert_eq!(
-        desk.on_asked(now, address(1), 1 << 20, false),
+        desk.on_copy_request(now, address(1), 1 << 20, false),
         CopySource::Here
     );
     assert_eq!(
-        desk.on_asked(now, address(2), 1 << 20, false),
+        desk.on_copy_request(now, address(2), 1 << 20, false),
         CopySource::Later
     );
     assert_eq!(
-        desk.on_asked(now, address(3), 1000, false),
+        desk.on_copy_request(now, address(3), 1000, false),
         CopySource::Here
     );
     let later = now + Duration::from_secs(3);
     assert_eq!(
-        desk.on_asked(later, address(2), 1 << 20, false),
+        desk.on_copy_request(later, address(2), 1 << 20, false),
         CopySource::Here
     );
-    let relay = desk.on_asked(later, address(3), 1 << 20, false);
+    let relay = desk.on_copy_request(later, address(3), 1 << 20, false);
     assert_eq!(relay, CopySource::Elsewhere(address(1)));
     assert_eq!(
-        desk.on_asked(later, address(4), 1 << 20, false),
+        desk.on_copy_request(later, address(4), 1 << 20, false),
         CopySource::Later
     );
 }
--- a/crates/place/tests/departed.rs
+++ b/crates/place/tests/departed.rs
@@ -8,10 +8,10 @@
 use common::{changes, domains, ms, reading, server};
 use place::catalog::DroppedRow;
 use place::departure::Departure;
-use place::fleet::known::KnownStore;
+use place::fleet::known::StoreProgress;
 use place::fleet::log::{ReadScope, RegistryDelta, RegistryLog};
-use place::fleet::pace::ReadPace;
-use place::fleet::reading::{ReadOutcome, ReadRole, ReadingPlan};
+use place::fleet::pace::ReadIntervals;
+use place::fleet::reading::{ReadOutcome, ReadRole, ReadScheduler};
 use place::prelude::*;
 
 const DRAIN: Duration = Duration::from_millis(3000);
@@ -261,7 +261,7 @@
 #[test]
 fn a_follower_ends_the_wait_that_it_began() {
     let start = Instant::now();
-    let mut plan = ReadingPlan::new(start, ReadPace::new(DRAIN), 1);
+    let mut plan = ReadScheduler::new(start, ReadIntervals::new(DRAIN), 1);
     let follower = ReadRole::Follower {
         substitute: false,
         stuck: false,
@@ -365,12 +365,12 @@
 #[test]
 fn a_word_that_waited_is_older_by_the_wait() {
     let now = Instant::now();
-    let known = KnownStore {
+    let known = StoreProgress {
         registry_at: Some(now - ms(100)),
-        ..KnownStore::default()
+        ..StoreProgress::default()
     };
     let word = known.word(now).waited(ms(2500));
-    let heard = KnownStore::heard(now, &word);
+    let heard = StoreProgress::heard(now, &word);
     assert_eq!(heard.registry_at, Some(now - ms(2600)));
     assert_eq!(heard.operator_at, None);
 }
--- a/crates/place/tests/due.rs
+++ b/crates/place/tests/due.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use place::fleet::follow::PullScope;
-use place::fleet::known::KnownStore;
+use place::fleet::known::StoreProgress;
 use place::fleet::member::MemberConfig;
 use place::fleet::message::{PeerMessage, RegionDigest};
 use place::fleet::seat::LeadSeat;
@@ -69,11 +69,11 @@
 fn an_entry_that_starts_asks_which_servers_have_left() {
     let start = Instant::now();
     let mut member = member(start);
-    let known = KnownStore {
+    let known = StoreProgress {
         registry: 1024,
         registry_read: 1,
         registry_at: Some(start),
-        ..KnownStore::default()
+        ..StoreProgress::default()
     };
     let mut actions = Vec::new();
     let mut asked = Vec::new();
@@ -112,7 +112,7 @@
         },
         region: "a".to_owned(),
         leaving: false,
-        store: KnownStore::default().word(Instant::now()),
+        store: StoreProgress::default().word(Instant::now()),
         regions: Vec::new(),
     }))
 }
--- a/crates/place/tests/fleet.rs
+++ b/crates/place/tests/fleet.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use fleet_world::{DRAIN, FleetWorld, REGIONS, domain_of, ms, region_of};
-use place::fleet::known::StoreWord;
+use place::fleet::known::StoreProgressMessage;
 use place::fleet::log::log_version;
 use place::fleet::message::{PeerMessage, RegionDigest, RegionWord};
 use place::prelude::*;
@@ -461,7 +461,7 @@
         seat,
         region: "r1".to_owned(),
         leaving: false,
-        store: StoreWord::default(),
+        store: StoreProgressMessage::default(),
         regions: words,
     };
     for entry in 0..60 {
--- a/crates/place/tests/fleet_world/mod.rs
+++ b/crates/place/tests/fleet_world/mod.rs
@@ -12,10 +12,10 @@
 use place::fleet::clock::StoreTime;
 use place::fleet::follow::{PullScope, PullTarget};
 use place::fleet::log::log_version;
-use place::fleet::mark::ContentMark;
+use place::fleet::mark::ContentHash;
 use place::fleet::member::MemberConfig;
 use place::fleet::message::PeerMessage;
-use place::fleet::reading::{ReadOutcome, RegistryCall};
+use place::fleet::reading::{ReadOutcome, RegistryRead};
 use place::fleet::seat::LeadSeat;
 use place::prelude::*;
 
@@ -48,7 +48,7 @@
     Clock,
     ReadEnds {
         begun: Instant,
-        call: RegistryCall,
+        call: RegistryRead,
     },
     PullEnds {
         from: usize,
@@ -489,7 +489,7 @@
         !self.store_down && !self.entries[entry].refused && !self.entries[entry].silent
     }
 
-    fn end_read(&mut self, entry: usize, begun: Instant, call: RegistryCall) {
+    fn end_read(&mut self, entry: usize, begun: Instant, call: RegistryRead) {
         if !self.is_served(entry) {
             self.tell(entry, FleetEvent::Read(ReadOutcome::Failed));
             return;
@@ -634,10 +634,10 @@
     }
 
     /// The mark of what `entry` knows of the registry.
-    fn content(&self, entry: usize) -> ContentMark {
+    fn content(&self, entry: usize) -> ContentHash {
         let marks = self.entries[entry].servers.keys();
-        let marks = marks.map(|change| ContentMark::of_foreign(&change.to_string()));
-        marks.fold(ContentMark::default(), ContentMark::with)
+        let marks = marks.map(|change| ContentHash::of_foreign(&change.to_string()));
+        marks.fold(ContentHash::default(), ContentHash::with)
     }
 
     /// The registry changes, and `entry` takes the version of the change without the change.
--- a/crates/place/tests/log.rs
+++ b/crates/place/tests/log.rs
@@ -7,7 +7,7 @@
 
 use common::{changes, domains, ms, reading, server};
 use place::catalog::DroppedRow;
-use place::fleet::known::KnownStore;
+use place::fleet::known::StoreProgress;
 use place::fleet::log::{ReadScope, RegistryLog, log_version};
 use place::prelude::*;
 use proptest::prelude::*;
@@ -153,13 +153,13 @@
 }
 
 /// What an entry with this log knows, which has read the store as of `read`.
-fn known_of(log: &RegistryLog, read: u64, at: Instant) -> KnownStore {
-    KnownStore {
+fn known_of(log: &RegistryLog, read: u64, at: Instant) -> StoreProgress {
+    StoreProgress {
         registry: log.version(),
         content: log.content(),
         registry_read: read,
         registry_at: Some(at),
-        ..KnownStore::default()
+        ..StoreProgress::default()
     }
 }
 
@@ -206,11 +206,11 @@
     let mut odd = reading(now, &both);
     odd.foreign.push("z".to_owned());
     here.on_read(&odd.with_version(100), changes());
-    let mut known = KnownStore {
+    let mut known = StoreProgress {
         registry: here.version(),
         registry_read: 100,
         registry_at: Some(now),
-        ..KnownStore::default()
+        ..StoreProgress::default()
     };
     // There it is read that a server leaves.
     let mut leaving = both.clone();
@@ -223,11 +223,11 @@
         &reading(now + ms(20), &leaving).with_version(102),
         changes(),
     );
-    let heard = KnownStore {
+    let heard = StoreProgress {
         registry: there.version(),
         registry_read: 102,
         registry_at: Some(now + ms(20)),
-        ..KnownStore::default()
+        ..StoreProgress::default()
     };
     assert!(known.is_behind_registry(&heard));
     assert!(!known.confirm(&heard));
--- a/crates/place/tests/proofs.rs
+++ b/crates/place/tests/proofs.rs
@@ -7,7 +7,7 @@
 
 use fleet_world::{FleetWorld, REGIONS, ms, region_of};
 use place::fleet::clock::{StoreClock, StoreTime};
-use place::fleet::known::{KnownStore, StoreWord};
+use place::fleet::known::{StoreProgress, StoreProgressMessage};
 use place::fleet::message::{PeerMessage, RegionDigest};
 use place::fleet::seat::LeadSeat;
 use place::prelude::*;
@@ -200,7 +200,7 @@
             },
             region: "r0".to_owned(),
             leaving: false,
-            store: StoreWord {
+            store: StoreProgressMessage {
                 proved,
                 ..known.word(world.now)
             },
@@ -318,10 +318,10 @@
 /// claims no younger proof than that knowledge has.
 #[test]
 fn older_knowledge_comes_with_its_own_proof() {
-    let word = |operator, proved| KnownStore {
+    let word = |operator, proved| StoreProgress {
         operator,
         proved: StoreTime(proved),
-        ..KnownStore::default()
+        ..StoreProgress::default()
     };
     let mut known = word(12, 73_000);
     known.replace_operator(&word(11, 68_000));
--- a/crates/place/tests/reading.rs
+++ b/crates/place/tests/reading.rs
@@ -2,16 +2,16 @@
 
 use std::time::{Duration, Instant};
 
-use place::fleet::pace::ReadPace;
-use place::fleet::reading::{ReadOutcome, ReadRole, ReadingPlan, answer_time};
+use place::fleet::pace::ReadIntervals;
+use place::fleet::reading::{ReadOutcome, ReadRole, ReadScheduler, answer_as_of};
 
 /// Promise: an entry that goes on doubting what it knows reads everything again no more often
 /// than a reader reads.
 #[test]
 fn a_reading_that_settles_nothing_is_not_repeated_at_once() {
     let start = Instant::now();
-    let pace = ReadPace::new(Duration::from_millis(2500));
-    let mut plan = ReadingPlan::new(start, pace, 1);
+    let pace = ReadIntervals::new(Duration::from_millis(2500));
+    let mut plan = ReadScheduler::new(start, pace, 1);
     let role = ReadRole::Follower {
         substitute: false,
         stuck: false,
@@ -37,8 +37,8 @@
     let begun = Instant::now();
     let wait = Duration::from_millis(1080);
     let late = begun + Duration::from_millis(2500);
-    assert_eq!(answer_time(begun, wait, late, true), begun);
-    assert_eq!(answer_time(begun, wait, late, false), begun + wait);
+    assert_eq!(answer_as_of(begun, wait, late, true), begun);
+    assert_eq!(answer_as_of(begun, wait, late, false), begun + wait);
     let early = begun + Duration::from_millis(300);
-    assert_eq!(answer_time(begun, wait, early, false), begun);
+    assert_eq!(answer_as_of(begun, wait, early, false), begun);
 }
--- a/crates/place/tests/relisting.rs
+++ b/crates/place/tests/relisting.rs
@@ -7,8 +7,8 @@
 
 use common::{ms, placer_config, reading, server};
 use place::catalog::ServerCatalog;
-use place::fleet::pace::ReadPace;
-use place::fleet::reading::{ReadOutcome, ReadRole, ReadingPlan, RegistryCall};
+use place::fleet::pace::ReadIntervals;
+use place::fleet::reading::{ReadOutcome, ReadRole, ReadScheduler, RegistryRead};
 
 /// Within this time a leaving server must get no more requests.
 const DRAIN: Duration = Duration::from_millis(3000);
@@ -24,7 +24,7 @@
     for offset in 0..20 {
         let start = Instant::now();
         let mut catalog = ServerCatalog::new(placer_config().domains).with_drain(DRAIN);
-        let mut plan = ReadingPlan::new(start, ReadPace::new(DRAIN), 1);
+        let mut plan = ReadScheduler::new(start, ReadIntervals::new(DRAIN), 1);
         let both = [server("x", "a1"), server("y", "a1")];
         catalog.on_read(start, &reading(start, &both));
         let back = start + ms(4000 + 55 * offset);
@@ -38,7 +38,7 @@
             now += ms(10);
             plan.set_settles(catalog.settles_at());
             let call = plan.take(now, ReadRole::Reader, catalog.read_at(), false);
-            let Some(RegistryCall { wait, .. }) = call else {
+            let Some(RegistryRead { wait, .. }) = call else {
                 continue;
             };
             if now < back {
