--- a/crates/place/src/fleet/log.rs
+++ b/crates/place/src/fleet/log.rs
@@ -13,11 +13,11 @@
 
 /// Servers that are gone stay in the log for this many changes: a third of the largest
 /// fleet may be replaced while an entry hears nothing.
-const GONE_KEPT: usize = 1024;
+const MAX_DEPARTURES: usize = 1024;
 /// Steps of an entry's own between two versions of the store: it may notice something that
 /// is no change there, as that a server is not back in time. Without room for them such a
 /// step took the number of the store's next change, which others then took as known.
-const OWN_STEPS: u64 = 1024;
+const LOCAL_VERSIONS: u64 = 1024;
 
 base::common! {
     /// What changed in the registry.
@@ -52,12 +52,12 @@
 
 /// The log's version of a reading as of the store's version `store`.
 pub fn log_version(store: u64) -> u64 {
-    store.saturating_mul(OWN_STEPS)
+    store.saturating_mul(LOCAL_VERSIONS)
 }
 
 /// The store's version at the log's version `version`.
 pub fn store_version(version: u64) -> u64 {
-    version / OWN_STEPS
+    version / LOCAL_VERSIONS
 }
 
 /// One server's row.
@@ -75,7 +75,7 @@
     /// The version of the newest change; 0 before the first reading.
     version: u64,
     /// Changes after this version are all known.
-    oldest: u64,
+    history_start: u64,
     entries: BTreeMap<String, LogEntry>,
     content: ContentHash,
     gone: VecDeque<(u64, Departure)>,
@@ -107,54 +107,54 @@
             *self = Self::default();
         }
         let is_first = self.version == 0;
-        let stamp = log_version(snapshot.version).max(self.version.saturating_add(1));
-        self.note_last_words(&scope);
+        let new_version = log_version(snapshot.version).max(self.version.saturating_add(1));
+        self.update_missing_entries(&scope);
         let mut is_changed = self.foreign != snapshot.foreign || self.missing != scope.missing;
         let was_out = |id: &String| self.foreign.contains(id) || self.missing.contains(id);
-        let mut ended = self.ended(&scope);
-        let mut left = std::mem::take(&mut self.entries);
+        let mut dropped_departures = self.dropped_departures(&scope);
+        let mut remaining = std::mem::take(&mut self.entries);
         for entry in &snapshot.entries {
-            let is_back = was_out(&entry.id) || ended.contains_key(&entry.id);
-            let known = left.remove(&entry.id);
-            let entry = self.newest(known.as_ref(), entry);
+            let is_back = was_out(&entry.id) || dropped_departures.contains_key(&entry.id);
+            let known = remaining.remove(&entry.id);
+            let entry = self.newest_entry(known.as_ref(), entry);
             let record = match known {
-                Some(known) if !is_back && is_same(&known.entry, &entry) => {
+                Some(known) if !is_back && is_unchanged(&known.entry, &entry) => {
                     LogEntry { entry, ..known }
                 }
                 _ => {
                     is_changed = true;
-                    LogEntry::new(stamp, entry)
+                    LogEntry::new(new_version, entry)
                 }
             };
             self.entries.insert(record.entry.id.clone(), record);
         }
-        for (id, record) in left {
+        for (id, record) in remaining {
             if scope.missing.contains(&id) || snapshot.foreign.contains(&id) {
                 self.entries.insert(id, record);
                 continue;
             }
-            let departure = ended.entry(id).or_default();
+            let departure = dropped_departures.entry(id).or_default();
             departure.merge(&Departure::of(&record.entry));
         }
-        for departure in ended.into_values() {
+        for departure in dropped_departures.into_values() {
             is_changed = true;
-            self.forget(stamp, departure);
+            self.record_departure(new_version, departure);
         }
         self.foreign.clone_from(&snapshot.foreign);
         self.missing = scope.missing;
         if is_changed || is_first {
-            self.version = stamp;
-            self.sum_up();
+            self.version = new_version;
+            self.update_content_hash();
         }
         if is_first || scope.whole {
             // What was dropped since the reading before it isn't known.
-            self.oldest = self.version;
+            self.history_start = self.version;
         }
     }
 
     /// What changed since `version`; everything where that isn't known any more.
     pub fn since(&self, version: u64) -> RegistryDelta {
-        let whole = version < self.oldest || version == 0;
+        let whole = version < self.history_start || version == 0;
         let is_news = |changed: u64| whole || changed > version;
         let records = self.entries.values();
         let changed = records.filter(|record| is_news(record.changed));
@@ -183,8 +183,8 @@
     /// Which servers have left, as far as it is known.
     pub fn ends(&self) -> Vec<Departure> {
         let ends = self.gone.iter().map(|(_, departure)| departure);
-        let ended = ends.filter(|departure| self.has_ended(departure));
-        ended.cloned().collect()
+        let dropped_departures = ends.filter(|departure| self.has_ended(departure));
+        dropped_departures.cloned().collect()
     }
 
     /// Takes in which servers have left, as another entry knows. Who follows this one is told
@@ -200,7 +200,7 @@
                 self.version += 1;
                 record.changed = self.version;
             }
-            self.forget(self.version, departure.clone());
+            self.record_departure(self.version, departure.clone());
         }
     }
 
@@ -209,9 +209,9 @@
         let mut before = BTreeMap::new();
         if delta.whole {
             before = std::mem::take(&mut self.entries);
-            self.oldest = delta.version;
+            self.history_start = delta.version;
             if delta.version >= self.version {
-                self.forget_others(delta, &before);
+                self.record_omitted(delta, &before);
             }
         }
         // Rows of other writers hide what stood before them, so that only all rows tell the sum.
@@ -228,11 +228,11 @@
                     departure.merge(&Departure::of(&record.entry));
                 }
             }
-            self.forget(delta.version, departure);
+            self.record_departure(delta.version, departure);
         }
         for entry in &delta.entries {
             let known = before.get(&entry.id).or(self.entries.get(&entry.id));
-            let record = LogEntry::new(delta.version, self.newest(known, entry));
+            let record = LogEntry::new(delta.version, self.newest_entry(known, entry));
             self.content = self.content.with(record.mark);
             if let Some(before) = self.entries.insert(entry.id.clone(), record) {
                 self.content = self.content.without(before.mark);
@@ -242,7 +242,7 @@
         self.missing.clone_from(&delta.missing);
         self.version = delta.version;
         if !is_plain {
-            self.sum_up();
+            self.update_content_hash();
         }
     }
 
@@ -253,7 +253,7 @@
         self.content
     }
 
-    fn sum_up(&mut self) {
+    fn update_content_hash(&mut self) {
         let none = ContentHash::default();
         let own = self.entries.values().filter(|record| {
             // What stood before somebody else's row is known to some entries only.
@@ -265,25 +265,25 @@
     }
 
     /// Takes in what stood last in rows that were dropped and may only have lapsed.
-    fn note_last_words(&mut self, scope: &ReadScope) {
+    fn update_missing_entries(&mut self, scope: &ReadScope) {
         let kept = scope.dropped.iter();
         for row in kept.filter(|row| scope.missing.contains(&row.id)) {
             let known = self.entries.get_mut(&row.id);
             if let (Some(record), Some(word)) = (known, &row.word) {
-                *record = LogEntry::new(record.changed, newer(&record.entry, word));
+                *record = LogEntry::new(record.changed, newer_entry(&record.entry, word));
             }
         }
     }
 
     /// The servers whose rows were dropped, also those that aren't known here: others may have
     /// heard of them from another reader.
-    fn ended(&self, scope: &ReadScope) -> BTreeMap<String, Departure> {
-        let mut ended = BTreeMap::new();
+    fn dropped_departures(&self, scope: &ReadScope) -> BTreeMap<String, Departure> {
+        let mut dropped_departures = BTreeMap::new();
         for row in &scope.dropped {
             if scope.missing.contains(&row.id) {
                 continue;
             }
-            let departure: &mut Departure = ended
+            let departure: &mut Departure = dropped_departures
                 .entry(row.id.clone())
                 .or_insert_with(|| Departure::unknown(&row.id));
             if row.version <= store_version(self.version) {
@@ -295,15 +295,15 @@
                 departure.merge(&Departure::of(word));
             }
         }
-        ended
+        dropped_departures
     }
 
     /// The newest that is known of the server of `entry`, also where the store performed an
     /// older heartbeat late or an entry that is behind told it: a run that leaves doesn't come
     /// back, whether its row was dropped meanwhile or not.
-    fn newest(&self, known: Option<&LogEntry>, entry: &ServerEntry) -> ServerEntry {
+    fn newest_entry(&self, known: Option<&LogEntry>, entry: &ServerEntry) -> ServerEntry {
         if let Some(known) = known {
-            return newer(&known.entry, entry);
+            return newer_entry(&known.entry, entry);
         }
         let mut ends = self.gone.iter().rev().map(|(_, departure)| departure);
         let has_left = ends.any(|departure| departure.announced && departure.refuses(entry));
@@ -315,7 +315,7 @@
     }
 
     /// Remembers the ends of servers that a copy lacks which is as new as what was known `before`.
-    fn forget_others(&mut self, delta: &RegistryDelta, before: &BTreeMap<String, LogEntry>) {
+    fn record_omitted(&mut self, delta: &RegistryDelta, before: &BTreeMap<String, LogEntry>) {
         let listed = delta.entries.iter().map(|entry| &entry.id);
         let kept: HashSet<&String> = listed.chain(&delta.foreign).chain(&delta.missing).collect();
         let others = before
@@ -323,7 +323,7 @@
             .filter(|record| !kept.contains(&record.entry.id));
         let ends: Vec<Departure> = others.map(|record| Departure::of(&record.entry)).collect();
         for departure in ends {
-            self.forget(delta.version, departure);
+            self.record_departure(delta.version, departure);
         }
     }
 
@@ -333,11 +333,11 @@
         departure.is_known() && listed.is_none_or(|record| departure.refuses(&record.entry))
     }
 
-    fn forget(&mut self, stamp: u64, departure: Departure) {
-        self.gone.push_back((stamp, departure));
-        while self.gone.len() > GONE_KEPT {
-            if let Some((stamp, _)) = self.gone.pop_front() {
-                self.oldest = stamp;
+    fn record_departure(&mut self, new_version: u64, departure: Departure) {
+        self.gone.push_back((new_version, departure));
+        while self.gone.len() > MAX_DEPARTURES {
+            if let Some((new_version, _)) = self.gone.pop_front() {
+                self.history_start = new_version;
             }
         }
     }
@@ -354,7 +354,7 @@
 }
 
 /// The newer one of two words of a server. A run that leaves says nothing else later.
-fn newer(known: &ServerEntry, entry: &ServerEntry) -> ServerEntry {
+fn newer_entry(known: &ServerEntry, entry: &ServerEntry) -> ServerEntry {
     if entry.is_of_earlier_run(known) {
         return known.clone();
     }
@@ -373,7 +373,7 @@
 }
 
 /// Whether nothing differs but the heartbeat and the rest of a warm-up that was told.
-fn is_same(known: &ServerEntry, entry: &ServerEntry) -> bool {
+fn is_unchanged(known: &ServerEntry, entry: &ServerEntry) -> bool {
     let is_warming =
         !entry.cold_remaining.is_zero() && entry.cold_remaining <= known.cold_remaining;
     let mut known = known.clone();
