--- a/crates/place/src/catalog/mod.rs
+++ b/crates/place/src/catalog/mod.rs
@@ -178,7 +178,7 @@
         for departure in ends {
             self.departures.note(now, departure);
             let known = self.table.by_id(&departure.id);
-            if known.is_some_and(|record| self.departures.refuses(now, &record.entry)) {
+            if known.is_some_and(|record| self.departures.supersedes(now, &record.entry)) {
                 self.remove(now, &departure.id, &mut changes);
             }
         }
--- a/crates/place/src/catalog/words.rs
+++ b/crates/place/src/catalog/words.rs
@@ -22,7 +22,7 @@
             self.overwrite(&entry.id, changes);
             return;
         }
-        if self.departures.refuses(now, entry) {
+        if self.departures.supersedes(now, entry) {
             self.on_refused(now, entry, changes);
             return;
         }
@@ -56,7 +56,7 @@
     /// The registry lists, or another entry tells, a word from before the server's end.
     fn on_refused(&mut self, now: Instant, entry: &ServerEntry, changes: &mut Vec<CatalogChange>) {
         let known = self.table.by_id(&entry.id);
-        if known.is_some_and(|record| self.departures.refuses(now, &record.entry)) {
+        if known.is_some_and(|record| self.departures.supersedes(now, &record.entry)) {
             self.remove(now, &entry.id, changes);
         }
         if self.departures.on_refused(&entry.id) {
@@ -136,7 +136,7 @@
             };
             let again = listed.get(departure.id.as_str());
             let is_back = again.is_some_and(|entry| {
-                entry.is_same_run(&record.entry) && !self.departures.refuses(now, entry)
+                entry.is_same_run(&record.entry) && !self.departures.supersedes(now, entry)
             });
             if !is_back {
                 self.remove(now, &departure.id, changes);
--- a/crates/place/src/departure.rs
+++ b/crates/place/src/departure.rs
@@ -12,11 +12,11 @@
 
 /// Departures that are remembered: more than a fleet of 10,000 servers has in the time in
 /// which calls are performed late, at about 1 MB.
-const KEPT: usize = 4096;
+const MAX_DEPARTURES: usize = 4096;
 /// Time in which the end of a server that didn't announce it keeps its older words out: longer
 /// than a call is performed late and its row then lapses. What was told wrongly by a damaged
 /// message keeps a live server out no longer.
-const SILENT_FOR: Duration = Duration::from_secs(20);
+const UNANNOUNCED_TTL: Duration = Duration::from_secs(20);
 
 base::common! {
     /// The end of one run of a server, as far as it is known.
@@ -41,7 +41,7 @@
         Self {
             id: entry.id.clone(),
             started: entry.started,
-            run: run_name(entry),
+            run: run_identity(entry),
             seq: entry.seq,
             announced: entry.state == EntryState::Draining,
         }
@@ -62,12 +62,12 @@
 
     /// Whether `entry` was written before the run ended: by an earlier run, or by this one no
     /// later than its last word. A run that said that it leaves says nothing else later.
-    pub fn refuses(&self, entry: &ServerEntry) -> bool {
+    pub fn supersedes(&self, entry: &ServerEntry) -> bool {
         if !self.is_known() || entry.id != self.id {
             return false;
         }
         let is_late = self.announced || entry.seq <= self.seq;
-        entry.started < self.started || (is_late && run_name(entry) == self.run)
+        entry.started < self.started || (is_late && run_identity(entry) == self.run)
     }
 
     /// Adds what `other` knows of the same run; a later run takes the place of an earlier one.
@@ -87,16 +87,16 @@
     by_id: HashMap<String, DepartureRecord>,
     /// Ids in the order in which they were noted, with the turn of each.
     order: VecDeque<(u64, String)>,
-    turn: u64,
+    insertion: u64,
 }
 
 #[derive(Debug)]
 struct DepartureRecord {
     departure: Departure,
-    noted_at: Instant,
-    turn: u64,
+    recorded_at: Instant,
+    insertion: u64,
     /// Whether a word was refused for it.
-    has_refused: bool,
+    has_rejected: bool,
 }
 
 impl DepartureTable {
@@ -105,48 +105,52 @@
         if !departure.is_known() {
             return;
         }
-        self.turn += 1;
-        let turn = self.turn;
+        self.insertion += 1;
+        let insertion = self.insertion;
         let known = self.by_id.get_mut(&departure.id);
         if let Some(known) = known {
             known.departure.merge(departure);
-            (known.noted_at, known.turn, known.has_refused) = (now, turn, false);
+            (known.recorded_at, known.insertion, known.has_rejected) = (now, insertion, false);
         } else {
             let entry = DepartureRecord {
                 departure: departure.clone(),
-                noted_at: now,
-                turn,
-                has_refused: false,
+                recorded_at: now,
+                insertion,
+                has_rejected: false,
             };
             self.by_id.insert(departure.id.clone(), entry);
         }
-        self.order.push_back((turn, departure.id.clone()));
-        while self.order.len() > KEPT {
-            self.forget_oldest();
+        self.order.push_back((insertion, departure.id.clone()));
+        while self.order.len() > MAX_DEPARTURES {
+            self.drop_oldest();
         }
     }
 
     /// Whether `entry` is an older word of a server that left.
-    pub(crate) fn refuses(&self, now: Instant, entry: &ServerEntry) -> bool {
+    pub(crate) fn supersedes(&self, now: Instant, entry: &ServerEntry) -> bool {
         let known = self.by_id.get(&entry.id);
         known.is_some_and(|known| {
-            let age = now.saturating_duration_since(known.noted_at);
-            let holds = known.departure.announced || age < SILENT_FOR;
-            holds && known.departure.refuses(entry)
+            let age = now.saturating_duration_since(known.recorded_at);
+            let holds = known.departure.announced || age < UNANNOUNCED_TTL;
+            holds && known.departure.supersedes(entry)
         })
     }
 
     /// Takes down that a word of the server `id` was refused; whether it is the first one.
     pub(crate) fn on_refused(&mut self, id: &str) -> bool {
         let known = self.by_id.get_mut(id);
-        known.is_some_and(|known| !std::mem::replace(&mut known.has_refused, true))
+        known.is_some_and(|known| !std::mem::replace(&mut known.has_rejected, true))
     }
 
-    fn forget_oldest(&mut self) {
-        let Some((turn, id)) = self.order.pop_front() else {
+    fn drop_oldest(&mut self) {
+        let Some((insertion, id)) = self.order.pop_front() else {
             return;
         };
-        if self.by_id.get(&id).is_some_and(|known| known.turn == turn) {
+        if self
+            .by_id
+            .get(&id)
+            .is_some_and(|known| known.insertion == insertion)
+        {
             self.by_id.remove(&id);
         }
     }
@@ -154,7 +158,7 @@
 
 /// Names a run among all runs of all servers, also where none states its start: there a row
 /// with another address, service or failure domain is another run's.
-fn run_name(entry: &ServerEntry) -> u64 {
+fn run_identity(entry: &ServerEntry) -> u64 {
     let place = format!("{}\n{}\n{}", entry.service, entry.address, entry.domain);
     let name = pair_weight(entry.run_hash(), stable_hash(place.as_bytes()));
     name.max(1)
--- a/crates/place/src/fleet/log.rs
+++ b/crates/place/src/fleet/log.rs
@@ -161,7 +161,9 @@
         // A word from before its server's end is told with that end only.
         let is_older_news = |departure: &Departure| {
             let listed = self.entries.get(&departure.id);
-            listed.is_some_and(|record| is_news(record.changed) && departure.refuses(&record.entry))
+            listed.is_some_and(|record| {
+                is_news(record.changed) && departure.supersedes(&record.entry)
+            })
         };
         let gone = self.gone.iter().filter(|(at, departure)| {
             if whole {
@@ -196,7 +198,7 @@
                 continue;
             }
             let listed = self.entries.get_mut(&departure.id);
-            if let Some(record) = listed.filter(|record| departure.refuses(&record.entry)) {
+            if let Some(record) = listed.filter(|record| departure.supersedes(&record.entry)) {
                 self.version += 1;
                 record.changed = self.version;
             }
@@ -306,7 +308,7 @@
             return newer_entry(&known.entry, entry);
         }
         let mut ends = self.gone.iter().rev().map(|(_, departure)| departure);
-        let has_left = ends.any(|departure| departure.announced && departure.refuses(entry));
+        let has_left = ends.any(|departure| departure.announced && departure.supersedes(entry));
         let mut word = entry.clone();
         if has_left {
             word.state = EntryState::Draining;
@@ -330,7 +332,7 @@
     /// Whether the run that ended is not listed again by a newer word.
     fn has_ended(&self, departure: &Departure) -> bool {
         let listed = self.entries.get(&departure.id);
-        departure.is_known() && listed.is_none_or(|record| departure.refuses(&record.entry))
+        departure.is_known() && listed.is_none_or(|record| departure.supersedes(&record.entry))
     }
 
     fn record_departure(&mut self, new_version: u64, departure: Departure) {
