--- a/bin/lh-entry/src/view.rs
+++ b/bin/lh-entry/src/view.rs
@@ -150,11 +150,11 @@
         let asked =
             copies.on_copy_request(Instant::now(), query.view, changes.len(), query.insists);
         match asked {
-            CopySource::Here => {
+            CopySource::Direct => {
                 state.metrics.on_told(query.registry == 0);
                 answer.registry.clone_from(&changes);
             }
-            CopySource::Elsewhere(relay) => answer.copy_at = Some(relay),
+            CopySource::Relay(relay) => answer.copy_at = Some(relay),
             CopySource::Later => answer.is_busy = true,
         }
     }
--- a/crates/place/src/catalog/mod.rs
+++ b/crates/place/src/catalog/mod.rs
@@ -308,7 +308,7 @@
     pub fn condition(&self, now: Instant, record: &ServerRecord) -> ServerCondition {
         if let Some(condition) = self.closed_by(record) {
             condition
-        } else if record.is_paused(now) {
+        } else if record.is_backing_off(now) {
             ServerCondition::Unreachable
         } else if record.is_cold(now) {
             ServerCondition::Cold
--- a/crates/place/src/fleet/clock.rs
+++ b/crates/place/src/fleet/clock.rs
@@ -10,7 +10,7 @@
 /// How far two steady clocks may drift apart, in parts of the time that passes.
 const DRIFT: f64 = 0.000_2;
 /// A stamp this far beyond the present is no word of the store's.
-const AHEAD_MOST: Duration = Duration::from_millis(200);
+const MAX_AHEAD: Duration = Duration::from_millis(200);
 
 base::common! {
     /// A time of the store's clock, in milliseconds; 0 stands for none.
@@ -45,16 +45,16 @@
 }
 
 impl StoreClock {
-    /// A call that began at `begun` was answered with the store's time `store`, or with a
+    /// A call that began at `started` was answered with the store's time `store`, or with a
     /// time that the store's clock had not passed by then.
-    pub fn on_answer(&mut self, begun: Instant, store: StoreTime) {
+    pub fn on_answer(&mut self, started: Instant, store: StoreTime) {
         // How long a call took that this entry stood still in can't be told.
-        let is_measured = self.suspended_at.is_none_or(|at| begun > at);
+        let is_measured = self.suspended_at.is_none_or(|at| started > at);
         if !store.is_some() || !is_measured {
             return;
         }
-        let bound = ClockBound { at: begun, store };
-        let is_tighter = self.latest(begun).is_none_or(|latest| store <= latest);
+        let bound = ClockBound { at: started, store };
+        let is_tighter = self.latest(started).is_none_or(|latest| store <= latest);
         if is_tighter {
             self.bound = Some(bound);
         }
@@ -63,8 +63,8 @@
     /// The store's time that its clock has not passed by `now`.
     pub fn latest(&self, now: Instant) -> Option<StoreTime> {
         let bound = self.bound?;
-        let passed = now.saturating_duration_since(bound.at).mul_f64(1.0 + DRIFT);
-        let millis = u64::try_from(passed.as_millis()).unwrap_or(u64::MAX);
+        let elapsed = now.saturating_duration_since(bound.at).mul_f64(1.0 + DRIFT);
+        let millis = u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX);
         // Less than a millisecond may have been cut off.
         Some(StoreTime(
             bound.store.0.saturating_add(millis).saturating_add(1),
@@ -75,7 +75,7 @@
     /// be told, or where `stamp` is no time that the store can have shown.
     pub fn age(&self, now: Instant, stamp: StoreTime) -> Option<Duration> {
         let latest = self.latest(now)?;
-        let is_ahead = stamp.since(latest) > AHEAD_MOST;
+        let is_ahead = stamp.since(latest) > MAX_AHEAD;
         (stamp.is_some() && !is_ahead).then(|| latest.since(stamp))
     }
 
--- a/crates/place/src/fleet/copies.rs
+++ b/crates/place/src/fleet/copies.rs
@@ -10,26 +10,26 @@
 use std::time::{Duration, Instant};
 
 /// A copy that waits longer than this for the link is better had from elsewhere.
-const BACKLOG_MOST: Duration = Duration::from_millis(100);
+const MAX_BACKLOG: Duration = Duration::from_millis(100);
 /// One that waits longer than this would come after whoever asks has given up, and take the
 /// link from the others for nothing.
-const QUEUE_MOST: Duration = Duration::from_millis(600);
+const MAX_QUEUE_DELAY: Duration = Duration::from_millis(600);
 /// Time that an entry needs to take in what it was told, before it can tell others.
-const TAKE_IN_TIME: Duration = Duration::from_millis(250);
+const APPLY_TIME: Duration = Duration::from_millis(250);
 /// An entry is named for this long after it was served: later it may be gone.
-const NAMED_FOR: Duration = Duration::from_secs(8);
+const RELAY_TTL: Duration = Duration::from_secs(8);
 /// The slowest link that is reckoned with at the one that was served, in bits a second.
-const SLOW_LINK: f64 = 20e6;
+const SLOWEST_RECEIVER_LINK: f64 = 20e6;
 /// Answers of fewer bytes are no burden.
-const SMALL: usize = 64 << 10;
+const SMALL_COPY_BYTES: usize = 64 << 10;
 
 /// Whom an entry that asks for a copy gets it from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CopySource {
     /// The one that it asks.
-    Here,
+    Direct,
     /// The entry that tells what it knows at this address.
-    Elsewhere(SocketAddr),
+    Relay(SocketAddr),
     /// Nobody now; the link is busy with the copies of others.
     Later,
 }
@@ -38,9 +38,9 @@
 #[derive(Debug)]
 pub struct CopyScheduler {
     /// Of the own link, in bits a second.
-    link: f64,
+    link_bits_per_s: f64,
     /// When the link has carried all copies that were told.
-    free_at: Option<Instant>,
+    link_idle_at: Option<Instant>,
     /// Entries that were served, with when each can tell another.
     served: VecDeque<(Instant, SocketAddr)>,
 }
@@ -49,53 +49,59 @@
     /// The desk of an entry whose link carries `megabits` a second.
     pub fn new(megabits: f64) -> Self {
         Self {
-            link: (megabits * 1e6).max(1.0),
-            free_at: None,
+            link_bits_per_s: (megabits * 1e6).max(1.0),
+            link_idle_at: None,
             served: VecDeque::new(),
         }
     }
 
-    /// The entry at `asker` asks for a copy of `bytes`; it takes no other's where it `insists`.
+    /// The entry at `asker` asks for a copy of `bytes`; it takes no other's where it `requires_direct`.
     pub fn on_copy_request(
         &mut self,
         now: Instant,
         asker: SocketAddr,
         bytes: usize,
-        insists: bool,
+        requires_direct: bool,
     ) -> CopySource {
-        if bytes < SMALL {
-            return CopySource::Here;
+        if bytes < SMALL_COPY_BYTES {
+            return CopySource::Direct;
         }
-        let begins = self.free_at.map_or(now, |at| at.max(now));
-        let waits = begins.saturating_duration_since(now);
+        let begins = self.link_idle_at.map_or(now, |at| at.max(now));
+        let queue_delay = begins.saturating_duration_since(now);
         let bits = bytes as f64 * 8.0;
-        let received = Duration::from_secs_f64(bits / SLOW_LINK.min(self.link));
-        if waits > BACKLOG_MOST
-            && !insists
-            && let Some(relay) = self.relay(now, asker, received)
+        let receive_time =
+            Duration::from_secs_f64(bits / SLOWEST_RECEIVER_LINK.min(self.link_bits_per_s));
+        if queue_delay > MAX_BACKLOG
+            && !requires_direct
+            && let Some(relay) = self.relay(now, asker, receive_time)
         {
             self.served
-                .push_back((now + received + TAKE_IN_TIME, asker));
-            return CopySource::Elsewhere(relay);
+                .push_back((now + receive_time + APPLY_TIME, asker));
+            return CopySource::Relay(relay);
         }
-        if waits > QUEUE_MOST {
+        if queue_delay > MAX_QUEUE_DELAY {
             return CopySource::Later;
         }
-        let ends = begins + Duration::from_secs_f64(bits / self.link);
-        self.free_at = Some(ends);
-        let ready = (begins + received).max(ends) + TAKE_IN_TIME;
+        let ends = begins + Duration::from_secs_f64(bits / self.link_bits_per_s);
+        self.link_idle_at = Some(ends);
+        let ready = (begins + receive_time).max(ends) + APPLY_TIME;
         self.served.push_back((ready, asker));
-        CopySource::Here
+        CopySource::Direct
     }
 
-    /// An entry that has a copy and tells it to nobody else now. It takes `received` for one.
-    fn relay(&mut self, now: Instant, asker: SocketAddr, received: Duration) -> Option<SocketAddr> {
-        let is_over = |at: Instant| now.saturating_duration_since(at) > NAMED_FOR;
+    /// An entry that has a copy and tells it to nobody else now. It takes `receive_time` for one.
+    fn relay(
+        &mut self,
+        now: Instant,
+        asker: SocketAddr,
+        receive_time: Duration,
+    ) -> Option<SocketAddr> {
+        let is_over = |at: Instant| now.saturating_duration_since(at) > RELAY_TTL;
         self.served.retain(|(ready, _)| !is_over(*ready));
         let mut served = self.served.iter();
         let at = served.position(|(ready, address)| now >= *ready && *address != asker)?;
         let (_, relay) = self.served.remove(at)?;
-        self.served.push_back((now + received, relay));
+        self.served.push_back((now + receive_time, relay));
         Some(relay)
     }
 }
--- a/crates/place/src/fleet/member/role.rs
+++ b/crates/place/src/fleet/member/role.rs
@@ -113,7 +113,7 @@
     /// This entry as one that leads or may lead.
     pub(super) fn own_seat(&self, now: Instant) -> LeadSeat {
         LeadSeat {
-            reads: self.reads && !self.readings.is_overdue(now),
+            reads: self.reads && !self.readings.is_read_overdue(now),
             leads: self.leading.is_some(),
             ..self.config.seat.clone()
         }
--- a/crates/place/src/fleet/reading.rs
+++ b/crates/place/src/fleet/reading.rs
@@ -5,13 +5,13 @@
 use crate::fleet::pace::ReadIntervals;
 
 /// First pause after a failed reading, so that a store in trouble isn't pressed.
-const FIRST_PAUSE: Duration = Duration::from_millis(300);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(300);
 /// Longest pause: a store that is back is noticed within it, early enough to tell servers
 /// that have left from those that are not back yet.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 /// A reader that was told a change asks on after this part of its usual time: many
 /// servers that change one after the other are told in a few calls.
-const NEWS_SHARE: f64 = 0.33;
+const CHANGE_INTERVAL_SHARE: f64 = 0.33;
 /// Entries that get no requests read this much later than others where no lead is
 /// heard, spread over it: a new lead is found meanwhile.
 const STANDBY_SPREAD: Duration = Duration::from_millis(500);
@@ -86,8 +86,8 @@
     answered: Option<Instant>,
     overdue_at: Instant,
     is_reading: bool,
-    pause: Duration,
-    not_before: Option<Instant>,
+    backoff: Duration,
+    retry_at: Option<Instant>,
     /// When servers that are missing in the registry will be gone.
     settles_at: Option<Instant>,
 }
@@ -104,8 +104,8 @@
             answered: None,
             overdue_at: now,
             is_reading: false,
-            pause: FIRST_PAUSE,
-            not_before: None,
+            backoff: INITIAL_BACKOFF,
+            retry_at: None,
             settles_at: None,
         }
     }
@@ -121,16 +121,16 @@
     pub fn on_read(&mut self, now: Instant, outcome: ReadOutcome) {
         self.is_reading = false;
         if outcome == ReadOutcome::Failed {
-            self.not_before = Some(now + self.pause);
-            self.pause = (self.pause * 2).min(LONGEST_PAUSE);
+            self.retry_at = Some(now + self.backoff);
+            self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
             return;
         }
-        self.pause = FIRST_PAUSE;
-        self.not_before = None;
+        self.backoff = INITIAL_BACKOFF;
+        self.retry_at = None;
         self.done_at = Some(now);
         self.answered = self.begun;
         self.next = match outcome {
-            ReadOutcome::Changed => Some(now + self.pace.reader.mul_f64(NEWS_SHARE)),
+            ReadOutcome::Changed => Some(now + self.pace.reader.mul_f64(CHANGE_INTERVAL_SHARE)),
             _ => self.begun.map(|begun| begun + self.pace.reader),
         };
     }
@@ -144,7 +144,7 @@
         known_at: Option<Instant>,
         whole: bool,
     ) -> Option<RegistryRead> {
-        if self.is_reading || self.not_before.is_some_and(|at| now < at) {
+        if self.is_reading || self.retry_at.is_some_and(|at| now < at) {
             return None;
         }
         // What doesn't help isn't done again at once.
@@ -162,7 +162,7 @@
             }
             ReadRole::Alone { used, first } => match age {
                 None => now >= first,
-                Some(age) => age >= self.lone_age(used),
+                Some(age) => age >= self.solo_read_age(used),
             },
         };
         if !is_due && !whole {
@@ -180,7 +180,7 @@
     }
 
     /// Whether the present reading takes too long.
-    pub fn is_overdue(&self, now: Instant) -> bool {
+    pub fn is_read_overdue(&self, now: Instant) -> bool {
         self.is_reading && now >= self.overdue_at
     }
 
@@ -212,7 +212,7 @@
         }
     }
 
-    fn lone_age(&self, used: bool) -> Duration {
+    fn solo_read_age(&self, used: bool) -> Duration {
         let spread = if used {
             Duration::ZERO
         } else {
--- a/crates/place/src/placing/candidates.rs
+++ b/crates/place/src/placing/candidates.rs
@@ -130,7 +130,7 @@
 ) -> bool {
     let homes = request.homes;
     !request.tried.contains(&handle)
-        && !record.is_paused(now)
+        && !record.is_backing_off(now)
         && request.versions.allows(&record.entry.version)
         && (homes.is_empty() || homes.contains(&record.region))
 }
--- a/crates/place/src/server.rs
+++ b/crates/place/src/server.rs
@@ -11,9 +11,9 @@
 /// Most work ends within it.
 const REPORT_DECAY: Duration = Duration::from_millis(400);
 /// First pause after a server could not be reached.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
 /// Longest pause: a server that is back must be found within seconds.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
 /// Weight of the newest outcome in the failure rate.
 const FAILURE_WEIGHT: f64 = 0.15;
 /// The failure rate halves in this time, so that a recovered server is tried again.
@@ -131,8 +131,8 @@
     pub peer_load: f64,
     others: f64,
     others_at: Option<Instant>,
-    paused_until: Option<Instant>,
-    pause: Duration,
+    backoff_until: Option<Instant>,
+    backoff: Duration,
     failure_rate: f64,
     failure_at: Option<Instant>,
     speed: f64,
@@ -155,8 +155,8 @@
             peer_load: 0.0,
             others: 0.0,
             others_at: None,
-            paused_until: None,
-            pause: FIRST_PAUSE,
+            backoff_until: None,
+            backoff: INITIAL_BACKOFF,
             failure_rate: 0.0,
             failure_at: None,
             speed: 1.0,
@@ -178,8 +178,8 @@
     }
 
     /// Whether the server is left alone after it could not be reached.
-    pub fn is_paused(&self, now: Instant) -> bool {
-        self.paused_until.is_some_and(|until| now < until)
+    pub fn is_backing_off(&self, now: Instant) -> bool {
+        self.backoff_until.is_some_and(|until| now < until)
     }
 
     /// Requests of everybody that are likely at the server.
@@ -212,15 +212,15 @@
 
     /// The server could not be reached: leave it alone, longer each time.
     pub fn on_unreachable(&mut self, now: Instant) {
-        self.paused_until = Some(now + self.pause);
-        self.pause = (self.pause * 2).min(LONGEST_PAUSE);
+        self.backoff_until = Some(now + self.backoff);
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
         self.on_outcome(now, false);
     }
 
     /// The server answered; ends the pauses.
     pub fn on_reached(&mut self) {
-        self.pause = FIRST_PAUSE;
-        self.paused_until = None;
+        self.backoff = INITIAL_BACKOFF;
+        self.backoff_until = None;
     }
 
     /// Takes in whether the server did what it was asked for.
--- a/crates/place/tests/copies.rs
+++ b/crates/place/tests/copies.rs
@@ -61,12 +61,12 @@
             asks.insert((at + WAY, entry), (other, true));
             continue;
         }
-        let mut source = CopySource::Here;
+        let mut source = CopySource::Direct;
         if spreads {
             source = desks[asked].on_copy_request(start + at, address(entry), bytes, insists);
         }
         match source {
-            CopySource::Elsewhere(relay) => {
+            CopySource::Relay(relay) => {
                 let mut others = LEADS..entries;
                 let relay = others.find(|other| address(*other) == relay).unwrap();
                 asks.insert((at + WAY, entry), (relay, false));
@@ -76,7 +76,7 @@
                 asks.insert((at + AGAIN, entry), (other, false));
                 continue;
             }
-            CopySource::Here => {}
+            CopySource::Direct => {}
         }
         let link = if asked < LEADS { LEAD_LINK } else { LINK };
         let begins = free[asked].max(at);
@@ -137,7 +137,7 @@
     let mut desk = CopyScheduler::new(10.0);
     assert_eq!(
         desk.on_copy_request(now, address(1), 1 << 20, false),
-        CopySource::Here
+        CopySource::Direct
     );
     assert_eq!(
         desk.on_copy_request(now, address(2), 1 << 20, false),
@@ -145,15 +145,15 @@
     );
     assert_eq!(
         desk.on_copy_request(now, address(3), 1000, false),
-        CopySource::Here
+        CopySource::Direct
     );
     let later = now + Duration::from_secs(3);
     assert_eq!(
         desk.on_copy_request(later, address(2), 1 << 20, false),
-        CopySource::Here
+        CopySource::Direct
     );
     let relay = desk.on_copy_request(later, address(3), 1 << 20, false);
-    assert_eq!(relay, CopySource::Elsewhere(address(1)));
+    assert_eq!(relay, CopySource::Relay(address(1)));
     assert_eq!(
         desk.on_copy_request(later, address(4), 1 << 20, false),
         CopySource::Later
--- a/crates/place/tests/runs.rs
+++ b/crates/place/tests/runs.rs
@@ -104,7 +104,7 @@
     let (_, record) = placer.catalog.open_servers("board").next().unwrap();
     assert_eq!(record.occupancy(later), 0.0);
     assert_eq!(record.in_flight, 0);
-    assert!(!record.is_paused(later));
+    assert!(!record.is_backing_off(later));
     assert!(record.is_cold(later));
     assert_ne!(
         short_name(record.hash),
