--- a/bin/lh-entry/src/lookup.rs
+++ b/bin/lh-entry/src/lookup.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use once::Ticket;
-use place::directory::{in_order, nearest};
+use place::directory::{home_region_entries, ordered_entries};
 use platform::lookup::{self, CallerPlace};
 use serde::Serialize;
 
@@ -54,7 +54,7 @@
 /// The answer on the platform's interface; `None` where no entry takes callers.
 pub(crate) fn answer_platform(state: &InstanceState, place: &CallerPlace) -> Option<String> {
     let entries = open_entries(state);
-    let near = nearest(&entries, &place.region, |entry| &entry.region);
+    let near = home_region_entries(&entries, &place.region, |entry| &entry.region);
     let addresses: Vec<SocketAddr> = near
         .into_iter()
         .take(ENTRIES_MOST)
@@ -84,7 +84,7 @@
     let home = ask("region").or_else(|| homes.find(from));
     let entries = open_entries(state);
     let nonce = rand::random();
-    let chosen = in_order(&entries, home, nonce, |entry| &entry.region);
+    let chosen = ordered_entries(&entries, home, nonce, |entry| &entry.region);
     if chosen.is_empty() {
         return OwnLookup::NoEntry;
     }
--- a/bin/lh-entry/src/record.rs
+++ b/bin/lh-entry/src/record.rs
@@ -91,7 +91,7 @@
         if reason.cold {
             self.state.metrics.on_limit("cold", true);
         }
-        if reason.away {
+        if reason.is_remote {
             self.state.metrics.on_limit("shift-cap", true);
         }
         let age = self.registry_age();
@@ -106,7 +106,7 @@
             reason.warmth,
             reason.rank,
             if reason.cold { " cold" } else { "" },
-            if reason.away { " away" } else { "" },
+            if reason.is_remote { " away" } else { "" },
         );
     }
 
--- a/bin/lh-entry/src/view.rs
+++ b/bin/lh-entry/src/view.rs
@@ -155,7 +155,7 @@
                 answer.registry.clone_from(&changes);
             }
             CopySource::Relay(relay) => answer.copy_at = Some(relay),
-            CopySource::Later => answer.is_busy = true,
+            CopySource::Busy => answer.is_busy = true,
         }
     }
     if known.operator > query.operator {
--- a/crates/emulate/benches/slopes.rs
+++ b/crates/emulate/benches/slopes.rs
@@ -8,7 +8,7 @@
 use conf::ConfigBundle;
 use place::blocks::BlockTableBuilder;
 use place::desired::{DesiredState, RequestKind, RouteSpec, ServiceSpec, SplitPart};
-use place::directory::in_order;
+use place::directory::ordered_entries;
 use place::fleet::known::StoreProgress;
 use place::fleet::log::{ReadScope, RegistryDelta, RegistryLog};
 use place::fleet::member::MemberConfig;
@@ -395,7 +395,12 @@
         let mut spread = 0;
         let answer = median(7, 200, || {
             spread += 1;
-            drop(black_box(in_order(&entries, Some("r3"), spread, |e| &e.0)));
+            drop(black_box(ordered_entries(
+                &entries,
+                Some("r3"),
+                spread,
+                |e| &e.0,
+            )));
         });
         let mut log = RegistryLog::default();
         let servers: Vec<ServerEntry> = (0..count * 4).map(|number| server(number, 0)).collect();
--- a/crates/place/src/blocks.rs
+++ b/crates/place/src/blocks.rs
@@ -54,13 +54,13 @@
             starts: Vec::with_capacity(blocks.len() * 2),
             sites: Vec::with_capacity(blocks.len() * 2),
         };
-        let mut open: Vec<(A, u16)> = Vec::new();
+        let mut open_blocks: Vec<(A, u16)> = Vec::new();
         for (first, last, site) in blocks {
-            table.close_before(&mut open, Some(first), &next);
+            table.close_before(&mut open_blocks, Some(first), &next);
             table.push(first, site);
-            open.push((last, site));
+            open_blocks.push((last, site));
         }
-        table.close_before(&mut open, None, &next);
+        table.close_before(&mut open_blocks, None, &next);
         table.starts.shrink_to_fit();
         table.sites.shrink_to_fit();
         table
@@ -69,18 +69,18 @@
     /// Ends the open blocks that lie before `first`, going back to the block around each.
     fn close_before(
         &mut self,
-        open: &mut Vec<(A, u16)>,
+        open_blocks: &mut Vec<(A, u16)>,
         first: Option<A>,
         next: impl Fn(A) -> Option<A>,
     ) {
-        while let Some((last, _)) = open.last().copied() {
+        while let Some((last, _)) = open_blocks.last().copied() {
             if first.is_some_and(|first| first <= last) {
                 return;
             }
-            open.pop();
-            let around = open.last().map_or(NO_SITE, |(_, site)| *site);
+            open_blocks.pop();
+            let enclosing = open_blocks.last().map_or(NO_SITE, |(_, site)| *site);
             if let Some(after) = next(last) {
-                self.push(after, around);
+                self.push(after, enclosing);
             }
         }
     }
@@ -111,8 +111,8 @@
 /// Collects blocks for a [`BlockTable`].
 #[derive(Debug, Clone, Default)]
 pub struct BlockTableBuilder {
-    four: Vec<(u32, u32, u16)>,
-    six: Vec<(u128, u128, u16)>,
+    v4: Vec<(u32, u32, u16)>,
+    v6: Vec<(u128, u128, u16)>,
 }
 
 impl BlockTableBuilder {
@@ -128,12 +128,12 @@
             IpAddr::V4(address) => {
                 let host = u32::MAX.checked_shr(u32::from(length)).unwrap_or(0);
                 let first = u32::from(address) & !host;
-                self.four.push((first, first | host, site));
+                self.v4.push((first, first | host, site));
             }
             IpAddr::V6(address) => {
                 let host = u128::MAX.checked_shr(u32::from(length)).unwrap_or(0);
                 let first = u128::from(address) & !host;
-                self.six.push((first, first | host, site));
+                self.v6.push((first, first | host, site));
             }
         }
         self
@@ -142,8 +142,8 @@
     /// Builds the table.
     pub fn build(self) -> BlockTable {
         BlockTable {
-            four: RangeTable::new(self.four, |address| address.checked_add(1)),
-            six: RangeTable::new(self.six, |address| address.checked_add(1)),
+            v4: RangeTable::new(self.v4, |address| address.checked_add(1)),
+            v6: RangeTable::new(self.v6, |address| address.checked_add(1)),
         }
     }
 }
@@ -161,21 +161,21 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct BlockTable {
-    four: RangeTable<u32>,
-    six: RangeTable<u128>,
+    v4: RangeTable<u32>,
+    v6: RangeTable<u128>,
 }
 
 impl BlockTable {
     /// The site of `address`.
     pub fn find(&self, address: IpAddr) -> Option<u16> {
         match address.to_canonical() {
-            IpAddr::V4(address) => self.four.find(u32::from(address)),
-            IpAddr::V6(address) => self.six.find(u128::from(address)),
+            IpAddr::V4(address) => self.v4.find(u32::from(address)),
+            IpAddr::V6(address) => self.v6.find(u128::from(address)),
         }
     }
 
     /// Memory of the arrays in bytes.
     pub fn bytes(&self) -> usize {
-        self.four.bytes() + self.six.bytes()
+        self.v4.bytes() + self.v6.bytes()
     }
 }
--- a/crates/place/src/catalog/mod.rs
+++ b/crates/place/src/catalog/mod.rs
@@ -211,7 +211,7 @@
         for record in self.table.iter_mut() {
             let domain = &record.entry.domain;
             if self.evacuated.contains(domain) && !domains.contains(domain) {
-                record.chill(now, warmup);
+                record.mark_cold(now, warmup);
             }
         }
         self.evacuated = domains;
--- a/crates/place/src/catalog/words.rs
+++ b/crates/place/src/catalog/words.rs
@@ -80,7 +80,7 @@
         let mut record = ServerRecord::new(entry.clone(), region);
         record.trip = self.trips.trip(&entry.domain, region);
         if !entry.cold_remaining.is_zero() {
-            record.chill(begun, entry.cold_remaining);
+            record.mark_cold(begun, entry.cold_remaining);
         }
         self.table.insert(record);
     }
@@ -193,6 +193,6 @@
         if !record.is_cold(begun) {
             changes.push(CatalogChange::Cold(entry.id.clone()));
         }
-        record.chill(begun, entry.cold_remaining);
+        record.mark_cold(begun, entry.cold_remaining);
     }
 }
--- a/crates/place/src/desired.rs
+++ b/crates/place/src/desired.rs
@@ -5,9 +5,9 @@
 use team::spec::TeamSpec;
 
 /// Shortest body limit that is taken seriously when none is given, in bytes.
-const DEFAULT_BODY_BYTES: usize = 64 << 20;
+const DEFAULT_MAX_BODY_BYTES: usize = 64 << 20;
 /// Head limit when none is given, in bytes.
-const DEFAULT_HEADER_BYTES: usize = 16 << 10;
+const DEFAULT_MAX_HEADER_BYTES: usize = 16 << 10;
 
 base::common! {
     /// What may be done with a request more than once.
@@ -114,8 +114,8 @@
 impl Default for RequestLimits {
     fn default() -> Self {
         Self {
-            header_bytes: DEFAULT_HEADER_BYTES,
-            body_bytes: DEFAULT_BODY_BYTES,
+            header_bytes: DEFAULT_MAX_HEADER_BYTES,
+            body_bytes: DEFAULT_MAX_BODY_BYTES,
             header_timeout: Duration::from_secs(5),
             idle_timeout: Duration::from_secs(15),
         }
--- a/crates/place/src/fleet/copies.rs
+++ b/crates/place/src/fleet/copies.rs
@@ -31,7 +31,7 @@
     /// The entry that tells what it knows at this address.
     Relay(SocketAddr),
     /// Nobody now; the link is busy with the copies of others.
-    Later,
+    Busy,
 }
 
 /// The copies that one entry tells.
@@ -80,7 +80,7 @@
             return CopySource::Relay(relay);
         }
         if queue_delay > MAX_QUEUE_DELAY {
-            return CopySource::Later;
+            return CopySource::Busy;
         }
         let ends = begins + Duration::from_secs_f64(bits / self.link_bits_per_s);
         self.link_idle_at = Some(ends);
--- a/crates/place/src/placing/choice.rs
+++ b/crates/place/src/placing/choice.rs
@@ -118,7 +118,7 @@
     /// Weighs `record`; `likelihood` is that of its holding the object.
     pub fn weigh(&mut self, candidate: &Candidate, record: &ServerRecord, reason: PlacementReason) {
         let slots = f64::from(record.entry.slots.max(1));
-        let away = record.region != self.place.region;
+        let is_remote = record.region != self.place.region;
         let limiter = self.place.limiter;
         if limiter.is_some_and(|limiter| !limiter.permits(&record.region)) {
             self.block(RefusalReason::ShiftCap, None);
@@ -145,7 +145,7 @@
         let cost = expected + self.surcharge(candidate, record);
         let reason = PlacementReason {
             expected,
-            away,
+            is_remote,
             free: reason.occupancy < slots,
             work: estimate.work,
             ..reason
--- a/crates/place/src/placing/placer.rs
+++ b/crates/place/src/placing/placer.rs
@@ -278,7 +278,7 @@
         if self.shift.permits(&record.region) {
             return wanted;
         }
-        let stays = !reason.away && self.shift.permits_own(&record.region);
+        let stays = !reason.is_remote && self.shift.permits_own(&record.region);
         let bounded = self.choose(now, request, service, ranked, Some(&self.shift));
         if stays { bounded.or(wanted) } else { bounded }
     }
@@ -370,7 +370,7 @@
             ServerOutcome::Unreachable => {
                 record.on_unreachable(now);
                 // It may have crashed, and comes back cold.
-                record.chill(now, warmup);
+                record.mark_cold(now, warmup);
             }
             ServerOutcome::Broken => record.on_outcome(now, false),
             ServerOutcome::OutOfTime => {
@@ -378,7 +378,7 @@
                 let took = millis(now.saturating_duration_since(placement.started));
                 let ratio = took / placement.reason.expected.max(1.0);
                 if placement.reason.free && ratio > 1.0 {
-                    record.on_speed(now, ratio * record.speed(now));
+                    record.on_latency_ratio(now, ratio * record.speed(now));
                 }
             }
             ServerOutcome::Withdrawn | ServerOutcome::Abandoned => {}
@@ -413,7 +413,7 @@
             self.work.of(request.route).on_answer(work, reason.belief);
         }
         if let Some(record) = self.catalog.get_mut(placement.handle) {
-            record.on_speed(now, work / reason.work.max(1.0) * record.speed(now));
+            record.on_latency_ratio(now, work / reason.work.max(1.0) * record.speed(now));
         }
     }
 
--- a/crates/place/src/request.rs
+++ b/crates/place/src/request.rs
@@ -117,7 +117,7 @@
     /// Whether the server is cold.
     pub cold: bool,
     /// Whether it is in another region.
-    pub away: bool,
+    pub is_remote: bool,
     /// Whether no other request had to be finished first.
     pub(crate) free: bool,
     /// Expected work of the request itself, in milliseconds.
--- a/crates/place/src/server.rs
+++ b/crates/place/src/server.rs
@@ -129,8 +129,8 @@
     pub in_flight: u32,
     /// Requests of other entries at the server, by their own word.
     pub peer_load: f64,
-    others: f64,
-    others_at: Option<Instant>,
+    reported_load: f64,
+    reported_at: Option<Instant>,
     backoff_until: Option<Instant>,
     backoff: Duration,
     failure_rate: f64,
@@ -153,8 +153,8 @@
             trip: 0.0,
             in_flight: 0,
             peer_load: 0.0,
-            others: 0.0,
-            others_at: None,
+            reported_load: 0.0,
+            reported_at: None,
             backoff_until: None,
             backoff: INITIAL_BACKOFF,
             failure_rate: 0.0,
@@ -170,7 +170,7 @@
     }
 
     /// Treats the server as cold for `span` from now on.
-    pub fn chill(&mut self, now: Instant, span: Duration) {
+    pub fn mark_cold(&mut self, now: Instant, span: Duration) {
         let until = now + span;
         if self.cold_until.is_none_or(|known| known < until) {
             self.cold_until = Some(until);
@@ -185,9 +185,9 @@
     /// Requests of everybody that are likely at the server.
     pub fn occupancy(&self, now: Instant) -> f64 {
         let fresh = self
-            .others_at
+            .reported_at
             .map_or(0.0, |at| decay(now, at, REPORT_DECAY));
-        f64::from(self.in_flight) + (self.others * fresh).max(self.peer_load)
+        f64::from(self.in_flight) + (self.reported_load * fresh).max(self.peer_load)
     }
 
     /// Takes in a load report that came with an answer; call it while the
@@ -196,8 +196,8 @@
         let total = f64::from(report.running + report.waiting);
         // The answered request has left the server by the time of the report.
         let own = f64::from(self.in_flight.saturating_sub(1));
-        self.others = (total - own).max(0.0);
-        self.others_at = Some(now);
+        self.reported_load = (total - own).max(0.0);
+        self.reported_at = Some(now);
         if report.slots > 0 {
             self.entry.slots = report.slots;
         }
@@ -206,8 +206,8 @@
     /// The server rejected a request as full: assume that its queue is at `occupancy`.
     pub fn on_full(&mut self, now: Instant, occupancy: f64) {
         let own = f64::from(self.in_flight.saturating_sub(1));
-        self.others = self.others.max(occupancy - own);
-        self.others_at = Some(now);
+        self.reported_load = self.reported_load.max(occupancy - own);
+        self.reported_at = Some(now);
     }
 
     /// The server could not be reached: leave it alone, longer each time.
@@ -233,14 +233,14 @@
 
     /// Share of requests that failed lately, 0 to 1.
     pub fn failure_rate(&self, now: Instant) -> f64 {
-        let halved = self
+        let decayed = self
             .failure_at
             .map_or(1.0, |at| decay(now, at, FAILURE_HALF_LIFE));
-        self.failure_rate * halved
+        self.failure_rate * decayed
     }
 
     /// Takes in how long an answer took, as a multiple of what was expected.
-    pub fn on_speed(&mut self, now: Instant, ratio: f64) {
+    pub fn on_latency_ratio(&mut self, now: Instant, ratio: f64) {
         let speed = self.speed(now);
         self.speed = speed + SPEED_WEIGHT * (ratio.clamp(0.2, 20.0) - speed);
         self.speed_at = Some(now);
--- a/crates/place/tests/copies.rs
+++ b/crates/place/tests/copies.rs
@@ -72,7 +72,7 @@
                 asks.insert((at + WAY, entry), (relay, false));
                 continue;
             }
-            CopySource::Later => {
+            CopySource::Busy => {
                 asks.insert((at + AGAIN, entry), (other, false));
                 continue;
             }
@@ -141,7 +141,7 @@
     );
     assert_eq!(
         desk.on_copy_request(now, address(2), 1 << 20, false),
-        CopySource::Later
+        CopySource::Busy
     );
     assert_eq!(
         desk.on_copy_request(now, address(3), 1000, false),
@@ -156,6 +156,6 @@
     assert_eq!(relay, CopySource::Relay(address(1)));
     assert_eq!(
         desk.on_copy_request(later, address(4), 1 << 20, false),
-        CopySource::Later
+        CopySource::Busy
     );
 }
--- a/crates/place/tests/directory.rs
+++ b/crates/place/tests/directory.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use place::directory::{in_order, nearest};
+use place::directory::{home_region_entries, ordered_entries};
 
 type Entry = (&'static str, u32);
 
@@ -25,7 +25,7 @@
 #[test]
 fn own_region_comes_first() {
     for spread in 0..50 {
-        let chosen = in_order(&ENTRIES, Some("north"), spread, region);
+        let chosen = ordered_entries(&ENTRIES, Some("north"), spread, region);
         let regions: Vec<&str> = chosen.iter().map(|entry| entry.0).collect();
         assert_eq!(regions[..3], ["north"; 3]);
         assert!(regions.len() == 5 && !regions[3..].contains(&"north"));
@@ -42,7 +42,7 @@
     let mut first: HashMap<u32, u32> = HashMap::new();
     for spread in 0..400 {
         *first
-            .entry(in_order(&ENTRIES, Some("north"), spread, region)[0].1)
+            .entry(ordered_entries(&ENTRIES, Some("north"), spread, region)[0].1)
             .or_default() += 1;
     }
     assert_eq!(first.len(), 4);
@@ -53,12 +53,15 @@
 #[test]
 fn a_caller_without_a_region_is_told_others() {
     for home in [None, Some("east")] {
-        assert_eq!(in_order(&ENTRIES, home, 3, region).len(), 5);
+        assert_eq!(ordered_entries(&ENTRIES, home, 3, region).len(), 5);
     }
-    assert_eq!(nearest(&ENTRIES, "east", region).len(), ENTRIES.len());
     assert_eq!(
-        nearest(&ENTRIES, "south", region),
+        home_region_entries(&ENTRIES, "east", region).len(),
+        ENTRIES.len()
+    );
+    assert_eq!(
+        home_region_entries(&ENTRIES, "south", region),
         [&("south", 5), &("south", 6)]
     );
-    assert!(in_order(&[], Some("north"), 3, region).is_empty());
+    assert!(ordered_entries(&[], Some("north"), 3, region).is_empty());
 }
