--- a/bin/lh-entry/src/fleet.rs
+++ b/bin/lh-entry/src/fleet.rs
@@ -7,10 +7,10 @@
 
 use place::crash::fingerprint::RequestFingerprint;
 use place::fleet::clock::StoreTime;
-use place::fleet::known::StoreProgress;
 use place::fleet::member::{BEAT_EVERY, MemberConfig};
 use place::fleet::message::PeerMessage;
 use place::fleet::regions::RegionBook;
+use place::fleet::store_progress::StoreProgress;
 use place::prelude::*;
 use tokio::net::UdpSocket;
 use tokio::sync::{Notify, watch};
@@ -250,7 +250,7 @@
         Ok(PeerMessage::Rollout(beat)) => state.rollouts.on_beat(&beat),
         Ok(mut message) => {
             if let (PeerMessage::Digest(digest), Some(span)) = (&mut message, waited) {
-                digest.store = digest.store.waited(span);
+                digest.store = digest.store.delayed_by(span);
             }
             state.fleet.on_event(FleetEvent::Message(message));
         }
--- a/bin/lh-entry/src/state.rs
+++ b/bin/lh-entry/src/state.rs
@@ -11,10 +11,10 @@
 use place::departure::Departure;
 use place::fleet::copies::CopyScheduler;
 use place::fleet::front::RateMeter;
-use place::fleet::known::StoreProgress;
 use place::fleet::log::{ReadScope, RegistryDelta, RegistryLog};
 use place::fleet::member::MemberConfig;
 use place::fleet::seat::LeadSeat;
+use place::fleet::store_progress::StoreProgress;
 use place::placing::load::load_pause;
 use place::prelude::*;
 use place::rank::stable_hash;
@@ -348,7 +348,7 @@
     /// Takes in which servers have left, as a lead told that has run for longer.
     pub(crate) fn on_told_ends(&self, lead: SocketAddr, ends: &[Departure]) {
         let mut servers = self.servers.borrow_mut();
-        servers.on_ends(ends);
+        servers.on_departures(ends);
         let changed_at = servers.version();
         drop(servers);
         let mut placer = self.placer.borrow_mut();
--- a/bin/lh-entry/src/view.rs
+++ b/bin/lh-entry/src/view.rs
@@ -15,12 +15,12 @@
 use place::departure::Departure;
 use place::desired::DesiredState;
 use place::fleet::clock::StoreTime;
+use place::fleet::content_hash::ContentHash;
 use place::fleet::copies::CopySource;
 use place::fleet::follow::{PullScope, PullTarget};
-use place::fleet::known::{StoreProgress, StoreProgressMessage};
 use place::fleet::list::{EntryList, ListVersion};
 use place::fleet::log::{RegistryDelta, RegistryLog};
-use place::fleet::mark::ContentHash;
+use place::fleet::store_progress::{StoreProgress, StoreProgressMessage};
 use place::prelude::FleetEvent;
 use quick_error::quick_error;
 use rollout::order::RolloutRecord;
@@ -139,7 +139,7 @@
     let query: ViewQuery = postcard::from_bytes(&bytes).ok()?;
     let known = state.fleet.known();
     let mut answer = ViewAnswer {
-        store: known.word(Instant::now()),
+        store: known.to_message(Instant::now()),
         latest: state.fleet.latest_store_time(),
         ..ViewAnswer::default()
     };
@@ -168,7 +168,7 @@
         answer.desired = encode(desired);
     }
     if query.ends {
-        answer.ends = state.servers.borrow().ends();
+        answer.ends = state.servers.borrow().departures();
     }
     answer.lists = state
         .fleet
@@ -242,7 +242,7 @@
 ) -> Result<(), ViewError> {
     // The answer was given at some time since the question: taking it for new would hide how
     // long this process had no turn to read it.
-    let heard = StoreProgress::heard(begun, &answer.store);
+    let heard = StoreProgress::from_message(begun, &answer.store);
     if !answer.desired.is_empty() {
         let desired: DesiredState = postcard::from_bytes(&answer.desired)?;
         state.on_desired(&desired);
--- a/crates/place/src/catalog/mod.rs
+++ b/crates/place/src/catalog/mod.rs
@@ -133,7 +133,7 @@
                 continue;
             }
             let known = self.table.by_id(&row.id).map(|record| &record.entry);
-            for word in known.into_iter().chain(&row.word) {
+            for word in known.into_iter().chain(&row.last_entry) {
                 self.departures.note(now, &Departure::of(word));
             }
         }
--- a/crates/place/src/catalog/words.rs
+++ b/crates/place/src/catalog/words.rs
@@ -123,13 +123,13 @@
         delta: &RegistryDelta,
         changes: &mut Vec<CatalogChange>,
     ) {
-        if delta.gone.is_empty() {
+        if delta.departures.is_empty() {
             return;
         }
         let listed = delta.entries.iter();
         let listed: HashMap<&str, &ServerEntry> =
             listed.map(|entry| (entry.id.as_str(), entry)).collect();
-        for departure in &delta.gone {
+        for departure in &delta.departures {
             self.departures.note(now, departure);
             let Some(record) = self.table.by_id(&departure.id) else {
                 continue;
--- a/crates/place/src/crash/outbox.rs
+++ b/crates/place/src/crash/outbox.rs
@@ -5,7 +5,7 @@
 
 use crate::crash::fingerprint::RequestFingerprint;
 use crate::crash::message::{ClearedRequest, CrashMessage, CrashReport};
-use crate::fleet::known::millis;
+use crate::fleet::store_progress::millis;
 
 /// A report is held for this long: most requests that were caught beside the cause are
 /// answered by another server meanwhile, and need not be told.
--- a/crates/place/src/crash/quarantine.rs
+++ b/crates/place/src/crash/quarantine.rs
@@ -5,7 +5,7 @@
 
 use crate::crash::fingerprint::RequestFingerprint;
 use crate::crash::message::{ClearedRequest, RequestStatus, RequestStatusMessage};
-use crate::fleet::known::millis;
+use crate::fleet::store_progress::millis;
 
 /// How long a request stays in quarantine: time to mend the service, at the price of a few
 /// servers each time that it is tried again.
--- a/crates/place/src/fleet/follow.rs
+++ b/crates/place/src/fleet/follow.rs
@@ -4,10 +4,10 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use crate::fleet::known::StoreProgress;
 use crate::fleet::leads::{HeardLead, LeadTable};
 use crate::fleet::log::log_version;
 use crate::fleet::regions::RegionBook;
+use crate::fleet::store_progress::StoreProgress;
 
 /// Half of a region's entries ask the reader first, half the deputy; who has waited
 /// this long for its own asks the other.
--- a/crates/place/src/fleet/leads.rs
+++ b/crates/place/src/fleet/leads.rs
@@ -4,10 +4,10 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use crate::fleet::known::StoreProgress;
 use crate::fleet::list::ListVersion;
 use crate::fleet::message::RegionDigest;
 use crate::fleet::seat::{LEADS, LeadSeat, SeatOrder};
+use crate::fleet::store_progress::StoreProgress;
 
 /// A lead that was silent for this long is done without: two digests may get lost.
 pub const LEAD_SILENT: Duration = Duration::from_millis(1500);
@@ -77,7 +77,7 @@
             seat: digest.seat.clone(),
             region: digest.region.clone(),
             leaving: digest.leaving || !digest.seat.leads,
-            known: StoreProgress::heard(now, &digest.store),
+            known: StoreProgress::from_message(now, &digest.store),
             lists: digest
                 .regions
                 .iter()
--- a/crates/place/src/fleet/log.rs
+++ b/crates/place/src/fleet/log.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
 use crate::departure::Departure;
-use crate::fleet::mark::ContentHash;
+use crate::fleet::content_hash::ContentHash;
 use crate::server::{EntryState, ServerEntry};
 use crate::snapshot::{CatalogSnapshot, DroppedRow};
 
@@ -30,7 +30,7 @@
         /// Entries that changed.
         pub entries: Vec<ServerEntry>,
         /// Servers that are gone, and what of them is older than that.
-        pub gone: Vec<Departure>,
+        pub departures: Vec<Departure>,
         /// Keys of rows that are no server's own word; always all of them.
         pub foreign: Vec<String>,
         /// Servers whose rows vanished but may have lapsed; always all of them.
@@ -65,7 +65,7 @@
 struct LogEntry {
     /// The version at which it changed.
     changed: u64,
-    mark: ContentHash,
+    hash: ContentHash,
     entry: ServerEntry,
 }
 
@@ -78,7 +78,7 @@
     history_start: u64,
     entries: BTreeMap<String, LogEntry>,
     content: ContentHash,
-    gone: VecDeque<(u64, Departure)>,
+    departures: VecDeque<(u64, Departure)>,
     foreign: Vec<String>,
     missing: Vec<String>,
 }
@@ -165,7 +165,7 @@
                 is_news(record.changed) && departure.supersedes(&record.entry)
             })
         };
-        let gone = self.gone.iter().filter(|(at, departure)| {
+        let departures = self.departures.iter().filter(|(at, departure)| {
             if whole {
                 self.has_ended(departure)
             } else {
@@ -176,24 +176,24 @@
             version: self.version,
             whole,
             entries: changed.map(|record| record.entry.clone()).collect(),
-            gone: gone.map(|(_, departure)| departure.clone()).collect(),
+            departures: departures.map(|(_, departure)| departure.clone()).collect(),
             foreign: self.foreign.clone(),
             missing: self.missing.clone(),
         }
     }
 
     /// Which servers have left, as far as it is known.
-    pub fn ends(&self) -> Vec<Departure> {
-        let ends = self.gone.iter().map(|(_, departure)| departure);
+    pub fn departures(&self) -> Vec<Departure> {
+        let ends = self.departures.iter().map(|(_, departure)| departure);
         let dropped_departures = ends.filter(|departure| self.has_ended(departure));
         dropped_departures.cloned().collect()
     }
 
     /// Takes in which servers have left, as another entry knows. Who follows this one is told
     /// of those that are listed by an older word.
-    pub fn on_ends(&mut self, ends: &[Departure]) {
+    pub fn on_departures(&mut self, ends: &[Departure]) {
         for departure in ends {
-            let mut known = self.gone.iter().map(|(_, known)| known);
+            let mut known = self.departures.iter().map(|(_, known)| known);
             if known.any(|known| known == departure) {
                 continue;
             }
@@ -218,10 +218,10 @@
         }
         // Rows of other writers hide what stood before them, so that only all rows tell the sum.
         let is_plain = !delta.whole && self.foreign.is_empty() && delta.foreign.is_empty();
-        for departure in &delta.gone {
+        for departure in &delta.departures {
             let mut departure = departure.clone();
             if let Some(record) = self.entries.remove(&departure.id) {
-                self.content = self.content.without(record.mark);
+                self.content = self.content.without(record.hash);
                 // The other may not have known the run's last word.
                 let mut listed = delta.entries.iter();
                 let is_listed =
@@ -235,9 +235,9 @@
         for entry in &delta.entries {
             let known = before.get(&entry.id).or(self.entries.get(&entry.id));
             let record = LogEntry::new(delta.version, self.newest_entry(known, entry));
-            self.content = self.content.with(record.mark);
+            self.content = self.content.with(record.hash);
             if let Some(before) = self.entries.insert(entry.id.clone(), record) {
-                self.content = self.content.without(before.mark);
+                self.content = self.content.without(before.hash);
             }
         }
         self.foreign.clone_from(&delta.foreign);
@@ -261,7 +261,7 @@
             // What stood before somebody else's row is known to some entries only.
             !self.foreign.contains(&record.entry.id)
         });
-        let own = own.fold(none, |sum, record| sum.with(record.mark));
+        let own = own.fold(none, |sum, record| sum.with(record.hash));
         let foreign = self.foreign.iter().map(|id| ContentHash::of_foreign(id));
         self.content = foreign.fold(own, ContentHash::with);
     }
@@ -271,7 +271,7 @@
         let kept = scope.dropped.iter();
         for row in kept.filter(|row| scope.missing.contains(&row.id)) {
             let known = self.entries.get_mut(&row.id);
-            if let (Some(record), Some(word)) = (known, &row.word) {
+            if let (Some(record), Some(word)) = (known, &row.last_entry) {
                 *record = LogEntry::new(record.changed, newer_entry(&record.entry, word));
             }
         }
@@ -293,7 +293,7 @@
                 continue;
             }
             let known = self.entries.get(&row.id).map(|record| &record.entry);
-            for word in known.into_iter().chain(&row.word) {
+            for word in known.into_iter().chain(&row.last_entry) {
                 departure.merge(&Departure::of(word));
             }
         }
@@ -307,7 +307,7 @@
         if let Some(known) = known {
             return newer_entry(&known.entry, entry);
         }
-        let mut ends = self.gone.iter().rev().map(|(_, departure)| departure);
+        let mut ends = self.departures.iter().rev().map(|(_, departure)| departure);
         let has_left = ends.any(|departure| departure.announced && departure.supersedes(entry));
         let mut word = entry.clone();
         if has_left {
@@ -336,9 +336,9 @@
     }
 
     fn record_departure(&mut self, new_version: u64, departure: Departure) {
-        self.gone.push_back((new_version, departure));
-        while self.gone.len() > MAX_DEPARTURES {
-            if let Some((new_version, _)) = self.gone.pop_front() {
+        self.departures.push_back((new_version, departure));
+        while self.departures.len() > MAX_DEPARTURES {
+            if let Some((new_version, _)) = self.departures.pop_front() {
                 self.history_start = new_version;
             }
         }
@@ -349,7 +349,7 @@
     fn new(changed: u64, entry: ServerEntry) -> Self {
         Self {
             changed,
-            mark: ContentHash::of_entry(&entry),
+            hash: ContentHash::of_entry(&entry),
             entry,
         }
     }
--- a/crates/place/src/fleet/member/asking.rs
+++ b/crates/place/src/fleet/member/asking.rs
@@ -106,7 +106,7 @@
         let role = self.read_role(now);
         let reads_all = self.reads_all(now);
         let known_at = self.known.registry_at;
-        if let Some(call) = self.readings.take(now, role, known_at, reads_all) {
+        if let Some(call) = self.readings.begin_read(now, role, known_at, reads_all) {
             if call.whole {
                 self.doubt.on_acted(now);
                 actions.push(FleetAction::Note(FleetNote::Doubted));
--- a/crates/place/src/fleet/member/hearing.rs
+++ b/crates/place/src/fleet/member/hearing.rs
@@ -5,12 +5,12 @@
 use std::time::{Duration, Instant};
 
 use crate::fleet::clock::StoreTime;
-use crate::fleet::known::StoreProgress;
 use crate::fleet::member::telling::YOUNG_ROWS_EVERY;
 use crate::fleet::member::{FleetAction, FleetMember};
 use crate::fleet::message::{EntryBeat, LeadHint, PeerMessage, RegionDigest};
 use crate::fleet::roster::BeatNews;
 use crate::fleet::seat::{LEADS, LeadSeat};
+use crate::fleet::store_progress::StoreProgress;
 
 /// Shortest time between two lists.
 const LIST_PAUSE: Duration = Duration::from_millis(50);
@@ -100,7 +100,7 @@
             }
             self.regions.on_word(now, word);
         }
-        let mut heard = StoreProgress::heard(now, &digest.store);
+        let mut heard = StoreProgress::from_message(now, &digest.store);
         if self.clock.age(now, heard.proved).is_none() {
             // Not the store's time, or not to be placed by this entry's clock yet.
             heard.proved = StoreTime::default();
--- a/crates/place/src/fleet/member/mod.rs
+++ b/crates/place/src/fleet/member/mod.rs
@@ -21,16 +21,16 @@
 use crate::fleet::clock::{StoreClock, StoreTime};
 use crate::fleet::doubt::ContentDoubt;
 use crate::fleet::follow::{PullState, PullTarget};
-use crate::fleet::known::StoreProgress;
 use crate::fleet::leads::LeadTable;
 use crate::fleet::list::EntryList;
 use crate::fleet::message::PeerMessage;
-use crate::fleet::pace::ReadIntervals;
+use crate::fleet::read_intervals::ReadIntervals;
 use crate::fleet::reading::{ReadOutcome, ReadScheduler, RegistryRead};
 use crate::fleet::regions::RegionBook;
 use crate::fleet::roster::EntryRoster;
 use crate::fleet::seat::LeadSeat;
 use crate::fleet::seek::LeadSearch;
+use crate::fleet::store_progress::StoreProgress;
 use crate::rank::stable_hash;
 
 /// Time between beats, and between digests of a lead: four in the time after which a
--- a/crates/place/src/fleet/member/telling.rs
+++ b/crates/place/src/fleet/member/telling.rs
@@ -128,7 +128,7 @@
             seat: self.own_seat(now),
             region: self.config.region.clone(),
             leaving: self.own.leaving,
-            store: self.known.word(now),
+            store: self.known.to_message(now),
             regions: self.regions.words(now, to_leads),
         }))
     }
--- a/crates/place/src/fleet/message.rs
+++ b/crates/place/src/fleet/message.rs
@@ -4,9 +4,9 @@
 
 use crate::crash::message::CrashMessage;
 use crate::fleet::front::FrontEntry;
-use crate::fleet::known::StoreProgressMessage;
 use crate::fleet::list::ListVersion;
 use crate::fleet::seat::LeadSeat;
+use crate::fleet::store_progress::StoreProgressMessage;
 use crate::placing::load::LoadWord;
 use rollout::word::RolloutWord;
 use team::quota::QuotaWord;
--- a/crates/place/src/fleet/mod.rs
+++ b/crates/place/src/fleet/mod.rs
@@ -11,20 +11,20 @@
 //! the messages.
 
 pub mod clock;
+pub mod content_hash;
 pub mod copies;
 pub mod doubt;
 pub mod follow;
 pub mod front;
-pub mod known;
 pub mod leads;
 pub mod list;
 pub mod log;
-pub mod mark;
 pub mod member;
 pub mod message;
-pub mod pace;
+pub mod read_intervals;
 pub mod reading;
 pub mod regions;
 pub mod roster;
 pub mod seat;
 pub mod seek;
+pub mod store_progress;
--- a/crates/place/src/fleet/reading.rs
+++ b/crates/place/src/fleet/reading.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::fleet::pace::ReadIntervals;
+use crate::fleet::read_intervals::ReadIntervals;
 
 /// First pause after a failed reading, so that a store in trouble isn't pressed.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(300);
@@ -137,7 +137,7 @@
 
     /// Whether to begin a reading now, where what is known is of `known_at`; `whole` where
     /// that is in doubt.
-    pub fn take(
+    pub fn begin_read(
         &mut self,
         now: Instant,
         role: ReadRole,
--- a/crates/place/src/fleet/regions.rs
+++ b/crates/place/src/fleet/regions.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use crate::fleet::known::millis;
 use crate::fleet::list::{EntryList, ListVersion, ListedEntry};
 use crate::fleet::message::RegionWord;
 use crate::fleet::seat::LeadSeat;
+use crate::fleet::store_progress::millis;
 
 /// A region whose leads were silent for this long counts as lost: its entries are told
 /// to no caller and take no part in shared rates. Longer than a region without leads
--- a/crates/place/src/fleet/known.rs
+++ b/crates/place/src/fleet/store_progress.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use crate::fleet::clock::StoreTime;
+use crate::fleet::content_hash::ContentHash;
 use crate::fleet::log::log_version;
-use crate::fleet::mark::ContentHash;
 
 base::common! {
     /// What an entry knows of the store, as it tells others.
@@ -34,7 +34,7 @@
 impl StoreProgressMessage {
     /// The word as it is told when it waited for `span` before it was read.
     #[must_use]
-    pub fn waited(mut self, span: Duration) -> Self {
+    pub fn delayed_by(mut self, span: Duration) -> Self {
         for age in [&mut self.registry_age, &mut self.operator_age] {
             *age = age.saturating_add(millis(span));
         }
@@ -68,7 +68,7 @@
 
 impl StoreProgress {
     /// What another entry's `word` says, by this entry's clock.
-    pub fn heard(now: Instant, word: &StoreProgressMessage) -> Self {
+    pub fn from_message(now: Instant, word: &StoreProgressMessage) -> Self {
         let at = |age: u32| {
             let span = Duration::from_millis(u64::from(age));
             (age < u32::MAX).then(|| now.checked_sub(span)).flatten()
@@ -87,7 +87,7 @@
     }
 
     /// The word for other entries.
-    pub fn word(&self, now: Instant) -> StoreProgressMessage {
+    pub fn to_message(&self, now: Instant) -> StoreProgressMessage {
         let age = |at: Option<Instant>| {
             at.map_or(u32::MAX, |at| millis(now.saturating_duration_since(at)))
         };
--- a/crates/place/src/snapshot.rs
+++ b/crates/place/src/snapshot.rs
@@ -12,7 +12,7 @@
     /// The store's version at which it was dropped.
     pub version: u64,
     /// What stood there last, as far as it was read.
-    pub word: Option<ServerEntry>,
+    pub last_entry: Option<ServerEntry>,
 }
 
 impl DroppedRow {
@@ -21,7 +21,7 @@
         Self {
             id: id.to_owned(),
             version,
-            word: None,
+            last_entry: None,
         }
     }
 }
--- a/crates/place/tests/departed.rs
+++ b/crates/place/tests/departed.rs
@@ -8,10 +8,10 @@
 use common::{changes, domains, ms, reading, server};
 use place::catalog::DroppedRow;
 use place::departure::Departure;
-use place::fleet::known::StoreProgress;
 use place::fleet::log::{ReadScope, RegistryDelta, RegistryLog};
-use place::fleet::pace::ReadIntervals;
+use place::fleet::read_intervals::ReadIntervals;
 use place::fleet::reading::{ReadOutcome, ReadRole, ReadScheduler};
+use place::fleet::store_progress::StoreProgress;
 use place::prelude::*;
 
 const DRAIN: Duration = Duration::from_millis(3000);
@@ -270,19 +270,22 @@
         used: true,
         first: start,
     };
-    assert!(plan.take(start, alone, None, false).is_some());
+    assert!(plan.begin_read(start, alone, None, false).is_some());
     let at = start + ms(2000);
     plan.set_settles(Some(at));
     plan.on_read(start + ms(10), ReadOutcome::Changed);
     let before = at - ms(100);
-    assert_eq!(plan.take(before, follower, Some(before), false), None);
-    assert!(plan.take(at, follower, Some(at), false).is_some());
+    assert_eq!(plan.begin_read(before, follower, Some(before), false), None);
+    assert!(plan.begin_read(at, follower, Some(at), false).is_some());
     plan.on_read(at + ms(10), ReadOutcome::Failed);
     let again = at + ms(500);
-    assert!(plan.take(again, follower, Some(again), false).is_some());
+    assert!(
+        plan.begin_read(again, follower, Some(again), false)
+            .is_some()
+    );
     plan.on_read(again + ms(10), ReadOutcome::Same);
     let later = at + ms(1500);
-    assert_eq!(plan.take(later, follower, Some(later), false), None);
+    assert_eq!(plan.begin_read(later, follower, Some(later), false), None);
 }
 
 /// Promise: a server that is told as gone and as listed again in one change keeps what is known
@@ -328,7 +331,7 @@
         let later = start + ms(1000);
         let second = reading(later, &[ready("x", listed)]);
         let row = DroppedRow {
-            word: dropped.map(|seq| ready("x", seq)),
+            last_entry: dropped.map(|seq| ready("x", seq)),
             ..DroppedRow::new("x", second.version)
         };
         let scope = ReadScope {
@@ -369,8 +372,8 @@
         registry_at: Some(now - ms(100)),
         ..StoreProgress::default()
     };
-    let word = known.word(now).waited(ms(2500));
-    let heard = StoreProgress::heard(now, &word);
+    let word = known.to_message(now).delayed_by(ms(2500));
+    let heard = StoreProgress::from_message(now, &word);
     assert_eq!(heard.registry_at, Some(now - ms(2600)));
     assert_eq!(heard.operator_at, None);
 }
@@ -449,12 +452,12 @@
         let mut known = lead.version();
         let late = reading(start + ms(1000), &[ready("x", 10), ready("y", 3)]);
         if hears_first {
-            lead.on_ends(&ends);
+            lead.on_departures(&ends);
         } else {
             lead.on_read(&late, changes());
             follower.on_told(start, start, &lead.since(known));
             known = lead.version();
-            lead.on_ends(&ends);
+            lead.on_departures(&ends);
             assert!(lead.version() > known, "its followers are told");
         }
         lead.on_read(&late, changes());
@@ -474,7 +477,7 @@
     lead.on_read(&reading(start, &[ready("x", 3), other.clone()]), changes());
     let told = RegistryDelta {
         version: lead.version() + 5000,
-        gone: vec![Departure::of(&ready("x", 2))],
+        departures: vec![Departure::of(&ready("x", 2))],
         ..RegistryDelta::default()
     };
     lead.on_told(&told);
@@ -529,7 +532,11 @@
             changes(),
         );
         let told = lead.since(0);
-        assert!(told.gone.len() <= TOLD_MOST, "{count}: {}", told.gone.len());
+        assert!(
+            told.departures.len() <= TOLD_MOST,
+            "{count}: {}",
+            told.departures.len()
+        );
         let mut follower = catalog();
         follower.on_told(start + ms(1000), start, &told);
         read(
@@ -576,7 +583,7 @@
     let at = |millis| reading(start + ms(millis), std::slice::from_ref(&other));
     let lapsed = at(1000);
     let row = DroppedRow {
-        word: Some(ready("x", 2)),
+        last_entry: Some(ready("x", 2)),
         ..DroppedRow::new("x", lapsed.version)
     };
     let scope = ReadScope {
--- a/crates/place/tests/due.rs
+++ b/crates/place/tests/due.rs
@@ -4,10 +4,10 @@
 use std::time::{Duration, Instant};
 
 use place::fleet::follow::PullScope;
-use place::fleet::known::StoreProgress;
 use place::fleet::member::MemberConfig;
 use place::fleet::message::{PeerMessage, RegionDigest};
 use place::fleet::seat::LeadSeat;
+use place::fleet::store_progress::StoreProgress;
 use place::prelude::*;
 
 const DRAIN: Duration = Duration::from_millis(3000);
@@ -112,7 +112,7 @@
         },
         region: "a".to_owned(),
         leaving: false,
-        store: StoreProgress::default().word(Instant::now()),
+        store: StoreProgress::default().to_message(Instant::now()),
         regions: Vec::new(),
     }))
 }
--- a/crates/place/tests/fleet.rs
+++ b/crates/place/tests/fleet.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use fleet_world::{DRAIN, FleetWorld, REGIONS, domain_of, ms, region_of};
-use place::fleet::known::StoreProgressMessage;
 use place::fleet::log::log_version;
 use place::fleet::message::{PeerMessage, RegionDigest, RegionWord};
+use place::fleet::store_progress::StoreProgressMessage;
 use place::prelude::*;
 
 /// Until a request that was placed is at a server of another region, over a connection that
--- a/crates/place/tests/log.rs
+++ b/crates/place/tests/log.rs
@@ -7,8 +7,8 @@
 
 use common::{changes, domains, ms, reading, server};
 use place::catalog::DroppedRow;
-use place::fleet::known::StoreProgress;
 use place::fleet::log::{ReadScope, RegistryLog, log_version};
+use place::fleet::store_progress::StoreProgress;
 use place::prelude::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -76,7 +76,7 @@
     );
     assert_eq!(log.version(), log_version(40));
     let told = log.since(0);
-    assert!(told.whole && told.entries.len() == 1 && told.gone.is_empty());
+    assert!(told.whole && told.entries.len() == 1 && told.departures.is_empty());
 }
 
 proptest! {
--- a/crates/place/tests/proofs.rs
+++ b/crates/place/tests/proofs.rs
@@ -7,9 +7,9 @@
 
 use fleet_world::{FleetWorld, REGIONS, ms, region_of};
 use place::fleet::clock::{StoreClock, StoreTime};
-use place::fleet::known::{StoreProgress, StoreProgressMessage};
 use place::fleet::message::{PeerMessage, RegionDigest};
 use place::fleet::seat::LeadSeat;
+use place::fleet::store_progress::{StoreProgress, StoreProgressMessage};
 use place::prelude::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -202,7 +202,7 @@
             leaving: false,
             store: StoreProgressMessage {
                 proved,
-                ..known.word(world.now)
+                ..known.to_message(world.now)
             },
             regions: Vec::new(),
         }))
--- a/crates/place/tests/reading.rs
+++ b/crates/place/tests/reading.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use place::fleet::pace::ReadIntervals;
+use place::fleet::read_intervals::ReadIntervals;
 use place::fleet::reading::{ReadOutcome, ReadRole, ReadScheduler, answer_as_of};
 
 /// Promise: an entry that goes on doubting what it knows reads everything again no more often
@@ -11,7 +11,7 @@
 fn a_reading_that_settles_nothing_is_not_repeated_at_once() {
     let start = Instant::now();
     let pace = ReadIntervals::new(Duration::from_millis(2500));
-    let mut plan = ReadScheduler::new(start, pace, 1);
+    let mut scheduler = ReadScheduler::new(start, pace, 1);
     let role = ReadRole::Follower {
         substitute: false,
         stuck: false,
@@ -21,9 +21,9 @@
     let mut now = start;
     while now < start + span {
         now += Duration::from_millis(10);
-        if plan.take(now, role, Some(start), true).is_some() {
+        if scheduler.begin_read(now, role, Some(start), true).is_some() {
             calls += 1;
-            plan.on_read(now, ReadOutcome::Same);
+            scheduler.on_read(now, ReadOutcome::Same);
         }
     }
     let most = span.as_millis() / pace.reader.as_millis() + 1;
--- a/crates/place/tests/relisting.rs
+++ b/crates/place/tests/relisting.rs
@@ -7,7 +7,7 @@
 
 use common::{ms, placer_config, reading, server};
 use place::catalog::ServerCatalog;
-use place::fleet::pace::ReadIntervals;
+use place::fleet::read_intervals::ReadIntervals;
 use place::fleet::reading::{ReadOutcome, ReadRole, ReadScheduler, RegistryRead};
 
 /// Within this time a leaving server must get no more requests.
@@ -37,7 +37,7 @@
             );
             now += ms(10);
             plan.set_settles(catalog.settles_at());
-            let call = plan.take(now, ReadRole::Reader, catalog.read_at(), false);
+            let call = plan.begin_read(now, ReadRole::Reader, catalog.read_at(), false);
             let Some(RegistryRead { wait, .. }) = call else {
                 continue;
             };
