--- a/crates/place/src/catalog/mod.rs
+++ b/crates/place/src/catalog/mod.rs
@@ -134,7 +134,7 @@
             }
             let known = self.table.by_id(&row.id).map(|record| &record.entry);
             for word in known.into_iter().chain(&row.last_entry) {
-                self.departures.note(now, &Departure::of(word));
+                self.departures.record(now, &Departure::of(word));
             }
         }
     }
@@ -176,7 +176,7 @@
     pub fn on_ends(&mut self, now: Instant, ends: &[Departure]) -> Vec<CatalogChange> {
         let mut changes = Vec::new();
         for departure in ends {
-            self.departures.note(now, departure);
+            self.departures.record(now, departure);
             let known = self.table.by_id(&departure.id);
             if known.is_some_and(|record| self.departures.supersedes(now, &record.entry)) {
                 self.remove(now, &departure.id, &mut changes);
--- a/crates/place/src/catalog/words.rs
+++ b/crates/place/src/catalog/words.rs
@@ -130,7 +130,7 @@
         let listed: HashMap<&str, &ServerEntry> =
             listed.map(|entry| (entry.id.as_str(), entry)).collect();
         for departure in &delta.departures {
-            self.departures.note(now, departure);
+            self.departures.record(now, departure);
             let Some(record) = self.table.by_id(&departure.id) else {
                 continue;
             };
@@ -160,7 +160,7 @@
         let Some(record) = self.table.by_id(id) else {
             return;
         };
-        self.departures.note(now, &Departure::of(&record.entry));
+        self.departures.record(now, &Departure::of(&record.entry));
         self.table.remove(id);
         changes.push(CatalogChange::Gone(id.to_owned()));
     }
--- a/crates/place/src/crash/fingerprint.rs
+++ b/crates/place/src/crash/fingerprint.rs
@@ -1,24 +1,24 @@
-//! Tells whether two requests are the same to a server.
+//! Fingerprints of requests: requests that are identical to a server have the same one.
 
 use std::fmt;
 
-/// Digits of a print that logs show: enough to find it again.
+/// Number of hex digits shown in logs: enough to look the fingerprint up.
 const DISPLAY_DIGITS: usize = 12;
 
 base::common! {
-    /// A hash of all that a server gets of a request, but for what differs between two
-    /// attempts of its caller.
+    /// Hash of everything that a server receives of a request, except for what differs between
+    /// two attempts of the same caller.
     #[derive(Copy, Eq, Hash, PartialOrd, Ord)]
     pub struct RequestFingerprint(pub u128);
 }
 
 impl RequestFingerprint {
-    /// The print in full, for the store.
+    /// Formats the full fingerprint, as used for keys in the store.
     pub fn key(self) -> String {
         format!("{:032x}", self.0)
     }
 
-    /// The print that [`RequestFingerprint::key`] wrote.
+    /// Parses a fingerprint that [`RequestFingerprint::key`] formatted.
     pub fn parse(key: &str) -> Option<Self> {
         u128::from_str_radix(key, 16).ok().map(Self)
     }
--- a/crates/place/src/crash/ledger.rs
+++ b/crates/place/src/crash/ledger.rs
@@ -1,4 +1,5 @@
-//! Finds the request that ended servers, from all that were at them.
+//! Correlates server crashes with the requests that were in flight, to find the request that
+//! causes them.
 
 use std::cmp::Reverse;
 use std::collections::{HashMap, VecDeque};
@@ -8,55 +9,58 @@
 use crate::crash::message::{CrashReport, RequestStatus};
 use crate::crash::quarantine::QuarantineTable;
 
-/// Servers that a request may end before it is put into quarantine. Two may be chance: a
-/// request and its repeat that each met a server on its way down.
+/// Crashes after which a request is quarantined. Two may be a coincidence: a request and its
+/// retry can each reach a server that was already failing.
 const QUARANTINE_CRASHES: usize = 3;
-/// Ends after which a request is a suspect everywhere: all entries look out for a good
-/// answer to it.
+/// Crashes after which a request is a suspect: all entries then watch for a successful answer
+/// to it.
 const SUSPECT_CRASHES: usize = 2;
-/// Ends from which a request counts as a cause although another was at the same servers:
-/// two that never part can't be told from each other.
+/// Crashes after which a request counts as a cause even though another request was present at
+/// the same servers: two requests that always occur together can't be told apart.
 const INSEPARABLE_CRASHES: usize = 5;
-/// Requests in quarantine at once. Where more seem to end servers, it is the servers that
-/// crash, whatever they run, and refusing callers would only add to it.
+/// Maximum number of requests in quarantine at once. When more requests seem to crash servers,
+/// the servers fail regardless of what they run, and refusing callers would only add to the
+/// outage.
 const MAX_QUARANTINED: usize = 8;
-/// Time from the first news until the cause is looked for, so that the words of all entries that had
-/// requests at the server are in: several trips between regions.
+/// Delay from the first report until the cause is determined. It leaves time for the reports of
+/// all entries that had requests at the server: several round trips between regions.
 const REVIEW_DELAY: Duration = Duration::from_millis(300);
-/// How long an end counts: a request that comes every few minutes is found out as well.
+/// How long a crash counts as evidence: long enough to detect a request that arrives only every
+/// few minutes.
 const CRASH_TTL: Duration = Duration::from_secs(1800);
-/// How long after the last news good answers are compared with the suspects: the longest
-/// time that a repeat takes.
+/// How long after the latest report successful answers are compared with the suspects: the
+/// longest time that a retry takes.
 const RECENT_REPORTS_TIME: Duration = Duration::from_secs(10);
-/// Ends kept at most; with all suspects 0.6 MB.
+/// Maximum number of recorded crashes; with all suspects they take 0.6 MB.
 const MAX_CRASHES: usize = 512;
-/// Suspects of one crash: all that a server runs and queues.
+/// Maximum number of suspects per crash: all requests that a server runs and queues.
 const MAX_SUSPECTS_PER_CRASH: usize = 64;
 
-/// The end of a server.
+/// A crash of a server run.
 #[derive(Debug)]
 struct ServerCrash {
     run: u64,
     at: Instant,
     suspects: Vec<RequestFingerprint>,
-    /// Those that were answered well since.
+    /// Suspects that were answered successfully afterwards.
     cleared: Vec<RequestFingerprint>,
 }
 
-/// The ends of servers that are known, and the requests that were at them.
+/// The known server crashes and the requests that were in flight at each.
 #[derive(Debug, Default)]
 pub struct CrashLedger {
     crashes: VecDeque<ServerCrash>,
-    /// Ends for each suspect.
+    /// Number of crashes per suspect.
     totals: HashMap<RequestFingerprint, usize>,
-    /// When suspects were last put into quarantine.
+    /// When each suspect was last put into quarantine.
     quarantined_at: HashMap<RequestFingerprint, Instant>,
     review_due: Option<Instant>,
     newest: Option<Instant>,
 }
 
 impl CrashLedger {
-    /// Takes in that a request was at a server when it ended; whether that is news.
+    /// Records that a request was in flight at a server when it crashed. Returns whether this
+    /// is new.
     pub fn on_report(&mut self, now: Instant, report: CrashReport) -> bool {
         self.drop_expired(now);
         let found = self
@@ -86,8 +90,8 @@
         true
     }
 
-    /// The request was answered well: it is no suspect of the ends that are known. Whether
-    /// it was one.
+    /// Clears a request after a successful answer: it no longer counts as a suspect of any
+    /// known crash. Returns whether it was a suspect.
     pub fn clear(&mut self, fingerprint: RequestFingerprint) -> bool {
         if self.totals.remove(&fingerprint).is_none() {
             return false;
@@ -106,29 +110,29 @@
         true
     }
 
-    /// Whether the request is a suspect.
+    /// Returns whether the request is a suspect.
     pub fn is_suspect(&self, fingerprint: RequestFingerprint) -> bool {
         self.totals.contains_key(&fingerprint)
     }
 
-    /// Whether there were news lately.
+    /// Returns whether a new report arrived within `RECENT_REPORTS_TIME`.
     pub fn has_recent_reports(&self, now: Instant) -> bool {
         let age = self.newest.map(|at| now.saturating_duration_since(at));
         age.is_some_and(|age| age < RECENT_REPORTS_TIME)
     }
 
-    /// When the cause is to be looked for next.
+    /// Returns when the next review is due.
     pub fn review_due(&self) -> Option<Instant> {
         self.review_due
     }
 
-    /// Leaves what is known so far to others.
+    /// Cancels the pending review; other entries decide on the reports so far.
     pub fn cancel_review(&mut self) {
         self.review_due = None;
     }
 
-    /// Looks for the cause of the ends; raises the status of requests in `book` and returns
-    /// those that it raised.
+    /// Determines the causes of the known crashes, raises the status of requests in `book`, and
+    /// returns the requests whose status it raised.
     pub fn review(
         &mut self,
         now: Instant,
@@ -154,7 +158,7 @@
         raised
     }
 
-    /// Requests that were at several servers when these ended, those at most of them first.
+    /// Returns requests that were present at several crashes, the most frequent first.
     fn frequent_suspects(&self) -> Vec<RequestFingerprint> {
         let totals = self.totals.iter();
         let often = totals.filter(|(_, total)| **total >= SUSPECT_CRASHES);
@@ -165,8 +169,8 @@
         fingerprints
     }
 
-    /// Whether the request alone explains enough ends, one of them since it was last put
-    /// into quarantine.
+    /// Returns whether the request alone explains enough crashes, including one since it was
+    /// last put into quarantine.
     fn is_cause(&self, fingerprint: RequestFingerprint) -> bool {
         let explained_crashes: Vec<&ServerCrash> = self
             .crashes
@@ -182,7 +186,7 @@
         explained_crashes.len() >= QUARANTINE_CRASHES && is_new
     }
 
-    /// Whether no other request that was there has been at as many ends.
+    /// Returns whether no other suspect of this crash has been present at as many crashes.
     fn explains(&self, fingerprint: RequestFingerprint, crash: &ServerCrash) -> bool {
         let total = self.total(fingerprint);
         let most = if total >= INSEPARABLE_CRASHES {
--- a/crates/place/src/crash/message.rs
+++ b/crates/place/src/crash/message.rs
@@ -1,22 +1,22 @@
-//! What entries tell each other of requests under which servers ended.
+//! Messages between entries about requests that were in flight when servers crashed.
 
 use std::time::Duration;
 
 use crate::crash::fingerprint::RequestFingerprint;
 
-/// What the store keeps of a request.
+/// The quarantine of a request as stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoredQuarantine {
     /// The request.
     pub print: RequestFingerprint,
-    /// How long ago its quarantine began, or was lifted.
+    /// How long ago the quarantine began or was lifted.
     pub age: Duration,
     /// Whether an operator has lifted it.
     pub lifted: bool,
 }
 
 base::common! {
-    /// A request that was at a run of a server when it ended.
+    /// Reports that a request was in flight at a server run when it crashed.
     #[derive(Copy, Eq, Hash, PartialOrd, Ord)]
     pub struct CrashReport {
         /// Hash of the server's run.
@@ -28,24 +28,24 @@
     /// How a request is treated.
     #[derive(Copy, Eq, PartialOrd, Ord)]
     pub enum RequestStatus {
-        /// Served as any other; one good answer clears it.
+        /// Served like any other; one successful answer clears it.
         Suspect,
-        /// Refused at once.
+        /// Refused immediately.
         Quarantined,
     }
 
-    /// The status of a request as entries tell it.
+    /// The status of a request, as sent between entries.
     #[derive(Copy, Eq)]
     pub struct RequestStatusMessage {
         /// The request.
         pub print: RequestFingerprint,
-        /// How it is treated.
+        /// The status.
         pub status: RequestStatus,
-        /// Milliseconds since it got this status.
+        /// Milliseconds since the request got this status.
         pub age: u32,
     }
 
-    /// A request that a server has answered well.
+    /// A request that a server answered successfully.
     #[derive(Copy, Eq)]
     pub struct ClearedRequest {
         /// The request.
@@ -54,20 +54,20 @@
         pub age: u32,
     }
 
-    /// One datagram about such requests.
+    /// A datagram about requests that may crash servers.
     #[derive(Eq, Default)]
     pub struct CrashMessage {
-        /// Requests that were at servers when these ended.
+        /// Requests that were in flight at servers when these crashed.
         pub reports: Vec<CrashReport>,
-        /// Requests that were answered well all the same.
+        /// Requests that were answered successfully since.
         pub cleared: Vec<ClearedRequest>,
-        /// What the sender knows of requests.
+        /// The status of all requests known to the sender.
         pub statuses: Vec<RequestStatusMessage>,
     }
 }
 
 impl CrashMessage {
-    /// Whether it says nothing.
+    /// Returns whether the message is empty.
     pub fn is_empty(&self) -> bool {
         self.reports.is_empty() && self.cleared.is_empty() && self.statuses.is_empty()
     }
--- a/crates/place/src/crash/mod.rs
+++ b/crates/place/src/crash/mod.rs
@@ -1,14 +1,14 @@
-//! Requests that end the servers that run them.
+//! Detection and quarantine of requests that crash the servers that run them.
 //!
-//! A server that ends takes along all requests that were at it, and their callers send
-//! them again. One of them may be the cause, and ends each further server that gets it.
-//! Entries tell their leads which requests were at which run of a server when it ended;
-//! leads tell each other, so that each decides by what all entries saw. A request that
-//! alone explains enough ends is in quarantine at all entries: it is refused at once.
-//! Whatever a server answers well is cleared.
+//! A server that crashes takes down all requests in flight at it, and their callers send them
+//! again. One of them may be the cause and crash each further server that receives it. Entries
+//! report to the leads of their region which requests were in flight at which server run when
+//! it crashed. Leads exchange these reports, so each of them decides from what all entries saw.
+//! A request that alone explains enough crashes is quarantined at all entries, which then
+//! refuse it immediately. A successful answer clears a request.
 //!
-//! What an entry sends and hears for this doesn't grow with the fleet: it tells its two
-//! leads of its own broken requests, and hears from them which are in quarantine.
+//! The traffic of an entry for this doesn't grow with the fleet: it reports its own broken
+//! requests to its two leads and receives the list of quarantined requests from them.
 
 pub mod fingerprint;
 pub mod ledger;
--- a/crates/place/src/crash/outbox.rs
+++ b/crates/place/src/crash/outbox.rs
@@ -1,5 +1,5 @@
-//! What an entry saw itself and tells its leads: held for a moment, then told a few times,
-//! since datagrams are lost.
+//! Queue of the crash reports and clearings that an entry sends to its leads. Reports are
+//! delayed briefly, and everything is sent several times because datagrams get lost.
 
 use std::time::{Duration, Instant};
 
@@ -7,18 +7,17 @@
 use crate::crash::message::{ClearedRequest, CrashMessage, CrashReport};
 use crate::fleet::store_progress::millis;
 
-/// A report is held for this long: most requests that were caught beside the cause are
-/// answered by another server meanwhile, and need not be told.
+/// How long a report is delayed: most requests that were in flight beside the cause are
+/// answered by another server in the meantime and need no report.
 const REPORT_DELAY: Duration = Duration::from_millis(200);
-/// Time between two tellings of the same.
+/// Interval between two sends of the same item.
 const RESEND_INTERVAL: Duration = Duration::from_millis(400);
-/// How often the same is told: for longer than a region without leads takes to find new
-/// ones.
+/// How often an item is sent: for longer than a region without leads takes to find new ones.
 const MAX_SENDS: u32 = 8;
-/// Reports and clearings that wait at most; 48 bytes each. A datagram holds as many.
+/// Maximum number of queued items, 48 bytes each. A datagram holds as many.
 const MAX_QUEUED: usize = 256;
 
-/// Something to be told.
+/// A queued item.
 #[derive(Debug, Clone, Copy)]
 struct OutboxItem {
     payload: OutboxPayload,
@@ -32,14 +31,14 @@
     Cleared(RequestFingerprint, Instant),
 }
 
-/// What waits to be told.
+/// The queue of items to send.
 #[derive(Debug, Default)]
 pub struct CrashOutbox {
     items: Vec<OutboxItem>,
 }
 
 impl CrashOutbox {
-    /// A request was at a server when it ended.
+    /// Queues a report that a request was in flight at a server when it crashed.
     pub fn on_report(&mut self, now: Instant, report: CrashReport) {
         self.push(OutboxItem {
             payload: OutboxPayload::Report(report),
@@ -48,7 +47,8 @@
         });
     }
 
-    /// A request was answered well: what wasn't told of it yet need not be.
+    /// Handles a successful answer to a request: drops its queued reports, and queues a
+    /// clearing if the request was reported already.
     pub fn on_cleared(
         &mut self,
         now: Instant,
@@ -73,14 +73,14 @@
         }
     }
 
-    /// When something is to be told next.
+    /// Returns when the next item is due.
     pub fn due(&self) -> Option<Instant> {
         self.items.iter().map(|item| item.due).min()
     }
 
-    /// What is to be told now.
+    /// Returns the items that are due, as one message.
     pub fn take_due(&mut self, now: Instant) -> CrashMessage {
-        let mut word = CrashMessage::default();
+        let mut message = CrashMessage::default();
         for item in &mut self.items {
             if item.due > now {
                 continue;
@@ -88,19 +88,19 @@
             item.due = now + RESEND_INTERVAL;
             item.send_count += 1;
             match item.payload {
-                OutboxPayload::Report(report) => word.reports.push(report),
-                OutboxPayload::Cleared(fingerprint, at) => word.cleared.push(ClearedRequest {
+                OutboxPayload::Report(report) => message.reports.push(report),
+                OutboxPayload::Cleared(fingerprint, at) => message.cleared.push(ClearedRequest {
                     print: fingerprint,
                     age: millis(now.saturating_duration_since(at)),
                 }),
             }
         }
         self.items.retain(|item| item.send_count < MAX_SENDS);
-        word
+        message
     }
 
-    /// Adds `item`, if there is room; a clearing takes the place of the oldest report, since
-    /// a request that isn't cleared would be refused.
+    /// Adds `item` if there is room. A clearing replaces the oldest report, because a request
+    /// that isn't cleared would be refused.
     fn push(&mut self, item: OutboxItem) {
         if self.items.len() >= MAX_QUEUED {
             let is_report = |item: &OutboxItem| matches!(item.payload, OutboxPayload::Report(_));
--- a/crates/place/src/crash/quarantine.rs
+++ b/crates/place/src/crash/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are suspects, in quarantine or cleared, as an entry knows it.
+//! The status of requests as known to an entry: suspect, quarantined or cleared.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -7,22 +7,22 @@
 use crate::crash::message::{ClearedRequest, RequestStatus, RequestStatusMessage};
 use crate::fleet::store_progress::millis;
 
-/// How long a request stays in quarantine: time to mend the service, at the price of a few
-/// servers each time that it is tried again.
+/// How long a request stays in quarantine: time to fix the service, at the cost of a few
+/// servers each time the request is tried again.
 const QUARANTINE_TTL: Duration = Duration::from_secs(900);
-/// How long all entries look out for a good answer to a suspect.
+/// How long all entries watch for a successful answer to a suspect.
 const SUSPECT_TTL: Duration = Duration::from_secs(60);
-/// How long a cleared request is safe from what was found before.
+/// How long after a clearing older findings against the request are ignored.
 const CLEARED_TTL: Duration = Duration::from_secs(60);
-/// How long others are told that a request is cleared: several tellings.
+/// How long clearings are sent to other entries: long enough for several messages.
 const CLEARED_SEND_TIME: Duration = Duration::from_secs(3);
-/// Words of the same status whose times differ by less are the same one: each entry that
-/// tells it on adds the time of the trip.
+/// Two messages with the same status whose times differ by less than this describe the same
+/// event: each entry that forwards one adds the network latency to its age.
 const SAME_STATUS_TOLERANCE: Duration = Duration::from_secs(5);
-/// Requests kept at most: a datagram of 3 kB holds them all. Those in quarantine stay
-/// where suspects make room.
+/// Maximum number of tracked requests: a datagram of 3 kB holds them all. Suspects are evicted
+/// in favor of quarantined requests.
 const MAX_STATUSES: usize = 128;
-/// Clearings kept at most; the oldest make room.
+/// Maximum number of recorded clearings; the oldest are evicted.
 const MAX_CLEARED: usize = 256;
 
 #[derive(Debug, Clone, Copy)]
@@ -41,7 +41,7 @@
     }
 }
 
-/// What is known of requests.
+/// The status of requests and recent clearings.
 #[derive(Debug, Default)]
 pub struct QuarantineTable {
     records: HashMap<RequestFingerprint, StatusRecord>,
@@ -49,17 +49,17 @@
 }
 
 impl QuarantineTable {
-    /// Whether nothing is known of any request.
+    /// Returns whether no request has a status.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Whether something is known of the request.
+    /// Returns whether the request has a status.
     pub fn contains(&self, fingerprint: RequestFingerprint) -> bool {
         self.records.contains_key(&fingerprint)
     }
 
-    /// How much longer the request stays in quarantine; `None` where it isn't.
+    /// Returns the remaining quarantine time, or `None` if the request isn't quarantined.
     pub fn quarantine_left(
         &self,
         now: Instant,
@@ -70,12 +70,12 @@
         (record.status == RequestStatus::Quarantined && !left.is_zero()).then_some(left)
     }
 
-    /// The requests in quarantine.
+    /// Returns the quarantined requests.
     pub fn quarantined(&self) -> impl Iterator<Item = RequestFingerprint> {
         self.quarantines().map(|(fingerprint, _)| fingerprint)
     }
 
-    /// The requests in quarantine, and since when.
+    /// Returns the quarantined requests and when each quarantine began.
     pub fn quarantines(&self) -> impl Iterator<Item = (RequestFingerprint, Instant)> {
         let records = self.records.iter();
         records
@@ -83,8 +83,8 @@
             .map(|(fingerprint, record)| (*fingerprint, record.since))
     }
 
-    /// The request has had this status since `since`; whether it is stricter than the one
-    /// known. What was found before the request was cleared is void.
+    /// Sets the status that a request has had since `since`. Returns whether it is stricter
+    /// than the known one. Findings from before the request was cleared are ignored.
     pub fn raise(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -109,9 +109,9 @@
         is_stricter
     }
 
-    /// The request was answered well at `at`; whether that is news. The same answer told
-    /// again isn't, though it seems later by the time of the trip: leads would tell each
-    /// other of it without end.
+    /// Clears a request that was answered successfully at `at`. Returns whether this is new.
+    /// The same answer received again isn't, although network latency makes it look later:
+    /// otherwise leads would forward it to each other forever.
     pub fn clear(&mut self, fingerprint: RequestFingerprint, at: Instant) -> bool {
         let known = self.cleared.get(&fingerprint).copied();
         if known.is_none() && self.cleared.len() >= MAX_CLEARED {
@@ -127,7 +127,7 @@
         is_held || known.is_none()
     }
 
-    /// Drops what no longer counts.
+    /// Drops expired statuses and clearings.
     pub fn drop_expired(&mut self, now: Instant) {
         self.records.retain(|_, record| record.ends() > now);
         self.cleared
@@ -141,7 +141,7 @@
         }
     }
 
-    /// All requests with their status, for others.
+    /// Returns the status of all tracked requests, for other entries.
     pub fn status_messages(&self, now: Instant) -> Vec<RequestStatusMessage> {
         let message =
             |(fingerprint, record): (&RequestFingerprint, &StatusRecord)| RequestStatusMessage {
@@ -152,7 +152,7 @@
         self.records.iter().map(message).collect()
     }
 
-    /// Requests cleared lately, for others.
+    /// Returns the recent clearings, for other entries.
     pub fn cleared_requests(&self, now: Instant) -> Vec<ClearedRequest> {
         let requests = self.cleared.iter().map(|(fingerprint, at)| ClearedRequest {
             print: *fingerprint,
@@ -164,7 +164,7 @@
             .collect()
     }
 
-    /// Whether there is room for the request, made by a suspect where need be.
+    /// Returns whether there is room for the request, evicting a suspect if necessary.
     fn has_room(&mut self, fingerprint: RequestFingerprint, status: RequestStatus) -> bool {
         if self.records.len() < MAX_STATUSES || self.records.contains_key(&fingerprint) {
             return true;
--- a/crates/place/src/departure.rs
+++ b/crates/place/src/departure.rs
@@ -1,8 +1,8 @@
-//! Servers that have left, remembered so that no older word of theirs brings them back.
+//! Server runs that have ended, recorded so that stale registrations don't bring them back.
 //!
-//! The registry lists a server anew where a heartbeat is performed late, and an entry that is
-//! behind tells what was true before. Both carry words that are no newer than the last one
-//! that was known. A live server whose row only lapsed comes back with a newer one.
+//! The registry lists a server again when a heartbeat is applied late, and an entry that lags
+//! behind sends outdated rows. Neither is newer than the last registration known here. A live
+//! server whose row merely expired comes back with a newer one.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -10,33 +10,33 @@
 use crate::rank::{pair_weight, stable_hash};
 use crate::server::{EntryState, ServerEntry};
 
-/// Departures that are remembered: more than a fleet of 10,000 servers has in the time in
-/// which calls are performed late, at about 1 MB.
+/// Maximum number of recorded departures, about 1 MB: more than a fleet of 10,000 servers has
+/// within the time by which the store applies calls late.
 const MAX_DEPARTURES: usize = 4096;
-/// Time in which the end of a server that didn't announce it keeps its older words out: longer
-/// than a call is performed late and its row then lapses. What was told wrongly by a damaged
-/// message keeps a live server out no longer.
+/// How long the departure of a server that didn't announce it blocks older registrations:
+/// longer than a late call plus the expiry of the row that it writes. It also bounds how long a
+/// corrupted message can keep a live server out.
 const UNANNOUNCED_TTL: Duration = Duration::from_secs(20);
 
 base::common! {
-    /// The end of one run of a server, as far as it is known.
+    /// The end of a server run.
     #[derive(Eq, Default)]
     pub struct Departure {
-        /// The server.
+        /// The server's id.
         pub id: String,
-        /// When the run began, where its registry says so.
+        /// When the run began, if the registry says so.
         pub started: Option<u64>,
-        /// Names the run; 0 where no word of it is known.
+        /// Identity hash of the run; 0 if nothing of the run is known.
         pub run: u64,
-        /// The run's last word.
+        /// Sequence number of the run's last registration.
         pub seq: u64,
-        /// Whether it had said that it leaves.
+        /// Whether the server had announced that it leaves.
         pub announced: bool,
     }
 }
 
 impl Departure {
-    /// The end of the run whose last word is `entry`.
+    /// The departure of the run whose last registration is `entry`.
     pub fn of(entry: &ServerEntry) -> Self {
         Self {
             id: entry.id.clone(),
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The end of a run of the server `id` of which nothing else is known.
+    /// The departure of an unknown run of the server `id`.
     pub fn unknown(id: &str) -> Self {
         Self {
             id: id.to_owned(),
@@ -55,13 +55,14 @@
         }
     }
 
-    /// Whether any word of the run is known.
+    /// Returns whether a registration of the run is known.
     pub fn is_known(&self) -> bool {
         self.run != 0
     }
 
-    /// Whether `entry` was written before the run ended: by an earlier run, or by this one no
-    /// later than its last word. A run that said that it leaves says nothing else later.
+    /// Returns whether `entry` is obsolete: written by an earlier run, or by this run no later
+    /// than its last known registration. Nothing is newer than a run's announcement that it
+    /// leaves.
     pub fn supersedes(&self, entry: &ServerEntry) -> bool {
         if !self.is_known() || entry.id != self.id {
             return false;
@@ -70,7 +71,7 @@
         entry.started < self.started || (is_late && run_identity(entry) == self.run)
     }
 
-    /// Adds what `other` knows of the same run; a later run takes the place of an earlier one.
+    /// Merges what `other` knows of the same run. A later run replaces an earlier one.
     pub fn merge(&mut self, other: &Self) {
         if other.run == self.run {
             self.seq = self.seq.max(other.seq);
@@ -81,11 +82,11 @@
     }
 }
 
-/// The departures that an entry knows.
+/// The departures known to an entry.
 #[derive(Debug, Default)]
 pub(crate) struct DepartureTable {
     by_id: HashMap<String, DepartureRecord>,
-    /// Ids in the order in which they were noted, with the turn of each.
+    /// Ids in the order of insertion, each with its insertion number.
     order: VecDeque<(u64, String)>,
     insertion: u64,
 }
@@ -95,13 +96,13 @@
     departure: Departure,
     recorded_at: Instant,
     insertion: u64,
-    /// Whether a word was refused for it.
+    /// Whether a registration has been rejected because of this departure.
     has_rejected: bool,
 }
 
 impl DepartureTable {
-    /// Remembers `departure`, for as long as not too many others come after it.
-    pub(crate) fn note(&mut self, now: Instant, departure: &Departure) {
+    /// Records `departure`; the oldest ones are dropped beyond `MAX_DEPARTURES`.
+    pub(crate) fn record(&mut self, now: Instant, departure: &Departure) {
         if !departure.is_known() {
             return;
         }
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Whether `entry` is an older word of a server that left.
+    /// Returns whether `entry` is an obsolete registration of a server that left.
     pub(crate) fn supersedes(&self, now: Instant, entry: &ServerEntry) -> bool {
         let known = self.by_id.get(&entry.id);
         known.is_some_and(|known| {
@@ -136,7 +137,8 @@
         })
     }
 
-    /// Takes down that a word of the server `id` was refused; whether it is the first one.
+    /// Records that a registration of the server `id` was rejected. Returns whether it is the
+    /// first.
     pub(crate) fn on_refused(&mut self, id: &str) -> bool {
         let known = self.by_id.get_mut(id);
         known.is_some_and(|known| !std::mem::replace(&mut known.has_rejected, true))
@@ -156,10 +158,11 @@
     }
 }
 
-/// Names a run among all runs of all servers, also where none states its start: there a row
-/// with another address, service or failure domain is another run's.
+/// Hash that identifies a run among all runs of all servers. It covers service, address and
+/// failure domain because some registries don't provide the start time: there, a row that
+/// differs in one of these belongs to another run.
 fn run_identity(entry: &ServerEntry) -> u64 {
-    let place = format!("{}\n{}\n{}", entry.service, entry.address, entry.domain);
-    let name = pair_weight(entry.run_hash(), stable_hash(place.as_bytes()));
-    name.max(1)
+    let location = format!("{}\n{}\n{}", entry.service, entry.address, entry.domain);
+    let identity = pair_weight(entry.run_hash(), stable_hash(location.as_bytes()));
+    identity.max(1)
 }
