--- a/crates/place/src/fleet/clock.rs
+++ b/crates/place/src/fleet/clock.rs
@@ -1,32 +1,31 @@
-//! The store's own steady clock, as an entry can place it on its own.
+//! Estimates the store's monotonic clock from its answers.
 //!
-//! How fresh something is that was heard over others can't be told by its age when it was
-//! sent: datagrams wait, in networks and at processes that stand still. So what the store
-//! said is stamped with the store's own time, and each entry knows for itself how late that
-//! clock can be at most.
+//! The age that a message states can't tell how fresh its content is: datagrams are delayed in
+//! networks and at suspended processes. Data from the store is therefore stamped with the
+//! store's own time, and each entry maintains its own upper bound of that clock.
 
 use std::time::{Duration, Instant};
 
-/// How far two steady clocks may drift apart, in parts of the time that passes.
+/// Maximum drift between two monotonic clocks, as a share of the elapsed time.
 const DRIFT: f64 = 0.000_2;
-/// A stamp this far beyond the present is no word of the store's.
+/// A stamp further in the future than this didn't come from the store.
 const MAX_AHEAD: Duration = Duration::from_millis(200);
 
 base::common! {
-    /// A time of the store's clock, in milliseconds; 0 stands for none.
+    /// A time of the store's clock, in milliseconds; 0 means none.
     #[derive(Copy, Eq, Default, PartialOrd, Ord)]
     pub struct StoreTime(pub u64);
 }
 
-/// How late the store's clock can be.
+/// Upper bound of the store's clock.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StoreClock {
     bound: Option<ClockBound>,
-    /// When this entry stood still last, by its own clock.
+    /// When this entry was last suspended, by its own clock.
     suspended_at: Option<Instant>,
 }
 
-/// At the own time `at` the store's clock had not passed `store`.
+/// At the local time `at` the store's clock showed at most `store`.
 #[derive(Debug, Clone, Copy)]
 struct ClockBound {
     at: Instant,
@@ -34,7 +33,7 @@
 }
 
 impl StoreTime {
-    /// Whether it stands for a time.
+    /// Returns whether it is a time at all.
     pub fn is_some(self) -> bool {
         self.0 > 0
     }
@@ -45,10 +44,10 @@
 }
 
 impl StoreClock {
-    /// A call that began at `started` was answered with the store's time `store`, or with a
-    /// time that the store's clock had not passed by then.
+    /// Handles the answer to a call that began at `started`: the store's clock showed at most
+    /// `store` at that time.
     pub fn on_answer(&mut self, started: Instant, store: StoreTime) {
-        // How long a call took that this entry stood still in can't be told.
+        // The duration of a call during which this entry was suspended is unknown.
         let is_measured = self.suspended_at.is_none_or(|at| started > at);
         if !store.is_some() || !is_measured {
             return;
@@ -60,26 +59,27 @@
         }
     }
 
-    /// The store's time that its clock has not passed by `now`.
+    /// Returns the upper bound of the store's clock at `now`.
     pub fn latest(&self, now: Instant) -> Option<StoreTime> {
         let bound = self.bound?;
         let elapsed = now.saturating_duration_since(bound.at).mul_f64(1.0 + DRIFT);
         let millis = u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX);
-        // Less than a millisecond may have been cut off.
+        // Rounds up, because a fraction of a millisecond may have been cut off.
         Some(StoreTime(
             bound.store.0.saturating_add(millis).saturating_add(1),
         ))
     }
 
-    /// How long ago the store's time `stamp` can have been at most; `None` where that can't
-    /// be told, or where `stamp` is no time that the store can have shown.
+    /// Returns the maximum age of the store's time `stamp`. `None` if there is no bound yet or
+    /// the store can't have shown `stamp` yet.
     pub fn age(&self, now: Instant, stamp: StoreTime) -> Option<Duration> {
         let latest = self.latest(now)?;
         let is_ahead = stamp.since(latest) > MAX_AHEAD;
         (stamp.is_some() && !is_ahead).then(|| latest.since(stamp))
     }
 
-    /// This entry stood still for `span` before `now` without its clock moving.
+    /// Handles that this entry was suspended for `span` before `now` while its clock stood
+    /// still.
     pub fn on_suspended(&mut self, now: Instant, span: Duration) {
         self.suspended_at = Some(now);
         if let Some(bound) = &mut self.bound {
--- a/crates/place/src/fleet/content_hash.rs
+++ b/crates/place/src/fleet/content_hash.rs
@@ -1,5 +1,5 @@
-//! A mark of the registry's content: equal where two entries know the same, whatever
-//! versions they give it.
+//! Hash of the registry's content: equal at two entries that know the same, whatever versions
+//! they assign.
 
 use crate::rank::{pair_weight, stable_hash};
 use crate::server::ServerEntry;
@@ -8,14 +8,14 @@
 const FOREIGN: u64 = 2;
 
 base::common! {
-    /// The mark of a set of rows, whose order doesn't matter. Heartbeats and the rest of a
-    /// warm-up aren't in it: they differ between two readings of the same row.
+    /// Order-independent hash of a set of rows. Heartbeats and the remaining warm-up time are
+    /// left out, because they differ between two reads of the same row.
     #[derive(Copy, Eq, Default)]
     pub struct ContentHash(u64);
 }
 
 impl ContentHash {
-    /// Of one server's own word.
+    /// Hash of a server's entry.
     pub fn of_entry(entry: &ServerEntry) -> Self {
         let text = format!(
             "{}\n{:?}\n{}\n{}\n{}\n{}\n{}\n{:?}",
@@ -31,24 +31,24 @@
         Self(pair_weight(stable_hash(text.as_bytes()), OWN))
     }
 
-    /// Of a row that is no server's own word.
+    /// Hash of a row that wasn't written by its server.
     pub fn of_foreign(id: &str) -> Self {
         Self(pair_weight(stable_hash(id.as_bytes()), FOREIGN))
     }
 
-    /// The mark with `other` added.
+    /// Adds the hash of a row to the set.
     #[must_use]
     pub fn with(self, other: Self) -> Self {
         Self(self.0.wrapping_add(other.0))
     }
 
-    /// The mark with `other`, which is in it, taken out.
+    /// Removes the hash of a row that is in the set.
     #[must_use]
     pub fn without(self, other: Self) -> Self {
         Self(self.0.wrapping_sub(other.0))
     }
 
-    /// The mark as a number that a metric holds exactly.
+    /// Truncates the hash to 52 bits, which a metric represents exactly.
     pub fn short(self) -> i64 {
         const BITS: u32 = 52;
         (self.0 >> (u64::BITS - BITS)).cast_signed()
--- a/crates/place/src/fleet/copies.rs
+++ b/crates/place/src/fleet/copies.rs
@@ -1,52 +1,53 @@
-//! Who tells an entry everything that is known of the servers.
+//! Schedules full copies of the registry to entries that ask for one.
 //!
-//! Entries that start together all ask their leads. A copy grows with the servers and their
-//! number with the entries, so that the leads' links would carry the square of the fleet.
-//! An entry whose link is busy with copies names one that it has served before: the entries
-//! that have a copy become more with each copy that is told.
+//! Entries that start together all ask their leads. The size of a copy grows with the number of
+//! servers and the number of copies with the number of entries, so the traffic of the leads
+//! would grow with the square of the fleet. An entry whose link is busy with copies therefore
+//! redirects the requester to an entry that has received one already: the number of entries
+//! that can serve a copy grows with each copy sent.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// A copy that waits longer than this for the link is better had from elsewhere.
+/// A copy that would wait longer than this for the link is served by a relay if there is one.
 const MAX_BACKLOG: Duration = Duration::from_millis(100);
-/// One that waits longer than this would come after whoever asks has given up, and take the
-/// link from the others for nothing.
+/// A copy that would wait longer than this is refused: it would arrive after the requester has
+/// given up, and delay the copies of others for nothing.
 const MAX_QUEUE_DELAY: Duration = Duration::from_millis(600);
-/// Time that an entry needs to take in what it was told, before it can tell others.
+/// Time that an entry needs to apply a copy before it can serve it to others.
 const APPLY_TIME: Duration = Duration::from_millis(250);
-/// An entry is named for this long after it was served: later it may be gone.
+/// How long after receiving a copy an entry is used as a relay; later it may no longer exist.
 const RELAY_TTL: Duration = Duration::from_secs(8);
-/// The slowest link that is reckoned with at the one that was served, in bits a second.
+/// Slowest link assumed at a receiver, in bits per second.
 const SLOWEST_RECEIVER_LINK: f64 = 20e6;
-/// Answers of fewer bytes are no burden.
+/// Copies of fewer bytes are always served directly.
 const SMALL_COPY_BYTES: usize = 64 << 10;
 
-/// Whom an entry that asks for a copy gets it from.
+/// Where an entry that asks for a copy gets it from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CopySource {
-    /// The one that it asks.
+    /// From the entry that was asked.
     Direct,
-    /// The entry that tells what it knows at this address.
+    /// From the entry at this address, which serves its own copy.
     Relay(SocketAddr),
-    /// Nobody now; the link is busy with the copies of others.
+    /// From nobody now: the link is busy with the copies of others.
     Busy,
 }
 
-/// The copies that one entry tells.
+/// Schedules the copies that an entry serves.
 #[derive(Debug)]
 pub struct CopyScheduler {
-    /// Of the own link, in bits a second.
+    /// Bandwidth of the own link, in bits per second.
     link_bits_per_s: f64,
-    /// When the link has carried all copies that were told.
+    /// When the link has transmitted all scheduled copies.
     link_idle_at: Option<Instant>,
-    /// Entries that were served, with when each can tell another.
+    /// Entries that received a copy, and when each can serve another one.
     served: VecDeque<(Instant, SocketAddr)>,
 }
 
 impl CopyScheduler {
-    /// The desk of an entry whose link carries `megabits` a second.
+    /// Creates the scheduler of an entry whose link has a bandwidth of `megabits` per second.
     pub fn new(megabits: f64) -> Self {
         Self {
             link_bits_per_s: (megabits * 1e6).max(1.0),
@@ -55,7 +56,8 @@
         }
     }
 
-    /// The entry at `asker` asks for a copy of `bytes`; it takes no other's where it `requires_direct`.
+    /// Decides where the entry at `asker` gets a copy of `bytes` from. With `requires_direct`
+    /// it isn't redirected to a relay.
     pub fn on_copy_request(
         &mut self,
         now: Instant,
@@ -89,7 +91,7 @@
         CopySource::Direct
     }
 
-    /// An entry that has a copy and tells it to nobody else now. It takes `receive_time` for one.
+    /// Picks an idle entry that has a copy, and reserves it for `receive_time`.
     fn relay(
         &mut self,
         now: Instant,
--- a/crates/place/src/fleet/log.rs
+++ b/crates/place/src/fleet/log.rs
@@ -1,8 +1,8 @@
-//! The servers' registry as it is told from entry to entry: what changed since a
-//! version of the store.
+//! Change log of the server registry, from which entries send each other what changed since a
+//! version.
 //!
-//! Versions are made of the store's own, so that an entry may ask any other for what it
-//! lacks, whichever of them read it. What is told twice does no harm.
+//! Versions are derived from the store's, so that an entry can ask any other for the changes
+//! that it lacks, whichever of them read the store. Applying the same change twice is harmless.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
@@ -11,70 +11,70 @@
 use crate::server::{EntryState, ServerEntry};
 use crate::snapshot::{CatalogSnapshot, DroppedRow};
 
-/// Servers that are gone stay in the log for this many changes: a third of the largest
-/// fleet may be replaced while an entry hears nothing.
+/// Maximum number of departures in the log: a third of the largest fleet may be replaced while
+/// an entry receives nothing.
 const MAX_DEPARTURES: usize = 1024;
-/// Steps of an entry's own between two versions of the store: it may notice something that
-/// is no change there, as that a server is not back in time. Without room for them such a
-/// step took the number of the store's next change, which others then took as known.
+/// Local log versions between two versions of the store. An entry may detect changes on its own
+/// that the store has no version for, such as a server that didn't come back in time. Without
+/// this gap, such a change took the number of the store's next change, which other entries then
+/// treated as known.
 const LOCAL_VERSIONS: u64 = 1024;
 
 base::common! {
-    /// What changed in the registry.
+    /// Changes of the registry.
     #[derive(Eq, Default)]
     pub struct RegistryDelta {
-        /// The log's version up to which this tells all.
+        /// The log version up to which this is complete.
         pub version: u64,
-        /// Whether `entries` are all there are.
+        /// Whether `entries` are all entries.
         pub whole: bool,
         /// Entries that changed.
         pub entries: Vec<ServerEntry>,
-        /// Servers that are gone, and what of them is older than that.
+        /// Servers that left, each with its last known registration.
         pub departures: Vec<Departure>,
-        /// Keys of rows that are no server's own word; always all of them.
+        /// Keys of rows that weren't written by their server; always all of them.
         pub foreign: Vec<String>,
-        /// Servers whose rows vanished but may have lapsed; always all of them.
+        /// Servers whose rows disappeared but may merely have expired; always all of them.
         pub missing: Vec<String>,
     }
 }
 
-/// What a reading of the registry covers.
+/// What a read of the registry covers.
 #[derive(Debug, Clone, Default)]
 pub struct ReadScope {
-    /// Whether it was made from all rows; else from those that changed since the reading
-    /// before it.
+    /// Whether all rows were read, rather than only those that changed since the previous read.
     pub whole: bool,
-    /// Rows that were dropped since the reading before it.
+    /// Rows that were dropped since the previous read.
     pub dropped: Vec<DroppedRow>,
-    /// Servers that aren't in it, but may still be there.
+    /// Servers that the read lacks but that may still exist.
     pub missing: Vec<String>,
 }
 
-/// The log's version of a reading as of the store's version `store`.
+/// Returns the log version of a read as of the store's version `store`.
 pub fn log_version(store: u64) -> u64 {
     store.saturating_mul(LOCAL_VERSIONS)
 }
 
-/// The store's version at the log's version `version`.
+/// Returns the store's version at the log version `version`.
 pub fn store_version(version: u64) -> u64 {
     version / LOCAL_VERSIONS
 }
 
-/// One server's row.
+/// A server's row.
 #[derive(Debug)]
 struct LogEntry {
-    /// The version at which it changed.
+    /// The log version at which it changed.
     changed: u64,
     hash: ContentHash,
     entry: ServerEntry,
 }
 
-/// The registry with the versions at which its entries changed.
+/// The registry, with the version at which each entry changed.
 #[derive(Debug, Default)]
 pub struct RegistryLog {
-    /// The version of the newest change; 0 before the first reading.
+    /// The version of the latest change; 0 before the first read.
     version: u64,
-    /// Changes after this version are all known.
+    /// All changes after this version are known.
     history_start: u64,
     entries: BTreeMap<String, LogEntry>,
     content: ContentHash,
@@ -84,26 +84,26 @@
 }
 
 impl RegistryLog {
-    /// The version of the newest change; 0 where nothing is known.
+    /// Returns the version of the latest change; 0 if nothing is known.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The servers whose rows stand in the registry.
+    /// Returns the servers that have a row in the registry.
     pub fn entries(&self) -> impl Iterator<Item = &ServerEntry> {
         let entries = self.entries.values().map(|record| &record.entry);
         entries.filter(|entry| !self.missing.contains(&entry.id))
     }
 
-    /// Keys of rows that are no server's own word.
+    /// Returns the keys of rows that weren't written by their server.
     pub fn foreign(&self) -> &[String] {
         &self.foreign
     }
 
-    /// Takes in a reading of the registry.
+    /// Applies a read of the registry.
     pub fn on_read(&mut self, snapshot: &CatalogSnapshot, scope: ReadScope) {
         if self.version >= log_version(snapshot.version.saturating_add(1)) {
-            // No reading gave that, as after a damaged message.
+            // No read produced this version; a corrupted message may have.
             *self = Self::default();
         }
         let is_first = self.version == 0;
@@ -147,18 +147,18 @@
             self.update_content_hash();
         }
         if is_first || scope.whole {
-            // What was dropped since the reading before it isn't known.
+            // Rows dropped since the previous read are unknown.
             self.history_start = self.version;
         }
     }
 
-    /// What changed since `version`; everything where that isn't known any more.
+    /// Returns the changes since `version`, or everything if that is no longer known.
     pub fn since(&self, version: u64) -> RegistryDelta {
         let whole = version < self.history_start || version == 0;
         let is_news = |changed: u64| whole || changed > version;
         let records = self.entries.values();
         let changed = records.filter(|record| is_news(record.changed));
-        // A word from before its server's end is told with that end only.
+        // A registration from before its server's end is only sent together with that end.
         let is_older_news = |departure: &Departure| {
             let listed = self.entries.get(&departure.id);
             listed.is_some_and(|record| {
@@ -182,15 +182,15 @@
         }
     }
 
-    /// Which servers have left, as far as it is known.
+    /// Returns the servers that are known to have left.
     pub fn departures(&self) -> Vec<Departure> {
         let ends = self.departures.iter().map(|(_, departure)| departure);
         let dropped_departures = ends.filter(|departure| self.has_ended(departure));
         dropped_departures.cloned().collect()
     }
 
-    /// Takes in which servers have left, as another entry knows. Who follows this one is told
-    /// of those that are listed by an older word.
+    /// Records servers that left, as known to another entry. Entries listed by an obsolete
+    /// registration get a new version, so that followers receive the departure too.
     pub fn on_departures(&mut self, ends: &[Departure]) {
         for departure in ends {
             let mut known = self.departures.iter().map(|(_, known)| known);
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Takes in what another entry told.
+    /// Applies changes received from another entry.
     pub fn on_told(&mut self, delta: &RegistryDelta) {
         let mut before = BTreeMap::new();
         if delta.whole {
@@ -216,13 +216,14 @@
                 self.record_omitted(delta, &before);
             }
         }
-        // Rows of other writers hide what stood before them, so that only all rows tell the sum.
+        // Rows of other writers hide the entries they replaced, so the hash can't be updated
+        // incrementally.
         let is_plain = !delta.whole && self.foreign.is_empty() && delta.foreign.is_empty();
         for departure in &delta.departures {
             let mut departure = departure.clone();
             if let Some(record) = self.entries.remove(&departure.id) {
                 self.content = self.content.without(record.hash);
-                // The other may not have known the run's last word.
+                // The sender may not have known the run's last registration.
                 let mut listed = delta.entries.iter();
                 let is_listed =
                     listed.any(|entry| entry.id == departure.id && entry.seq >= record.entry.seq);
@@ -248,9 +249,9 @@
         }
     }
 
-    /// The mark of which servers there are, and which rows aren't their server's own word. A
-    /// row that may have lapsed counts until it is given up: entries differ in when they
-    /// miss it.
+    /// Hash of all servers and of the rows that weren't written by their server. A row that may
+    /// have expired counts until it is given up, because entries notice its absence at
+    /// different times.
     pub fn content(&self) -> ContentHash {
         self.content
     }
@@ -258,7 +259,7 @@
     fn update_content_hash(&mut self) {
         let none = ContentHash::default();
         let own = self.entries.values().filter(|record| {
-            // What stood before somebody else's row is known to some entries only.
+            // Only some entries know what stood in a row before another writer replaced it.
             !self.foreign.contains(&record.entry.id)
         });
         let own = own.fold(none, |sum, record| sum.with(record.hash));
@@ -266,7 +267,8 @@
         self.content = foreign.fold(own, ContentHash::with);
     }
 
-    /// Takes in what stood last in rows that were dropped and may only have lapsed.
+    /// Updates entries whose rows were dropped but may merely have expired to the last known
+    /// content of the row.
     fn update_missing_entries(&mut self, scope: &ReadScope) {
         let kept = scope.dropped.iter();
         for row in kept.filter(|row| scope.missing.contains(&row.id)) {
@@ -277,8 +279,8 @@
         }
     }
 
-    /// The servers whose rows were dropped, also those that aren't known here: others may have
-    /// heard of them from another reader.
+    /// Returns the departures of servers whose rows were dropped, including servers unknown
+    /// here: other entries may know them from another reader.
     fn dropped_departures(&self, scope: &ReadScope) -> BTreeMap<String, Departure> {
         let mut dropped_departures = BTreeMap::new();
         for row in &scope.dropped {
@@ -289,7 +291,7 @@
                 .entry(row.id.clone())
                 .or_insert_with(|| Departure::unknown(&row.id));
             if row.version <= store_version(self.version) {
-                // What is known now is newer.
+                // The entry known here is newer.
                 continue;
             }
             let known = self.entries.get(&row.id).map(|record| &record.entry);
@@ -300,9 +302,10 @@
         dropped_departures
     }
 
-    /// The newest that is known of the server of `entry`, also where the store performed an
-    /// older heartbeat late or an entry that is behind told it: a run that leaves doesn't come
-    /// back, whether its row was dropped meanwhile or not.
+    /// Returns the newest known registration of the server of `entry`. The store may have
+    /// applied an older heartbeat late, or a lagging entry may have sent it: a run that
+    /// announced its departure doesn't come back, whether or not its row was dropped in the
+    /// meantime.
     fn newest_entry(&self, known: Option<&LogEntry>, entry: &ServerEntry) -> ServerEntry {
         if let Some(known) = known {
             return newer_entry(&known.entry, entry);
@@ -316,7 +319,8 @@
         word
     }
 
-    /// Remembers the ends of servers that a copy lacks which is as new as what was known `before`.
+    /// Records the departure of servers that were known `before` but are missing from a full
+    /// copy that is at least as new.
     fn record_omitted(&mut self, delta: &RegistryDelta, before: &BTreeMap<String, LogEntry>) {
         let listed = delta.entries.iter().map(|entry| &entry.id);
         let kept: HashSet<&String> = listed.chain(&delta.foreign).chain(&delta.missing).collect();
@@ -329,7 +333,7 @@
         }
     }
 
-    /// Whether the run that ended is not listed again by a newer word.
+    /// Returns whether the run ended and isn't listed again by a newer registration.
     fn has_ended(&self, departure: &Departure) -> bool {
         let listed = self.entries.get(&departure.id);
         departure.is_known() && listed.is_none_or(|record| departure.supersedes(&record.entry))
@@ -355,7 +359,8 @@
     }
 }
 
-/// The newer one of two words of a server. A run that leaves says nothing else later.
+/// Returns the newer of two registrations of a server. A run that announced its departure stays
+/// draining.
 fn newer_entry(known: &ServerEntry, entry: &ServerEntry) -> ServerEntry {
     if entry.is_of_earlier_run(known) {
         return known.clone();
@@ -374,7 +379,8 @@
     word
 }
 
-/// Whether nothing differs but the heartbeat and the rest of a warm-up that was told.
+/// Returns whether the entries differ only in the heartbeat, and in a warm-up time that has
+/// merely elapsed.
 fn is_unchanged(known: &ServerEntry, entry: &ServerEntry) -> bool {
     let is_warming =
         !entry.cold_remaining.is_zero() && entry.cold_remaining <= known.cold_remaining;
--- a/crates/place/src/fleet/reading.rs
+++ b/crates/place/src/fleet/reading.rs
@@ -1,99 +1,97 @@
-//! When an entry asks the store itself.
+//! Decides when an entry reads the registry from the store itself.
 
 use std::time::{Duration, Instant};
 
 use crate::fleet::read_intervals::ReadIntervals;
 
-/// First pause after a failed reading, so that a store in trouble isn't pressed.
+/// First delay after a failed read, so that a failing store isn't overloaded.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(300);
-/// Longest pause: a store that is back is noticed within it, early enough to tell servers
-/// that have left from those that are not back yet.
+/// Maximum delay. It must be short enough to notice a recovered store in time to tell servers
+/// that left from servers that haven't registered again yet.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
-/// A reader that was told a change asks on after this part of its usual time: many
-/// servers that change one after the other are told in a few calls.
+/// Share of the reader's interval after which it reads again when something changed: many
+/// servers that change in sequence are then read in a few calls.
 const CHANGE_INTERVAL_SHARE: f64 = 0.33;
-/// Entries that get no requests read this much later than others where no lead is
-/// heard, spread over it: a new lead is found meanwhile.
+/// Entries without traffic that hear from no lead read this much later than others, spread over it, so that a new lead can be found in the meantime.
 const STANDBY_SPREAD: Duration = Duration::from_millis(500);
-/// A reading that takes this much longer than the store was allowed to wait counts as
-/// failed for the choice of leads, though its answer may still come: others don't wait
-/// as long as it does.
+/// A read that takes this much longer than the allowed wait counts as failed for the election
+/// of leads, although its answer may still arrive: others don't wait that long.
 const OVERDUE_AFTER: Duration = Duration::from_millis(600);
 
-/// What came of a reading of the registry.
+/// Result of a read of the registry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// Something has changed.
+    /// The registry has changed.
     Changed,
-    /// Nothing has.
+    /// The registry has not changed.
     Same,
     /// The store didn't answer.
     Failed,
 }
 
-/// A call to the store for the registry.
+/// A call to the store that reads the registry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RegistryRead {
-    /// How long the store may hold its answer back until something changes.
+    /// How long the store may delay its answer until something changes.
     pub wait: Duration,
-    /// Whether all rows are asked for, whatever is known.
+    /// Whether to read all rows, whatever is known already.
     pub whole: bool,
 }
 
-/// As of when the store's answer holds that came at `now` to a question of `begun`, which the
-/// store might hold back for `wait` until there was news. Only an answer without news shows
-/// that the whole wait has passed at the store: one with news that is as late was late on its
-/// way, or this entry was to read it.
+/// Returns the time as of which the store's answer is valid. The call began at `begun`, the
+/// answer arrived at `now`, and the store could delay it for `wait` until there was a change.
+/// Only an answer without a change proves that the whole wait passed at the store: an answer
+/// with a change that took as long was delayed on its way, or this entry read it late.
 pub fn answer_as_of(begun: Instant, wait: Duration, now: Instant, has_news: bool) -> Instant {
     let waited = !has_news && now.saturating_duration_since(begun) >= wait;
     if waited { begun + wait } else { begun }
 }
 
-/// What an entry is when it decides whether to ask the store.
+/// The role of an entry when it decides whether to read the store.
 #[derive(Debug, Clone, Copy)]
 pub enum ReadRole {
-    /// It reads for its region.
+    /// Reads for its region.
     Reader,
-    /// It reads where the reader doesn't.
+    /// Reads if the reader doesn't.
     Deputy,
-    /// It hears a lead, and is the substitute of one or not.
+    /// Hears from a lead.
     Follower {
-        /// Whether it is a substitute.
+        /// Whether it is a substitute for a lead.
         substitute: bool,
-        /// Whether leads know more and none told it for too long.
+        /// Whether leads have newer knowledge and none has sent it for too long.
         stuck: bool,
     },
-    /// It hears no lead.
+    /// Hears from no lead.
     Alone {
         /// Whether callers are sent to it.
         used: bool,
-        /// When it reads first if it knows nothing.
+        /// When it first reads if it knows nothing.
         first: Instant,
     },
 }
 
-/// The readings of the registry by one entry.
+/// Schedules an entry's reads of the registry.
 #[derive(Debug)]
 pub struct ReadScheduler {
     pace: ReadIntervals,
-    /// 0 to 1, by the hash of the entry's name.
+    /// From 0 to 1, derived from the hash of the entry's name.
     spread: f64,
     begun: Option<Instant>,
     /// When a reader reads next.
     next: Option<Instant>,
     done_at: Option<Instant>,
-    /// When the last reading began that was answered.
+    /// When the last successful read began.
     answered: Option<Instant>,
     overdue_at: Instant,
     is_reading: bool,
     backoff: Duration,
     retry_at: Option<Instant>,
-    /// When servers that are missing in the registry will be gone.
+    /// When servers that are missing from the registry will count as gone.
     settles_at: Option<Instant>,
 }
 
 impl ReadScheduler {
-    /// The plan at `pace` of an entry with the hash `hash` that starts at `now`.
+    /// Creates the scheduler of an entry with the name hash `hash` that starts at `now`.
     pub fn new(now: Instant, pace: ReadIntervals, hash: u64) -> Self {
         Self {
             pace,
@@ -110,14 +108,15 @@
         }
     }
 
-    /// Servers that are missing in the registry are gone at `at`, where there are such: the
-    /// entry looks then, whatever its role. One that had begun to wait and then followed a lead
-    /// kept servers that were gone, since the lead had nothing to tell of them.
+    /// Sets the time at which servers that are missing from the registry count as gone, if any
+    /// are. The entry then reads whatever its role: an entry that started the grace period
+    /// itself and then followed a lead kept such servers in use, because the lead had no
+    /// change to send.
     pub fn set_settles(&mut self, at: Option<Instant>) {
         self.settles_at = at;
     }
 
-    /// The reading that was begun has ended.
+    /// Handles the end of the current read.
     pub fn on_read(&mut self, now: Instant, outcome: ReadOutcome) {
         self.is_reading = false;
         if outcome == ReadOutcome::Failed {
@@ -135,8 +134,8 @@
         };
     }
 
-    /// Whether to begin a reading now, where what is known is of `known_at`; `whole` where
-    /// that is in doubt.
+    /// Starts a read if one is due. `known_at` is when the current knowledge was read; `whole`
+    /// requests a full read because that knowledge is in doubt.
     pub fn begin_read(
         &mut self,
         now: Instant,
@@ -147,7 +146,7 @@
         if self.is_reading || self.retry_at.is_some_and(|at| now < at) {
             return None;
         }
-        // What doesn't help isn't done again at once.
+        // A full read that doesn't resolve the doubt isn't repeated immediately.
         let is_paced = |begun| now.saturating_duration_since(begun) >= self.pace.reader;
         let whole = whole && self.begun.is_none_or(is_paced);
         let age = known_at.map(|at| now.saturating_duration_since(at));
@@ -155,7 +154,8 @@
             _ if self.settles_now(now) => true,
             ReadRole::Reader => self.next.is_none_or(|next| now >= next),
             ReadRole::Deputy => age.is_none_or(|age| age >= self.pace.deputy),
-            // What is lacked may not be the registry: no more often than a reader.
+            // The missing knowledge may not be the registry's, so this is no more frequent than
+            // a reader's reads.
             ReadRole::Follower { stuck: true, .. } => age.is_none_or(|age| age >= self.pace.reader),
             ReadRole::Follower { substitute, .. } => {
                 substitute && age.is_some_and(|age| age >= self.pace.member)
@@ -179,30 +179,30 @@
         Some(RegistryRead { wait, whole })
     }
 
-    /// Whether the present reading takes too long.
+    /// Returns whether the current read takes too long.
     pub fn is_read_overdue(&self, now: Instant) -> bool {
         self.is_reading && now >= self.overdue_at
     }
 
-    /// When the last reading that succeeded ended.
+    /// Returns when the last successful read ended.
     pub fn done_at(&self) -> Option<Instant> {
         self.done_at
     }
 
-    /// Times between readings.
+    /// Returns the intervals between reads.
     pub fn pace(&self) -> ReadIntervals {
         self.pace
     }
 
-    /// Whether servers that are missing are gone by now, and no reading has shown it yet.
+    /// Returns whether missing servers count as gone by now, but no read has confirmed it yet.
     fn settles_now(&self, now: Instant) -> bool {
         let at = self.settles_at.filter(|at| now >= *at);
         at.is_some_and(|at| self.answered.is_none_or(|begun| begun < at))
     }
 
-    /// How long a reader lets the store wait for changes: it must be back to look whether
-    /// servers that are missing are gone. Waiting on took these beyond the time within which
-    /// a leaving server must get no more requests.
+    /// Returns how long a reader lets the store wait for changes. It must return in time to
+    /// check whether missing servers are gone: longer waits kept such servers in use beyond the
+    /// time within which a leaving server must get no more requests.
     fn reader_wait(&self, now: Instant) -> Duration {
         let settles_in = self.settles_at.map(|at| at.saturating_duration_since(now));
         match settles_in {
--- a/crates/place/src/fleet/store_progress.rs
+++ b/crates/place/src/fleet/store_progress.rs
@@ -1,4 +1,4 @@
-//! How much an entry knows of what the store holds.
+//! How current an entry's knowledge of the store is.
 
 use std::time::{Duration, Instant};
 
@@ -7,24 +7,26 @@
 use crate::fleet::log::log_version;
 
 base::common! {
-    /// What an entry knows of the store, as it tells others.
+    /// How current the sender's knowledge of the store is. Ages are relative to the time of
+    /// sending.
     #[derive(Copy, Eq, Default)]
     pub struct StoreProgressMessage {
-        /// The log's version of what is known of the registry.
+        /// Version of the sender's registry log.
         pub registry: u64,
-        /// The mark of that.
+        /// Hash of the content at that version.
         pub content: ContentHash,
-        /// The store's version at the newest reading of the registry.
+        /// The store's version at the latest read of the registry.
         pub registry_read: u64,
-        /// Milliseconds since that reading began; `u32::MAX` before the first.
+        /// Milliseconds since that read began; `u32::MAX` before the first.
         pub registry_age: u32,
         /// The store's version when the operator's rows last changed.
         pub operator: u64,
-        /// The store's version at its newest word on them.
+        /// The store's version at the latest answer about the operator's rows.
         pub operator_read: u64,
-        /// Milliseconds since that word; `u32::MAX` before the first.
+        /// Milliseconds since that answer; `u32::MAX` before the first.
         pub operator_age: u32,
-        /// When the store showed last that nothing newer than that was set.
+        /// The store's time when it last confirmed that the operator's rows had not changed
+        /// since.
         pub proved: StoreTime,
         /// Version of the desired state in force.
         pub desired: u64,
@@ -32,7 +34,8 @@
 }
 
 impl StoreProgressMessage {
-    /// The word as it is told when it waited for `span` before it was read.
+    /// Returns the message with its ages increased by `span`, for a message that was received
+    /// that long before it is processed.
     #[must_use]
     pub fn delayed_by(mut self, span: Duration) -> Self {
         for age in [&mut self.registry_age, &mut self.operator_age] {
@@ -42,32 +45,32 @@
     }
 }
 
-/// The same as this entry keeps it, with times of its own clock.
+/// How current this entry's knowledge of the store is, with times of its own clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct StoreProgress {
-    /// The log's version of what is known of the registry.
+    /// Version of the registry log.
     pub registry: u64,
-    /// The mark of that.
+    /// Hash of the content at that version.
     pub content: ContentHash,
-    /// The store's version at the newest reading of the registry.
+    /// The store's version at the latest read of the registry.
     pub registry_read: u64,
-    /// When that reading began.
+    /// When that read began.
     pub registry_at: Option<Instant>,
     /// The store's version when the operator's rows last changed.
     pub operator: u64,
-    /// The store's version at its newest word on them.
+    /// The store's version at the latest answer about the operator's rows.
     pub operator_read: u64,
-    /// When that word came.
+    /// When that answer arrived.
     pub operator_at: Option<Instant>,
-    /// When the store showed last, to whichever entry, that nothing newer than that was set,
-    /// by the store's own clock.
+    /// The store's time when it last confirmed to any entry that the operator's rows had not
+    /// changed since.
     pub proved: StoreTime,
     /// Version of the desired state in force.
     pub desired: u64,
 }
 
 impl StoreProgress {
-    /// What another entry's `word` says, by this entry's clock.
+    /// Converts another entry's message to times of this entry's clock.
     pub fn from_message(now: Instant, word: &StoreProgressMessage) -> Self {
         let at = |age: u32| {
             let span = Duration::from_millis(u64::from(age));
@@ -86,7 +89,7 @@
         }
     }
 
-    /// The word for other entries.
+    /// Converts the progress to a message for other entries.
     pub fn to_message(&self, now: Instant) -> StoreProgressMessage {
         let age = |at: Option<Instant>| {
             at.map_or(u32::MAX, |at| millis(now.saturating_duration_since(at)))
@@ -104,27 +107,26 @@
         }
     }
 
-    /// This entry stood still for `span` without its clock moving.
+    /// Handles that this entry was suspended for `span` while its clock stood still.
     pub fn on_suspended(&mut self, span: Duration) {
         for at in [&mut self.registry_at, &mut self.operator_at] {
             *at = at.and_then(|at| at.checked_sub(span));
         }
     }
 
-    /// Whether everything that the registry and the operator's rows are needed for is
-    /// known.
+    /// Returns whether both the registry and a desired state are known.
     pub fn is_complete(&self) -> bool {
         self.registry_at.is_some() && self.desired > 0
     }
 
-    /// Whether `other` knows more of the registry.
+    /// Returns whether `other` knows a newer version of the registry.
     pub fn is_behind_registry(&self, other: &Self) -> bool {
         other.registry_at.is_some()
             && (self.registry_at.is_none() || other.registry > self.registry)
     }
 
-    /// Whether one of both is wrong: each has read the store beyond what the other knows,
-    /// and they know different things.
+    /// Returns whether one of the two is wrong: each has read the store at or after the version
+    /// that the other knows, yet their contents differ.
     pub fn contradicts(&self, other: &Self) -> bool {
         self.registry_at.is_some()
             && other.registry_at.is_some()
@@ -133,18 +135,18 @@
             && other.has_read(self.registry)
     }
 
-    /// Whether the store was read here as of the log's version `version` or later.
+    /// Returns whether this entry has read the store as of the log version `version` or later.
     fn has_read(&self, version: u64) -> bool {
         log_version(self.registry_read.saturating_add(1)) > version
     }
 
-    /// Whether `other` knows more of the operator's rows.
+    /// Returns whether `other` knows a newer version of the operator's rows.
     pub fn is_behind_operator(&self, other: &Self) -> bool {
         other.desired > self.desired || other.operator > self.operator
     }
 
-    /// Takes what `other` knows of the operator's rows in place of what is known here. Where that
-    /// is older, the proof of what was known says nothing of it.
+    /// Replaces what is known of the operator's rows with what `other` knows. If that is older,
+    /// the confirmation of the current version doesn't apply to it.
     pub fn replace_operator(&mut self, other: &Self) {
         if other.operator < self.operator {
             self.proved = other.proved;
@@ -154,8 +156,8 @@
         self.operator_at = other.operator_at;
     }
 
-    /// Takes from `other` how fresh it is in what both know of the operator's rows: what
-    /// `other` lacks was set later than what it knows.
+    /// Adopts the freshness that `other` confirms for the operator's rows. This is valid when
+    /// `other` is no newer: whatever `other` lacks was set after its last confirmation.
     pub fn confirm_operator(&mut self, other: &Self) {
         if self.is_behind_operator(other) {
             return;
@@ -165,9 +167,9 @@
         self.proved = self.proved.max(other.proved);
     }
 
-    /// Takes from `other` how fresh it is in what both know alike; whether that made
-    /// the registry fresher. Versions alone don't tell that: what each noticed by itself may
-    /// bear the same one.
+    /// Adopts the freshness that `other` confirms for the same knowledge. Returns whether the
+    /// registry became fresher. Equal versions don't suffice for this: local changes of two
+    /// entries may have the same version.
     pub fn confirm(&mut self, other: &Self) -> bool {
         self.confirm_operator(other);
         let is_same = self.content == other.content && !self.is_behind_registry(other);
@@ -180,7 +182,7 @@
     }
 }
 
-/// Whole milliseconds, short enough for a message.
+/// Converts to whole milliseconds that fit into a message.
 pub(crate) fn millis(span: Duration) -> u32 {
     u32::try_from(span.as_millis()).unwrap_or(u32::MAX - 1)
 }
