--- a/bin/lh-entry/src/watch.rs
+++ b/bin/lh-entry/src/watch.rs
@@ -186,7 +186,7 @@
             let is_same = state.servers.borrow().version() == before;
             state.metrics.on_reading(is_taken, is_same);
             if is_same {
-                ReadOutcome::Same
+                ReadOutcome::Unchanged
             } else {
                 ReadOutcome::Changed
             }
--- a/crates/place/src/fleet/log.rs
+++ b/crates/place/src/fleet/log.rs
@@ -155,21 +155,21 @@
     /// Returns the changes since `version`, or everything if that is no longer known.
     pub fn since(&self, version: u64) -> RegistryDelta {
         let whole = version < self.history_start || version == 0;
-        let is_news = |changed: u64| whole || changed > version;
+        let is_newer = |changed: u64| whole || changed > version;
         let records = self.entries.values();
-        let changed = records.filter(|record| is_news(record.changed));
+        let changed = records.filter(|record| is_newer(record.changed));
         // A registration from before its server's end is only sent together with that end.
-        let is_older_news = |departure: &Departure| {
+        let is_obsolete_entry = |departure: &Departure| {
             let listed = self.entries.get(&departure.id);
             listed.is_some_and(|record| {
-                is_news(record.changed) && departure.supersedes(&record.entry)
+                is_newer(record.changed) && departure.supersedes(&record.entry)
             })
         };
         let departures = self.departures.iter().filter(|(at, departure)| {
             if whole {
                 self.has_ended(departure)
             } else {
-                is_news(*at) || is_older_news(departure)
+                is_newer(*at) || is_obsolete_entry(departure)
             }
         });
         RegistryDelta {
@@ -184,15 +184,15 @@
 
     /// Returns the servers that are known to have left.
     pub fn departures(&self) -> Vec<Departure> {
-        let ends = self.departures.iter().map(|(_, departure)| departure);
-        let dropped_departures = ends.filter(|departure| self.has_ended(departure));
+        let told_departures = self.departures.iter().map(|(_, departure)| departure);
+        let dropped_departures = told_departures.filter(|departure| self.has_ended(departure));
         dropped_departures.cloned().collect()
     }
 
     /// Records servers that left, as known to another entry. Entries listed by an obsolete
     /// registration get a new version, so that followers receive the departure too.
-    pub fn on_departures(&mut self, ends: &[Departure]) {
-        for departure in ends {
+    pub fn on_departures(&mut self, told_departures: &[Departure]) {
+        for departure in told_departures {
             let mut known = self.departures.iter().map(|(_, known)| known);
             if known.any(|known| known == departure) {
                 continue;
@@ -218,7 +218,7 @@
         }
         // Rows of other writers hide the entries they replaced, so the hash can't be updated
         // incrementally.
-        let is_plain = !delta.whole && self.foreign.is_empty() && delta.foreign.is_empty();
+        let is_incremental = !delta.whole && self.foreign.is_empty() && delta.foreign.is_empty();
         for departure in &delta.departures {
             let mut departure = departure.clone();
             if let Some(record) = self.entries.remove(&departure.id) {
@@ -244,7 +244,7 @@
         self.foreign.clone_from(&delta.foreign);
         self.missing.clone_from(&delta.missing);
         self.version = delta.version;
-        if !is_plain {
+        if !is_incremental {
             self.update_content_hash();
         }
     }
@@ -310,8 +310,9 @@
         if let Some(known) = known {
             return newer_entry(&known.entry, entry);
         }
-        let mut ends = self.departures.iter().rev().map(|(_, departure)| departure);
-        let has_left = ends.any(|departure| departure.announced && departure.supersedes(entry));
+        let mut told_departures = self.departures.iter().rev().map(|(_, departure)| departure);
+        let has_left =
+            told_departures.any(|departure| departure.announced && departure.supersedes(entry));
         let mut word = entry.clone();
         if has_left {
             word.state = EntryState::Draining;
@@ -327,8 +328,9 @@
         let others = before
             .values()
             .filter(|record| !kept.contains(&record.entry.id));
-        let ends: Vec<Departure> = others.map(|record| Departure::of(&record.entry)).collect();
-        for departure in ends {
+        let told_departures: Vec<Departure> =
+            others.map(|record| Departure::of(&record.entry)).collect();
+        for departure in told_departures {
             self.record_departure(delta.version, departure);
         }
     }
--- a/crates/place/src/fleet/member/asking.rs
+++ b/crates/place/src/fleet/member/asking.rs
@@ -56,7 +56,7 @@
     /// Whether a follower's knowledge was confirmed by nobody for too long, though its leads
     /// know newer readings: whatever the reason, it asks the store itself.
     fn lags(&self, now: Instant) -> bool {
-        let most = self.readings.pace().member;
+        let most = self.readings.intervals().member;
         let is_old =
             |at: Option<Instant>| at.is_some_and(|at| now.saturating_duration_since(at) >= most);
         let mut near = self.leads.fresh_of(now, &self.config.region);
@@ -83,7 +83,7 @@
             region: &self.config.region,
             hash: self.hash,
             leads: self.leading.is_some(),
-            far_after: self.readings.pace().deputy,
+            far_after: self.readings.intervals().deputy,
         };
         let doubted = self.doubted_lead(now);
         let next = self
--- a/crates/place/src/fleet/member/role.rs
+++ b/crates/place/src/fleet/member/role.rs
@@ -103,9 +103,9 @@
     /// Whether this entry has read the store itself just now, though no lead of its
     /// region is answered.
     fn reads_alone(&self, now: Instant) -> bool {
-        let read_at = self.readings.done_at();
+        let read_at = self.readings.last_success_at();
         let reads = read_at
-            .is_some_and(|at| now.saturating_duration_since(at) < self.readings.pace().reader);
+            .is_some_and(|at| now.saturating_duration_since(at) < self.readings.intervals().reader);
         let mut leads = self.leads.fresh_of(now, &self.config.region);
         reads && self.reads && leads.all(|lead| !lead.seat.reads)
     }
--- a/crates/place/src/fleet/reading.rs
+++ b/crates/place/src/fleet/reading.rs
@@ -12,7 +12,8 @@
 /// Share of the reader's interval after which it reads again when something changed: many
 /// servers that change in sequence are then read in a few calls.
 const CHANGE_INTERVAL_SHARE: f64 = 0.33;
-/// Entries without traffic that hear from no lead read this much later than others, spread over it, so that a new lead can be found in the meantime.
+/// Entries without traffic that hear from no lead read this much later than others, spread over
+/// it, so that a new lead can be found in the meantime.
 const STANDBY_SPREAD: Duration = Duration::from_millis(500);
 /// A read that takes this much longer than the allowed wait counts as failed for the election
 /// of leads, although its answer may still arrive: others don't wait that long.
@@ -24,7 +25,7 @@
     /// The registry has changed.
     Changed,
     /// The registry has not changed.
-    Same,
+    Unchanged,
     /// The store didn't answer.
     Failed,
 }
@@ -38,13 +39,17 @@
     pub whole: bool,
 }
 
-/// Returns the time as of which the store's answer is valid. The call began at `begun`, the
+/// Returns the time as of which the store's answer is valid. The call began at `started_at`, the
 /// answer arrived at `now`, and the store could delay it for `wait` until there was a change.
 /// Only an answer without a change proves that the whole wait passed at the store: an answer
 /// with a change that took as long was delayed on its way, or this entry read it late.
-pub fn answer_as_of(begun: Instant, wait: Duration, now: Instant, has_news: bool) -> Instant {
-    let waited = !has_news && now.saturating_duration_since(begun) >= wait;
-    if waited { begun + wait } else { begun }
+pub fn answer_as_of(started_at: Instant, wait: Duration, now: Instant, has_news: bool) -> Instant {
+    let waited = !has_news && now.saturating_duration_since(started_at) >= wait;
+    if waited {
+        started_at + wait
+    } else {
+        started_at
+    }
 }
 
 /// The role of an entry when it decides whether to read the store.
@@ -73,15 +78,15 @@
 /// Schedules an entry's reads of the registry.
 #[derive(Debug)]
 pub struct ReadScheduler {
-    pace: ReadIntervals,
+    intervals: ReadIntervals,
     /// From 0 to 1, derived from the hash of the entry's name.
-    spread: f64,
-    begun: Option<Instant>,
+    jitter: f64,
+    started_at: Option<Instant>,
     /// When a reader reads next.
     next: Option<Instant>,
-    done_at: Option<Instant>,
+    last_success_at: Option<Instant>,
     /// When the last successful read began.
-    answered: Option<Instant>,
+    last_answered_start: Option<Instant>,
     overdue_at: Instant,
     is_reading: bool,
     backoff: Duration,
@@ -92,14 +97,14 @@
 
 impl ReadScheduler {
     /// Creates the scheduler of an entry with the name hash `hash` that starts at `now`.
-    pub fn new(now: Instant, pace: ReadIntervals, hash: u64) -> Self {
+    pub fn new(now: Instant, intervals: ReadIntervals, hash: u64) -> Self {
         Self {
-            pace,
-            spread: (hash % 1009) as f64 / 1009.0,
-            begun: None,
+            intervals,
+            jitter: (hash % 1009) as f64 / 1009.0,
+            started_at: None,
             next: None,
-            done_at: None,
-            answered: None,
+            last_success_at: None,
+            last_answered_start: None,
             overdue_at: now,
             is_reading: false,
             backoff: INITIAL_BACKOFF,
@@ -110,8 +115,8 @@
 
     /// Sets the time at which servers that are missing from the registry count as gone, if any
     /// are. The entry then reads whatever its role: an entry that started the grace period
-    /// itself and then followed a lead kept such servers in use, because the lead had no
-    /// change to send.
+    /// itself and then followed a lead kept such servers in use, because the lead had no change
+    /// to send.
     pub fn set_settles(&mut self, at: Option<Instant>) {
         self.settles_at = at;
     }
@@ -126,11 +131,15 @@
         }
         self.backoff = INITIAL_BACKOFF;
         self.retry_at = None;
-        self.done_at = Some(now);
-        self.answered = self.begun;
+        self.last_success_at = Some(now);
+        self.last_answered_start = self.started_at;
         self.next = match outcome {
-            ReadOutcome::Changed => Some(now + self.pace.reader.mul_f64(CHANGE_INTERVAL_SHARE)),
-            _ => self.begun.map(|begun| begun + self.pace.reader),
+            ReadOutcome::Changed => {
+                Some(now + self.intervals.reader.mul_f64(CHANGE_INTERVAL_SHARE))
+            }
+            _ => self
+                .started_at
+                .map(|started_at| started_at + self.intervals.reader),
         };
     }
 
@@ -147,18 +156,21 @@
             return None;
         }
         // A full read that doesn't resolve the doubt isn't repeated immediately.
-        let is_paced = |begun| now.saturating_duration_since(begun) >= self.pace.reader;
-        let whole = whole && self.begun.is_none_or(is_paced);
+        let is_paced =
+            |started_at| now.saturating_duration_since(started_at) >= self.intervals.reader;
+        let whole = whole && self.started_at.is_none_or(is_paced);
         let age = known_at.map(|at| now.saturating_duration_since(at));
         let is_due = match role {
             _ if self.settles_now(now) => true,
             ReadRole::Reader => self.next.is_none_or(|next| now >= next),
-            ReadRole::Deputy => age.is_none_or(|age| age >= self.pace.deputy),
+            ReadRole::Deputy => age.is_none_or(|age| age >= self.intervals.deputy),
             // The missing knowledge may not be the registry's, so this is no more frequent than
             // a reader's reads.
-            ReadRole::Follower { stuck: true, .. } => age.is_none_or(|age| age >= self.pace.reader),
+            ReadRole::Follower { stuck: true, .. } => {
+                age.is_none_or(|age| age >= self.intervals.reader)
+            }
             ReadRole::Follower { substitute, .. } => {
-                substitute && age.is_some_and(|age| age >= self.pace.member)
+                substitute && age.is_some_and(|age| age >= self.intervals.member)
             }
             ReadRole::Alone { used, first } => match age {
                 None => now >= first,
@@ -173,7 +185,7 @@
             ReadRole::Reader => self.reader_wait(now),
             _ => Duration::ZERO,
         };
-        self.begun = Some(now);
+        self.started_at = Some(now);
         self.is_reading = true;
         self.overdue_at = now + wait + OVERDUE_AFTER;
         Some(RegistryRead { wait, whole })
@@ -185,19 +197,22 @@
     }
 
     /// Returns when the last successful read ended.
-    pub fn done_at(&self) -> Option<Instant> {
-        self.done_at
+    pub fn last_success_at(&self) -> Option<Instant> {
+        self.last_success_at
     }
 
     /// Returns the intervals between reads.
-    pub fn pace(&self) -> ReadIntervals {
-        self.pace
+    pub fn intervals(&self) -> ReadIntervals {
+        self.intervals
     }
 
     /// Returns whether missing servers count as gone by now, but no read has confirmed it yet.
     fn settles_now(&self, now: Instant) -> bool {
         let at = self.settles_at.filter(|at| now >= *at);
-        at.is_some_and(|at| self.answered.is_none_or(|begun| begun < at))
+        at.is_some_and(|at| {
+            self.last_answered_start
+                .is_none_or(|started_at| started_at < at)
+        })
     }
 
     /// Returns how long a reader lets the store wait for changes. It must return in time to
@@ -207,17 +222,17 @@
         let settles_in = self.settles_at.map(|at| at.saturating_duration_since(now));
         match settles_in {
             Some(Duration::ZERO) if self.settles_now(now) => Duration::ZERO,
-            Some(span) if !span.is_zero() => span.min(self.pace.reader),
-            _ => self.pace.reader,
+            Some(span) if !span.is_zero() => span.min(self.intervals.reader),
+            _ => self.intervals.reader,
         }
     }
 
     fn solo_read_age(&self, used: bool) -> Duration {
-        let spread = if used {
+        let jitter = if used {
             Duration::ZERO
         } else {
-            STANDBY_SPREAD.mul_f64(self.spread)
+            STANDBY_SPREAD.mul_f64(self.jitter)
         };
-        self.pace.member + spread
+        self.intervals.member + jitter
     }
 }
--- a/crates/place/src/fleet/store_progress.rs
+++ b/crates/place/src/fleet/store_progress.rs
@@ -25,8 +25,7 @@
         pub operator_read: u64,
         /// Milliseconds since that answer; `u32::MAX` before the first.
         pub operator_age: u32,
-        /// The store's time when it last confirmed that the operator's rows had not changed
-        /// since.
+        /// The store's time when it last confirmed that nothing newer than that had been set.
         pub proved: StoreTime,
         /// Version of the desired state in force.
         pub desired: u64,
@@ -62,8 +61,8 @@
     pub operator_read: u64,
     /// When that answer arrived.
     pub operator_at: Option<Instant>,
-    /// The store's time when it last confirmed to any entry that the operator's rows had not
-    /// changed since.
+    /// The store's time when it last confirmed to any entry that nothing newer than that had
+    /// been set.
     pub proved: StoreTime,
     /// Version of the desired state in force.
     pub desired: u64,
@@ -71,21 +70,21 @@
 
 impl StoreProgress {
     /// Converts another entry's message to times of this entry's clock.
-    pub fn from_message(now: Instant, word: &StoreProgressMessage) -> Self {
+    pub fn from_message(now: Instant, message: &StoreProgressMessage) -> Self {
         let at = |age: u32| {
             let span = Duration::from_millis(u64::from(age));
             (age < u32::MAX).then(|| now.checked_sub(span)).flatten()
         };
         Self {
-            registry: word.registry,
-            content: word.content,
-            registry_read: word.registry_read,
-            registry_at: at(word.registry_age),
-            operator: word.operator,
-            operator_read: word.operator_read,
-            operator_at: at(word.operator_age),
-            proved: word.proved,
-            desired: word.desired,
+            registry: message.registry,
+            content: message.content,
+            registry_read: message.registry_read,
+            registry_at: at(message.registry_age),
+            operator: message.operator,
+            operator_read: message.operator_read,
+            operator_at: at(message.operator_age),
+            proved: message.proved,
+            desired: message.desired,
         }
     }
 
--- a/crates/place/tests/departed.rs
+++ b/crates/place/tests/departed.rs
@@ -283,7 +283,7 @@
         plan.begin_read(again, follower, Some(again), false)
             .is_some()
     );
-    plan.on_read(again + ms(10), ReadOutcome::Same);
+    plan.on_read(again + ms(10), ReadOutcome::Unchanged);
     let later = at + ms(1500);
     assert_eq!(plan.begin_read(later, follower, Some(later), false), None);
 }
--- a/crates/place/tests/fleet_world/mod.rs
+++ b/crates/place/tests/fleet_world/mod.rs
@@ -523,7 +523,7 @@
         let outcome = if is_news {
             ReadOutcome::Changed
         } else {
-            ReadOutcome::Same
+            ReadOutcome::Unchanged
         };
         self.tell(entry, FleetEvent::Read(outcome));
     }
--- a/crates/place/tests/reading.rs
+++ b/crates/place/tests/reading.rs
@@ -10,8 +10,8 @@
 #[test]
 fn a_reading_that_settles_nothing_is_not_repeated_at_once() {
     let start = Instant::now();
-    let pace = ReadIntervals::new(Duration::from_millis(2500));
-    let mut scheduler = ReadScheduler::new(start, pace, 1);
+    let intervals = ReadIntervals::new(Duration::from_millis(2500));
+    let mut scheduler = ReadScheduler::new(start, intervals, 1);
     let role = ReadRole::Follower {
         substitute: false,
         stuck: false,
@@ -23,10 +23,10 @@
         now += Duration::from_millis(10);
         if scheduler.begin_read(now, role, Some(start), true).is_some() {
             calls += 1;
-            scheduler.on_read(now, ReadOutcome::Same);
+            scheduler.on_read(now, ReadOutcome::Unchanged);
         }
     }
-    let most = span.as_millis() / pace.reader.as_millis() + 1;
+    let most = span.as_millis() / intervals.reader.as_millis() + 1;
     assert!(calls <= most, "{calls} calls in {span:?}");
 }
 
--- a/crates/place/tests/relisting.rs
+++ b/crates/place/tests/relisting.rs
@@ -59,7 +59,7 @@
             let outcome = if is_news {
                 ReadOutcome::Changed
             } else {
-                ReadOutcome::Same
+                ReadOutcome::Unchanged
             };
             plan.on_read(now, outcome);
         }
