--- a/bin/lh-entry/src/crash.rs
+++ b/bin/lh-entry/src/crash.rs
@@ -10,8 +10,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use place::crash::fingerprint::RequestFingerprint;
-use place::crash::message::CrashReport;
+use place::crash::print::RequestFingerprint;
+use place::crash::word::CrashReport;
 use place::prelude::FleetEvent;
 use place::request::Placement;
 use tokio::net::TcpStream;
--- a/bin/lh-entry/src/fleet.rs
+++ b/bin/lh-entry/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use place::crash::fingerprint::RequestFingerprint;
+use place::crash::print::RequestFingerprint;
 use place::fleet::clock::StoreTime;
 use place::fleet::member::{BEAT_EVERY, MemberConfig};
 use place::fleet::message::PeerMessage;
--- a/bin/lh-entry/src/suspect.rs
+++ b/bin/lh-entry/src/suspect.rs
@@ -1,6 +1,6 @@
 //! What a request on its way has to do with servers that ended.
 
-use place::crash::fingerprint::RequestFingerprint;
+use place::crash::print::RequestFingerprint;
 use place::prelude::*;
 
 use crate::crash;
--- a/crates/place/src/crash/outbox.rs
+++ b/crates/place/src/crash/outbox.rs
@@ -3,8 +3,8 @@
 
 use std::time::{Duration, Instant};
 
-use crate::crash::fingerprint::RequestFingerprint;
-use crate::crash::message::{ClearedRequest, CrashMessage, CrashReport};
+use crate::crash::print::RequestFingerprint;
+use crate::crash::word::{ClearedRequest, CrashMessage, CrashReport};
 use crate::fleet::store_progress::millis;
 
 /// How long a report is delayed: most requests that were in flight beside the cause are
--- a/crates/place/src/crash/quarantine.rs
+++ b/crates/place/src/crash/quarantine.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use crate::crash::fingerprint::RequestFingerprint;
-use crate::crash::message::{ClearedRequest, RequestStatus, RequestStatusMessage};
+use crate::crash::print::RequestFingerprint;
+use crate::crash::word::{ClearedRequest, RequestStatus, RequestStatusMessage};
 use crate::fleet::store_progress::millis;
 
 /// How long a request stays in quarantine: time to fix the service, at the cost of a few
--- a/crates/place/src/fleet/member/crashes.rs
+++ b/crates/place/src/fleet/member/crashes.rs
@@ -2,8 +2,8 @@
 
 use std::time::{Duration, Instant};
 
-use crate::crash::fingerprint::RequestFingerprint;
-use crate::crash::message::{CrashMessage, CrashReport, RequestStatus, StoredQuarantine};
+use crate::crash::print::RequestFingerprint;
+use crate::crash::word::{CrashMessage, CrashReport, RequestStatus, StoredQuarantine};
 use crate::fleet::member::{BEAT_EVERY, FleetAction, FleetMember, FleetNote};
 use crate::fleet::message::PeerMessage;
 
--- a/crates/place/src/fleet/message.rs
+++ b/crates/place/src/fleet/message.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use crate::crash::message::CrashMessage;
+use crate::crash::word::CrashMessage;
 use crate::fleet::front::FrontEntry;
 use crate::fleet::list::ListVersion;
 use crate::fleet::seat::LeadSeat;
--- a/crates/place/src/fleet/mod.rs
+++ b/crates/place/src/fleet/mod.rs
@@ -21,7 +21,7 @@
 pub mod log;
 pub mod member;
 pub mod message;
-pub mod read_intervals;
+pub mod pace;
 pub mod reading;
 pub mod regions;
 pub mod roster;
--- a/crates/place/tests/crash_load.rs
+++ b/crates/place/tests/crash_load.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use fleet_world::{FleetWorld, ms};
-use place::crash::fingerprint::RequestFingerprint;
-use place::crash::message::CrashReport;
+use place::crash::print::RequestFingerprint;
+use place::crash::word::CrashReport;
 use place::prelude::*;
 use place::rank::pair_weight;
 
--- a/crates/place/tests/fleet_world/mod.rs
+++ b/crates/place/tests/fleet_world/mod.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use place::crash::fingerprint::RequestFingerprint;
-use place::crash::message::StoredQuarantine;
+use place::crash::print::RequestFingerprint;
+use place::crash::word::StoredQuarantine;
 use place::fleet::clock::StoreTime;
 use place::fleet::content_hash::ContentHash;
 use place::fleet::follow::{PullScope, PullTarget};
--- a/crates/place/tests/reading.rs
+++ b/crates/place/tests/reading.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use place::fleet::read_intervals::ReadIntervals;
+use place::fleet::pace::ReadIntervals;
 use place::fleet::reading::{ReadOutcome, ReadRole, ReadScheduler, answer_as_of};
 
 /// Promise: an entry that goes on doubting what it knows reads everything again no more often
