--- a/crates/place/src/blocks.rs
+++ b/crates/place/src/blocks.rs
@@ -1,9 +1,9 @@
-//! Client address blocks: which region or site a caller's address belongs to.
+//! Table of client address blocks (CIDR), which maps a caller's address to its region or site.
 
 use std::fmt;
 use std::net::IpAddr;
 
-/// A block that can't be read.
+/// Error for a text that isn't a valid address block.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BlockParseError(String);
 
@@ -11,7 +11,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "'{}' is no address block; write it as 10.1.0.0/16",
+            "'{}' is not a valid address block; write it as 10.1.0.0/16",
             self.0
         )
     }
@@ -19,10 +19,10 @@
 
 impl std::error::Error for BlockParseError {}
 
-/// Reads a block such as `10.1.0.0/16`.
+/// Parses a block such as `10.1.0.0/16`.
 ///
 /// # Errors
-/// Where the address or the prefix length can't be read.
+/// Fails if the address or the prefix length is invalid.
 pub fn parse_block(text: &str) -> Result<(IpAddr, u8), BlockParseError> {
     let fail = || BlockParseError(text.to_owned());
     let (address, length) = text.trim().split_once('/').ok_or_else(fail)?;
@@ -35,10 +35,10 @@
     Ok((address, length))
 }
 
-/// Value of addresses outside every block.
+/// Marks ranges outside all blocks.
 const NO_SITE: u16 = u16::MAX;
 
-/// Disjoint ranges of addresses in two flat arrays: where each starts, and its site.
+/// Disjoint address ranges in two flat arrays: the first address of each range, and its site.
 #[derive(Debug, Clone)]
 struct RangeTable<A> {
     starts: Vec<A>,
@@ -46,8 +46,9 @@
 }
 
 impl<A: Copy + Ord> RangeTable<A> {
-    /// Flattens blocks, of which the longest prefix counts. `blocks` holds the first
-    /// and last address and the site; `next` gives the address after one, if any.
+    /// Flattens overlapping blocks; the longest prefix wins. `blocks` holds the first address,
+    /// the last address and the site of each block; `next` returns the address after the given
+    /// one, if any.
     fn new(mut blocks: Vec<(A, A, u16)>, next: impl Fn(A) -> Option<A>) -> Self {
         blocks.sort_by(|a, b| a.0.cmp(&b.0).then(b.1.cmp(&a.1)));
         let mut table = Self {
@@ -66,7 +67,7 @@
         table
     }
 
-    /// Ends the open blocks that lie before `first`, going back to the block around each.
+    /// Ends the open blocks that lie before `first` and resumes the enclosing block of each.
     fn close_before(
         &mut self,
         open_blocks: &mut Vec<(A, u16)>,
@@ -108,7 +109,7 @@
     }
 }
 
-/// Collects blocks for a [`BlockTable`].
+/// Builder of a [`BlockTable`].
 #[derive(Debug, Clone, Default)]
 pub struct BlockTableBuilder {
     v4: Vec<(u32, u32, u16)>,
@@ -116,7 +117,7 @@
 }
 
 impl BlockTableBuilder {
-    /// Without any block.
+    /// Creates a builder without blocks.
     pub fn new() -> Self {
         Self::default()
     }
@@ -166,7 +167,7 @@
 }
 
 impl BlockTable {
-    /// The site of `address`.
+    /// Returns the site of `address`.
     pub fn find(&self, address: IpAddr) -> Option<u16> {
         match address.to_canonical() {
             IpAddr::V4(address) => self.v4.find(u32::from(address)),
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Memory of the arrays in bytes.
+    /// Returns the size of the arrays in bytes.
     pub fn bytes(&self) -> usize {
         self.v4.bytes() + self.v6.bytes()
     }
--- a/crates/place/src/desired.rs
+++ b/crates/place/src/desired.rs
@@ -1,16 +1,16 @@
-//! The desired state that the operator sets: routes, services, teams and request limits.
+//! The desired state as set by the operator: routes, services, teams and request limits.
 
 use std::time::Duration;
 
 use team::spec::TeamSpec;
 
-/// Shortest body limit that is taken seriously when none is given, in bytes.
+/// Default limit of the request body, in bytes.
 const DEFAULT_MAX_BODY_BYTES: usize = 64 << 20;
-/// Head limit when none is given, in bytes.
+/// Default limit of the request head, in bytes.
 const DEFAULT_MAX_HEADER_BYTES: usize = 16 << 10;
 
 base::common! {
-    /// What may be done with a request more than once.
+    /// Whether a request may be repeated.
     #[derive(Copy, Eq)]
     #[serde(rename_all = "kebab-case")]
     pub enum RequestKind {
@@ -18,94 +18,94 @@
         Idempotent,
         /// Runs at most once.
         AtMostOnce,
-        /// A large body; runs at most once.
+        /// A request with a large body; runs at most once.
         Upload,
-        /// A large answer; may run any number of times.
+        /// A request with a large answer; may run any number of times.
         Download,
     }
 
-    /// One part of a route's traffic.
+    /// A part of a route's traffic split.
     #[derive(Eq)]
     pub struct SplitPart {
-        /// The service that gets the part.
+        /// The service that receives this part.
         pub service: String,
-        /// Its weight among the parts.
+        /// Weight of this part relative to the others.
         pub weight: u32,
     }
 
-    /// A route: which requests go where, and under which bounds.
+    /// A route: which requests go to which services, and with which limits.
     #[derive(Eq)]
     pub struct RouteSpec {
-        /// The route's name.
+        /// Name of the route.
         pub name: String,
-        /// The host that callers ask for.
+        /// Host that callers address.
         pub host: String,
         /// The path prefix; begins and ends with a slash.
         pub prefix: String,
-        /// What may be repeated.
+        /// Whether its requests may be repeated.
         pub kind: RequestKind,
-        /// The longest time that a caller is kept waiting; `None` is unbounded.
+        /// Maximum time that a caller waits for the answer; `None` means no limit.
         pub timeout: Option<Duration>,
         /// The latency objective.
         pub objective: Duration,
-        /// Rank among the routes; 0 is the most urgent.
+        /// Priority among the routes; 0 is the most urgent.
         pub priority: u32,
-        /// The services, with weights. One part where the route isn't split.
+        /// The services with their weights; a single part if the traffic isn't split.
         pub parts: Vec<SplitPart>,
-        /// Most servers that one request may be sent to.
+        /// Maximum number of servers that a request is sent to.
         pub max_attempts: u32,
-        /// Whether servers are faster for objects that they handled lately.
+        /// Whether servers answer faster for objects that they handled recently.
         pub sticky: bool,
-        /// Regions that may serve the route; empty allows all.
+        /// Regions that may serve the route; all if empty.
         pub home_regions: Vec<String>,
-        /// Whether requests need no key where teams are set.
+        /// Whether requests need no key although teams are configured.
         pub is_public: bool,
     }
 
-    /// A service and how its servers behave.
+    /// A service and the characteristics of its servers.
     pub struct ServiceSpec {
-        /// The service's name.
+        /// Name of the service.
         pub name: String,
-        /// Path of its health check.
+        /// Path of the health check.
         pub health_path: String,
-        /// Connections that each server accepts from everybody together.
+        /// Maximum number of connections that a server accepts from all entries together.
         pub max_connections: u32,
-        /// How long a server stays cold after its start.
+        /// How long a server counts as cold after its start.
         pub warmup: Duration,
-        /// Requests a second that a cold server bears, from everybody together.
+        /// Requests per second that a cold server can handle, from all entries together.
         pub cold_rate: f64,
     }
 
-    /// What a caller may send.
+    /// Limits on what callers send.
     #[derive(Copy, Eq)]
     pub struct RequestLimits {
-        /// Largest head, in bytes.
+        /// Maximum size of the request head, in bytes.
         pub header_bytes: usize,
-        /// Largest body, in bytes.
+        /// Maximum size of the request body, in bytes.
         pub body_bytes: usize,
-        /// Longest time in which a head must be complete.
+        /// Maximum time until the request head is complete.
         pub header_timeout: Duration,
-        /// Longest time for which a connection may stay idle.
+        /// Maximum time for which a connection may be idle.
         pub idle_timeout: Duration,
     }
 
-    /// The whole desired state in one version.
+    /// A complete version of the desired state.
     pub struct DesiredState {
-        /// Rises with each change, in uneven steps.
+        /// Increases with each change, but not always by one.
         pub version: u64,
         /// All routes.
         pub routes: Vec<RouteSpec>,
         /// All services.
         pub services: Vec<ServiceSpec>,
-        /// All teams; none where requests need no key.
+        /// All teams; requests need no key if there are none.
         pub teams: Vec<TeamSpec>,
-        /// Bounds on what callers send.
+        /// Limits on what callers send.
         pub limits: RequestLimits,
     }
 }
 
 impl RequestKind {
-    /// Whether a request that may have run may be sent again.
+    /// Returns whether a request that may have run may be sent again.
     pub const fn may_repeat(self) -> bool {
         matches!(self, Self::Idempotent | Self::Download)
     }
--- a/crates/place/src/directory.rs
+++ b/crates/place/src/directory.rs
@@ -1,11 +1,11 @@
-//! Answers to callers that ask which entries to use.
+//! Selects the entries that callers are told to use.
 
-/// Entries of the caller's home region in an answer that is ordered.
+/// Number of entries from the caller's home region in an ordered answer.
 const NEAR_ENTRIES: usize = 3;
-/// Entries of other regions there, for when the home region fails.
+/// Number of entries from other regions in an ordered answer, for when the home region fails.
 const FAR_ENTRIES: usize = 2;
 
-/// The entries of the caller's `home` region, or all of them if it has none.
+/// Returns the entries of the region `home`, or all entries if it has none.
 pub fn home_region_entries<'a, T>(
     entries: &'a [T],
     home: &str,
@@ -21,9 +21,9 @@
     near
 }
 
-/// A few entries in the order in which a caller whose home region is `home` should
-/// try them: some of its own region, then some of others. `rotation` rotates entries
-/// of equal standing, so that callers spread over them.
+/// Returns a few entries in the order in which a caller from the region `home` should try them:
+/// first entries of that region, then entries of others. `rotation` rotates equivalent entries,
+/// so that callers are spread over them.
 pub fn ordered_entries<'a, T>(
     entries: &'a [T],
     home: Option<&str>,
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -1,13 +1,13 @@
-//! Where a request goes on an entry that serves callers directly: routes, the
-//! catalog of backend servers, and the choice among them.
+//! Request routing for entries, the proxies that callers connect to: routes, the catalog of
+//! backend servers, and load balancing among them.
 //!
-//! [`fleet`] is how entries hear of each other and of the store, [`placing`] the choice of a
-//! server, [`limits`] the bounds that all entries share; the modules beside them are what
-//! these speak of.
+//! [`fleet`] is the protocol by which entries exchange their state and follow the store,
+//! [`placing`] selects a server for a request, and [`limits`] enforces limits shared by all
+//! entries. The other modules define the types that these work on.
 //!
-//! Everything here is decision code: no sockets, clocks, threads or unseeded
-//! randomness. Callers pass `now`; the same code runs in the daemon and in tests
-//! under virtual time.
+//! All code here is deterministic decision logic without sockets, clocks, threads or unseeded
+//! randomness. Callers pass `now`, so the same code runs in the daemon and in tests under
+//! virtual time.
 
 pub mod blocks;
 pub mod catalog;
--- a/crates/place/src/prelude.rs
+++ b/crates/place/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that almost every user of this crate needs.
+//! The types that most users of this crate need.
 
 pub use crate::catalog::{CatalogSnapshot, ServerCatalog};
 pub use crate::desired::{DesiredState, RequestKind, RequestLimits, RouteSpec, ServiceSpec};
--- a/crates/place/src/request.rs
+++ b/crates/place/src/request.rs
@@ -1,4 +1,4 @@
-//! What the placer is asked, what it answers, and what it is told afterwards.
+//! Input and output of request placement, and the outcomes that are reported back to it.
 
 use std::time::{Duration, Instant};
 
@@ -8,34 +8,34 @@
 use crate::server::ServerEntry;
 use rollout::rule::VersionRule;
 
-/// A request that wants a server.
+/// A request to be placed on a server.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementRequest<'a> {
     /// Its route.
     pub route: &'a RouteSpec,
-    /// Its rank; 0 is the most urgent.
+    /// Priority of the request; 0 is the most urgent.
     pub priority: u32,
-    /// Regions that may serve it; empty allows all.
+    /// Regions that may serve the request; all if empty.
     pub homes: &'a [String],
-    /// Index of the route's part that it belongs to.
+    /// Index of the route's traffic part to which it belongs.
     pub part: usize,
-    /// Hash of the object that it concerns.
+    /// Hash of the object that the request is about.
     pub object: Option<u64>,
-    /// How long an answer is still of use.
+    /// Remaining time in which an answer is useful.
     pub remaining: Duration,
-    /// Whether it was refused before.
+    /// Whether the caller returns with a request that was refused before.
     pub returning: bool,
     /// Size of the body, in bytes.
     pub body_bytes: usize,
-    /// Servers that it was sent to before.
+    /// Servers that the request was sent to before.
     pub tried: &'a [ServerHandle],
-    /// Which versions of the service may run it.
+    /// Rule for the versions of the service that may run it.
     pub versions: VersionRule<'a>,
 }
 
 impl<'a> PlacementRequest<'a> {
-    /// A request on the part `part` of `route`, with that route's rank and homes and no time
-    /// left.
+    /// Creates a request for the part `part` of `route`, with the priority and home regions of
+    /// the route and no time remaining.
     pub fn new(route: &'a RouteSpec, part: usize) -> Self {
         Self {
             route,
@@ -51,21 +51,21 @@
         }
     }
 
-    /// The request concerns the object with the hash `object`.
+    /// Sets the hash of the object that the request is about.
     #[must_use]
     pub fn with_object(mut self, object: Option<u64>) -> Self {
         self.object = object;
         self
     }
 
-    /// Servers of the versions that `versions` allows may run it.
+    /// Sets the rule for the versions that may run the request.
     #[must_use]
     pub fn with_versions(mut self, versions: VersionRule<'a>) -> Self {
         self.versions = versions;
         self
     }
 
-    /// An answer is of use for `remaining`.
+    /// Sets the remaining time in which an answer is useful.
     #[must_use]
     pub fn with_remaining(mut self, remaining: Duration) -> Self {
         self.remaining = remaining;
@@ -73,24 +73,24 @@
     }
 }
 
-/// Where a request goes.
+/// The server chosen for a request.
 #[derive(Debug, Clone)]
 pub struct Placement {
     /// The server.
     pub handle: ServerHandle,
     /// Its address.
     pub address: std::net::SocketAddr,
-    /// The run of the server that is meant.
+    /// Id of the server run that was chosen.
     pub id: String,
-    /// The version of its software.
+    /// Software version of the server.
     pub version: String,
-    /// Why this one, for the log.
+    /// Why this server was chosen, for the log.
     pub reason: PlacementReason,
     pub(crate) started: Instant,
 }
 
 impl Placement {
-    /// A placement at `entry` for no other reason than the caller's own.
+    /// Creates a placement on `entry` that the caller chose itself.
     pub fn new(now: Instant, handle: ServerHandle, entry: &ServerEntry) -> Self {
         Self {
             handle,
@@ -103,26 +103,26 @@
     }
 }
 
-/// The figures that decided a placement.
+/// The figures behind a placement.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct PlacementReason {
-    /// Expected time to the answer, in milliseconds.
+    /// Expected time until the answer, in milliseconds.
     pub expected: f64,
-    /// Requests thought to be at the server.
+    /// Estimated number of requests at the server.
     pub occupancy: f64,
-    /// Likelihood that the server holds the object.
+    /// Probability that the server caches the object.
     pub warmth: f64,
-    /// The server's rank for the object within its region; 0 is the first.
+    /// Rank of the server for the object within its region; 0 is the first.
     pub rank: usize,
     /// Whether the server is cold.
     pub cold: bool,
-    /// Whether it is in another region.
+    /// Whether the server is in another region.
     pub is_remote: bool,
-    /// Whether no other request had to be finished first.
+    /// Whether a slot was free, so that no other request had to finish first.
     pub(crate) free: bool,
-    /// Expected work of the request itself, in milliseconds.
+    /// Expected processing time of the request itself, in milliseconds.
     pub(crate) work: f64,
-    /// What speaks for the server holding the object.
+    /// Evidence that the server caches the object.
     pub(crate) belief: Option<Belief>,
 }
 
@@ -131,20 +131,20 @@
 pub enum RefusalReason {
     /// No server of the service is known or allowed.
     NoServer,
-    /// All servers have as much as they can answer in time.
+    /// No server can take more requests and still answer them in time.
     Full,
-    /// Only cold servers are left, and their rate is used up.
+    /// Only cold servers are left, and their rate limit is exhausted.
     Cold,
     /// No server can answer before the deadline.
     Late,
-    /// The bound on moving to other regions is reached.
+    /// The limit on traffic shifted to other regions is reached.
     ShiftCap,
-    /// Servers ended while they ran the request.
+    /// Servers crashed while they ran this request.
     Quarantined,
 }
 
 impl RefusalReason {
-    /// The reason in one word, for logs and metrics.
+    /// Returns the reason as used in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::NoServer => "no-server",
@@ -157,42 +157,41 @@
     }
 }
 
-/// A refusal, with the time after which room is expected.
+/// A refusal with the time after which capacity is expected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Why the request was refused.
     pub reason: RefusalReason,
-    /// When the caller should come back.
+    /// When the caller should retry.
     pub retry_after: Duration,
 }
 
-/// What became of a request at its server.
+/// The outcome of a request at its server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerOutcome {
-    /// A whole answer; `good` if the server did its work.
+    /// A complete answer.
     Answered {
-        /// Whether the answer wasn't a failure of the server.
+        /// Whether the answer is not a server error.
         good: bool,
     },
-    /// The server rejected the request as full; it has not run.
+    /// The server rejected the request because it is full; the request did not run.
     Full,
-    /// Another server has the address; the request has not run.
+    /// A different server listens at the address; the request did not run.
     Misdirected,
-    /// No connection could be had; the request was not sent.
+    /// No connection could be established; the request was not sent.
     Unreachable,
-    /// It could be sent at last, but the server or the request was closed meanwhile; the
-    /// request was not sent.
+    /// The server or the request was closed before the request could be sent.
     Withdrawn,
-    /// The connection broke, or the answer was not one.
+    /// The connection broke, or the answer was invalid.
     Broken,
-    /// The time ran out before the answer came.
+    /// The deadline passed before the answer arrived.
     OutOfTime,
-    /// The caller left.
+    /// The caller disconnected.
     Abandoned,
 }
 
 impl ServerOutcome {
-    /// The outcome in one word, for metrics.
+    /// Returns the outcome as used in metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Answered { good: true } => "good",
--- a/crates/place/src/routes.rs
+++ b/crates/place/src/routes.rs
@@ -1,14 +1,14 @@
-//! Finds the route of a request by its host and the longest prefix of its path.
+//! Finds the route of a request by its host and the longest matching path prefix.
 
 use std::collections::HashMap;
 use std::rc::Rc;
 
 use crate::desired::{DesiredState, RouteSpec};
 
-/// Host of routes that belong to any host that has none of its own.
+/// Host of routes for all hosts without routes of their own.
 pub const ANY_HOST: &str = "*";
 
-/// The routes of one desired state, ready for look-ups.
+/// The routes of a desired state, indexed by host.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     version: u64,
@@ -32,12 +32,12 @@
         }
     }
 
-    /// Version of the desired state behind this table.
+    /// Returns the version of the desired state that the table was built from.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The route of `path` on `host`; a port in `host` is ignored.
+    /// Returns the route of `path` on `host`. A port in `host` is ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<RouteSpec>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = self
@@ -48,7 +48,7 @@
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// All routes, in no order.
+    /// Returns all routes in arbitrary order.
     pub fn iter(&self) -> impl Iterator<Item = &Rc<RouteSpec>> {
         self.hosts.values().flatten()
     }
--- a/crates/place/src/server.rs
+++ b/crates/place/src/server.rs
@@ -1,5 +1,5 @@
-//! One backend server as this entry knows it: its entry in the registry, what it
-//! reported, and how it has behaved.
+//! State of a backend server as seen by this entry: its registration, its load reports, and its
+//! recent behaviour.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -7,73 +7,73 @@
 use crate::placing::timing::Average;
 use crate::rank::{pair_weight, stable_hash};
 
-/// A report of load counts less the older it is; after this time it counts 37 %.
-/// Most work ends within it.
+/// Time constant by which the weight of a load report decays: 37 % remain after this time. Most
+/// requests finish within it.
 const REPORT_DECAY: Duration = Duration::from_millis(400);
-/// First pause after a server could not be reached.
+/// First backoff after a server could not be reached.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
-/// Longest pause: a server that is back must be found within seconds.
+/// Maximum backoff: a server that recovered must be found within seconds.
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
-/// Weight of the newest outcome in the failure rate.
+/// Weight of the latest outcome in the failure rate.
 const FAILURE_WEIGHT: f64 = 0.15;
-/// The failure rate halves in this time, so that a recovered server is tried again.
+/// Half-life of the failure rate, so that a recovered server is tried again.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(2);
-/// Weight of the newest answer in the speed of a server.
+/// Weight of the latest answer in the server's speed.
 const SPEED_WEIGHT: f64 = 0.2;
-/// The speed moves half way back to normal in this time without answers.
+/// Half-life of the speed's deviation from normal while there are no answers.
 const SPEED_HALF_LIFE: Duration = Duration::from_secs(3);
 
 base::common! {
-    /// What a server says of itself.
+    /// State that a server reports of itself.
     #[derive(Copy, Eq)]
     #[serde(rename_all = "kebab-case")]
     pub enum EntryState {
-        /// Takes requests.
+        /// Accepts requests.
         Ready,
-        /// Is about to leave and takes no new requests.
+        /// About to leave; accepts no new requests.
         Draining,
     }
 
-    /// A server's entry in the registry.
+    /// A server's registration in the registry.
     #[derive(Eq)]
     pub struct ServerEntry {
-        /// The server's name, which its later runs may keep.
+        /// Name of the server; later runs may reuse it.
         pub id: String,
-        /// When this run began, in Unix milliseconds by the server's clock; `None`
-        /// where its registry doesn't say.
+        /// When this run began, in Unix milliseconds by the server's clock. `None` if its
+        /// registry doesn't provide it.
         pub started: Option<u64>,
-        /// The service that it belongs to.
+        /// Service that the server belongs to.
         pub service: String,
-        /// Where it listens.
+        /// Address that it listens on.
         pub address: SocketAddr,
-        /// Its failure domain.
+        /// Failure domain of the server.
         pub domain: String,
-        /// The version of its software.
+        /// Software version of the server.
         pub version: String,
-        /// Requests that it runs at the same time.
+        /// Number of requests that it can run concurrently.
         pub slots: u32,
-        /// Whether it takes requests.
+        /// Whether it accepts requests.
         pub state: EntryState,
-        /// How much longer it stays cold, at the time of the entry.
+        /// How much longer the server stays cold, as of the registration.
         pub cold_remaining: Duration,
-        /// Rises with each heartbeat of a run.
+        /// Sequence number that increases with each heartbeat of a run.
         pub seq: u64,
     }
 
-    /// A server's own report of its load, in requests.
+    /// Load that a server reports of itself, in requests.
     #[derive(Copy, Eq)]
     pub struct ServerReport {
-        /// Requests that run.
+        /// Requests that are running.
         pub running: u32,
-        /// Requests that wait.
+        /// Requests that are queued.
         pub waiting: u32,
-        /// Requests that can run at the same time.
+        /// Requests that can run concurrently.
         pub slots: u32,
     }
 }
 
 impl EntryState {
-    /// The state in one word, for lines and operators.
+    /// Returns the name of the state, as used in logs and status output.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Ready => "ready",
@@ -83,20 +83,20 @@
 }
 
 impl ServerEntry {
-    /// Names this run among all runs of all servers: a later run under the same id
-    /// holds nothing of what the former one held.
+    /// Identity hash of this run among all runs of all servers. A later run under the same id
+    /// caches none of the objects of an earlier one.
     pub fn run_hash(&self) -> u64 {
         let id = stable_hash(self.id.as_bytes());
         self.started.map_or(id, |started| pair_weight(id, started))
     }
 
-    /// Whether `self` was written by an earlier run than `other`.
+    /// Returns whether `self` was written by an earlier run than `other`.
     pub fn is_of_earlier_run(&self, other: &Self) -> bool {
         self.started < other.started
     }
 
-    /// Whether both describe the same run. A run keeps its place and service, so
-    /// that an entry which differs there is somebody else's.
+    /// Returns whether both describe the same run. A run never changes its address, domain or
+    /// service, so an entry that differs in one of these was written by another process.
     pub fn is_same_run(&self, other: &Self) -> bool {
         self.started == other.started
             && self.service == other.service
@@ -105,29 +105,29 @@
     }
 }
 
-/// What is known of a server. Times are of the steady clock.
+/// What this entry knows of a server. Times are by the monotonic clock.
 #[derive(Debug, Clone)]
 pub struct ServerRecord {
-    /// The newest entry.
+    /// The latest registration.
     pub entry: ServerEntry,
-    /// The region of the entry's failure domain.
+    /// Region of the server's failure domain.
     pub region: String,
-    /// Hash of the server's run, for ranking.
+    /// Hash of the server's run, used for rendezvous ranking.
     pub hash: u64,
-    /// The server is cold until then.
+    /// Until when the server counts as cold.
     pub cold_until: Option<Instant>,
     /// Since when the entry has been missing from the registry.
     pub missing_since: Option<Instant>,
-    /// As of when it had been listed there before.
+    /// Time of the last read in which it was listed before it went missing.
     pub listed_at: Option<Instant>,
-    /// Whether somebody else's row stands in the registry in the entry's place. The
-    /// server gets nothing until its own word is back.
+    /// Whether another writer replaced the server's row in the registry. The server gets no
+    /// requests until it writes its own row again.
     pub overwritten: bool,
-    /// Round trip to the server, in milliseconds.
+    /// Round-trip time to the server, in milliseconds.
     pub trip: f64,
-    /// Own requests that are at the server.
+    /// This entry's requests in flight at the server.
     pub in_flight: u32,
-    /// Requests of other entries at the server, by their own word.
+    /// Requests of other entries at the server, as reported by them.
     pub peer_load: f64,
     reported_load: f64,
     reported_at: Option<Instant>,
@@ -140,7 +140,7 @@
 }
 
 impl ServerRecord {
-    /// A record of `entry` in `region`, with nothing known of its behaviour.
+    /// Creates a record of `entry` in `region` without any history.
     pub fn new(entry: ServerEntry, region: &str) -> Self {
         Self {
             hash: entry.run_hash(),
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Whether the server tolerates only its cold rate.
+    /// Returns whether the server is limited to its cold rate.
     pub fn is_cold(&self, now: Instant) -> bool {
         self.cold_until.is_some_and(|until| now < until)
     }
@@ -177,12 +177,12 @@
         }
     }
 
-    /// Whether the server is left alone after it could not be reached.
+    /// Returns whether the server gets no requests because it could not be reached recently.
     pub fn is_backing_off(&self, now: Instant) -> bool {
         self.backoff_until.is_some_and(|until| now < until)
     }
 
-    /// Requests of everybody that are likely at the server.
+    /// Returns the estimated number of requests of all entries at the server.
     pub fn occupancy(&self, now: Instant) -> f64 {
         let fresh = self
             .reported_at
@@ -190,11 +190,11 @@
         f64::from(self.in_flight) + (self.reported_load * fresh).max(self.peer_load)
     }
 
-    /// Takes in a load report that came with an answer; call it while the
-    /// answered request still counts as in flight.
+    /// Applies a load report that came with an answer. Call it while the answered request still
+    /// counts as in flight.
     pub fn on_report(&mut self, now: Instant, report: &ServerReport) {
         let total = f64::from(report.running + report.waiting);
-        // The answered request has left the server by the time of the report.
+        // The answered request no longer counts in the server's report.
         let own = f64::from(self.in_flight.saturating_sub(1));
         self.reported_load = (total - own).max(0.0);
         self.reported_at = Some(now);
@@ -203,27 +203,28 @@
         }
     }
 
-    /// The server rejected a request as full: assume that its queue is at `occupancy`.
+    /// Handles that the server rejected a request as full: assumes at least `occupancy`
+    /// requests there.
     pub fn on_full(&mut self, now: Instant, occupancy: f64) {
         let own = f64::from(self.in_flight.saturating_sub(1));
         self.reported_load = self.reported_load.max(occupancy - own);
         self.reported_at = Some(now);
     }
 
-    /// The server could not be reached: leave it alone, longer each time.
+    /// Handles that the server could not be reached, and increases the backoff.
     pub fn on_unreachable(&mut self, now: Instant) {
         self.backoff_until = Some(now + self.backoff);
         self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
         self.on_outcome(now, false);
     }
 
-    /// The server answered; ends the pauses.
+    /// Handles that the server answered, and ends the backoff.
     pub fn on_reached(&mut self) {
         self.backoff = INITIAL_BACKOFF;
         self.backoff_until = None;
     }
 
-    /// Takes in whether the server did what it was asked for.
+    /// Updates the failure rate with the outcome of a request.
     pub fn on_outcome(&mut self, now: Instant, good: bool) {
         let outcome = if good { 0.0 } else { 1.0 };
         let rate = self.failure_rate(now);
@@ -231,7 +232,7 @@
         self.failure_at = Some(now);
     }
 
-    /// Share of requests that failed lately, 0 to 1.
+    /// Returns the share of requests that failed recently, from 0 to 1.
     pub fn failure_rate(&self, now: Instant) -> f64 {
         let decayed = self
             .failure_at
@@ -239,14 +240,14 @@
         self.failure_rate * decayed
     }
 
-    /// Takes in how long an answer took, as a multiple of what was expected.
+    /// Updates the speed with the latency of an answer, as a multiple of what was expected.
     pub fn on_latency_ratio(&mut self, now: Instant, ratio: f64) {
         let speed = self.speed(now);
         self.speed = speed + SPEED_WEIGHT * (ratio.clamp(0.2, 20.0) - speed);
         self.speed_at = Some(now);
     }
 
-    /// How long this server takes, as a multiple of what is usual; 1 is usual.
+    /// Returns the server's latency as a multiple of the usual one; values above 1 are slower.
     pub fn speed(&self, now: Instant) -> f64 {
         let kept = self
             .speed_at
--- a/crates/place/src/snapshot.rs
+++ b/crates/place/src/snapshot.rs
@@ -1,22 +1,22 @@
-//! One reading of the registry, whoever made it.
+//! Result of a read of the registry.
 
 use std::time::Instant;
 
 use crate::server::ServerEntry;
 
-/// A row that was dropped since the reading before.
+/// A row that was dropped since the previous read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DroppedRow {
-    /// The server.
+    /// Id of the server.
     pub id: String,
-    /// The store's version at which it was dropped.
+    /// The store's version at which the row was dropped.
     pub version: u64,
-    /// What stood there last, as far as it was read.
+    /// Last content of the row, if it was read.
     pub last_entry: Option<ServerEntry>,
 }
 
 impl DroppedRow {
-    /// The row of the server `id`, of which nothing else is known, dropped at `version`.
+    /// Creates the dropped row of the server `id` with unknown content, dropped at `version`.
     pub fn new(id: &str, version: u64) -> Self {
         Self {
             id: id.to_owned(),
@@ -26,21 +26,21 @@
     }
 }
 
-/// One complete reading of the registry.
+/// A complete read of the registry.
 #[derive(Debug, Clone)]
 pub struct CatalogSnapshot {
-    /// All entries.
+    /// All registered servers.
     pub entries: Vec<ServerEntry>,
-    /// Keys of rows that are no server's own word. They name no server to use.
+    /// Keys of rows that weren't written by their server, and therefore aren't used.
     pub foreign: Vec<String>,
-    /// When the reading began: nothing in it is older than this.
+    /// When the read began: all data is at least as recent.
     pub begun: Instant,
-    /// The store's version as of which it is.
+    /// The store's version at the read.
     pub version: u64,
 }
 
 impl CatalogSnapshot {
-    /// The same as of the store's version `version`.
+    /// Replaces the store's version.
     #[must_use]
     pub fn with_version(mut self, version: u64) -> Self {
         self.version = version;
