--- a/crates/place/tests/blocks.rs
+++ b/crates/place/tests/blocks.rs
@@ -1,10 +1,10 @@
-//! Blocks of client addresses.
+//! Tests of the table of client address blocks.
 
 use place::blocks::{BlockTableBuilder, parse_block};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Fixed, so that each run gives the same verdict.
+/// Fixed, so that every run has the same result.
 const SEED: u64 = 7;
 
 fn prefix(address: u32, length: u8) -> u64 {
@@ -19,8 +19,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Promise: an address belongs to the longest block around it, whatever blocks
-    /// there are, as a search through all of them finds.
+    /// An address must map to the longest block that contains it, as a search through all
+    /// blocks finds.
     #[test]
     fn the_longest_block_wins(
         blocks in prop::collection::vec((any::<u32>(), 4u8..=32), 1..120),
@@ -52,7 +52,7 @@
     }
 }
 
-/// Promise: a block that is none is refused.
+/// Invalid blocks must be rejected.
 #[test]
 fn a_block_that_is_none_is_refused() {
     for text in ["10.0.0.0/33", "10.0.0.0", "north/8", "::/129"] {
--- a/crates/place/tests/common/mod.rs
+++ b/crates/place/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of this crate share.
+//! Helpers shared by the tests of this crate.
 #![allow(dead_code, unreachable_pub)]
 
 use std::collections::HashMap;
@@ -17,7 +17,7 @@
     Duration::from_millis(millis)
 }
 
-/// A ready server of `board`.
+/// A ready server of the service `board`.
 pub fn server(id: &str, domain: &str) -> ServerEntry {
     ServerEntry {
         id: id.to_owned(),
@@ -33,11 +33,12 @@
     }
 }
 
-/// When the store was at version 0.
+/// Time at which the store had version 0.
 static STORE_BEGUN: LazyLock<Instant> =
     LazyLock::new(|| Instant::now() - Duration::from_secs(3600));
 
-/// A reading that began at `begun`; the store's version rises each millisecond.
+/// A read of the registry that began at `begun`; the store's version increases every
+/// millisecond.
 pub fn reading(begun: Instant, entries: &[ServerEntry]) -> CatalogSnapshot {
     CatalogSnapshot {
         entries: entries.to_vec(),
@@ -47,12 +48,12 @@
     }
 }
 
-/// A reading that was made from what had changed.
+/// The scope of a read of changes only.
 pub fn changes() -> ReadScope {
     ReadScope::default()
 }
 
-/// A route to `board` under `prefix`.
+/// A route to the service `board` for the path prefix `prefix`.
 pub fn route(name: &str, prefix: &str) -> RouteSpec {
     RouteSpec {
         name: name.to_owned(),
@@ -90,14 +91,14 @@
     }
 }
 
-/// Failure domains `a1` and `a2` in `a`, `b1` in `b`.
+/// Failure domains: `a1` and `a2` in the region `a`, `b1` in `b`.
 pub fn domains() -> HashMap<String, String> {
     [("a1", "a"), ("a2", "a"), ("b1", "b")]
         .map(|(domain, region)| (domain.to_owned(), region.to_owned()))
         .into()
 }
 
-/// The settings of an entry in `a1`.
+/// The configuration of an entry in `a1`.
 pub fn placer_config() -> PlacerConfig {
     PlacerConfig {
         domain: "a1".to_owned(),
@@ -118,7 +119,7 @@
     }
 }
 
-/// A placer that knows `entries`.
+/// A placer that knows the servers `entries`.
 pub fn placer(now: Instant, entries: &[ServerEntry]) -> RequestPlacer {
     let mut placer = RequestPlacer::new(placer_config());
     placer.set_desired(&desired(1, vec![route("browse", "/")]));
@@ -126,7 +127,7 @@
     placer
 }
 
-/// A request on `route` for `object`, with a second left.
+/// A request on `route` for `object`, with one second remaining.
 pub fn request(route: &RouteSpec, object: Option<u64>) -> PlacementRequest<'_> {
     PlacementRequest::new(route, 0)
         .with_object(object)
--- a/crates/place/tests/copies.rs
+++ b/crates/place/tests/copies.rs
@@ -1,5 +1,5 @@
-//! A region's entries all start together and need a copy of all servers, in virtual time: links
-//! carry one copy after the other.
+//! Simulates in virtual time that all entries of a region start together and each need a copy
+//! of the registry. A link transmits one copy after the other.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -7,34 +7,35 @@
 
 use place::fleet::copies::{CopyScheduler, CopySource};
 
-/// Bytes of a server's row in a copy.
+/// Size of a server's row in a copy, in bytes.
 const ROW: usize = 75;
-/// Servers for each entry.
+/// Servers per entry.
 const SERVERS: usize = 10;
 const LEADS: usize = 2;
-/// Links of leads and of others, in megabits a second.
+/// Bandwidth of the links of leads and of other entries, in megabits per second.
 const LEAD_LINK: f64 = 1000.0;
 const LINK: f64 = 20.0;
 const WAY: Duration = Duration::from_millis(1);
-/// An entry that was sent away, or whose question failed, asks the other lead after this.
+/// Delay after which an entry that was refused or got no answer asks the other lead.
 const AGAIN: Duration = Duration::from_millis(800);
-/// Longest wait for a copy; whoever gave up asks again.
+/// Maximum time that an entry waits for a copy before it asks again.
 const PATIENCE: Duration = Duration::from_millis(1500);
 const TAKE_IN: Duration = Duration::from_millis(200);
-/// The world ends here.
+/// End of the simulation.
 const LAST: Duration = Duration::from_secs(60);
 
 fn address(entry: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (entry / 250) as u8, (entry % 250) as u8], 7))
 }
 
-/// Time that one copy takes on a slow link.
+/// Transmission time of a copy on a slow link.
 fn one_copy(entries: usize) -> Duration {
     Duration::from_secs_f64((entries * SERVERS * ROW * 8) as f64 / (LINK * 1e6))
 }
 
-/// Time until the last of `entries` has its copy; `None` where it never has. Without `spreads`
-/// whoever is asked serves. `lost` entries end right after they were served.
+/// Returns the time until the last of `entries` has a copy, or `None` if the simulation ends
+/// first. Without `spreads` the asked entry always serves the copy itself. `lost` entries stop
+/// right after they received a copy.
 fn spread_time(entries: usize, spreads: bool, lost: usize) -> Option<Duration> {
     let start = Instant::now();
     let bytes = entries * SERVERS * ROW;
@@ -43,7 +44,8 @@
         .collect();
     let mut free: Vec<Duration> = vec![Duration::ZERO; entries];
     let mut has: HashMap<usize, Duration> = (0..LEADS).map(|lead| (lead, Duration::ZERO)).collect();
-    // Who asks whom at a time, and whether no relay will do.
+    // Pending requests by time and requester: the entry asked, and whether a direct copy is
+    // required.
     let mut asks: BTreeMap<(Duration, usize), (usize, bool)> = BTreeMap::new();
     for entry in LEADS..entries {
         let at = Duration::from_millis((entry % 300) as u64);
@@ -94,14 +96,14 @@
     Some(last)
 }
 
-/// Time besides that of the copies themselves: asking, waiting to ask again, taking in.
+/// Time allowed for everything but transmission: requests, retries, and applying the copy.
 const OVERHEAD: Duration = Duration::from_millis(2500);
-/// Copies one after the other that may pass until the last has one.
+/// Number of successive copies allowed until the last entry has one.
 const COPIES_MOST: u32 = 8;
 
-/// Promise: the time until a region's entries know all servers grows like one copy of these,
-/// not with the number of entries besides; without that it ends nowhere, since copies come
-/// after whoever asked has given up.
+/// The time until all entries of a region have a copy must grow with the size of a copy, but
+/// not with the number of entries as well. With the leads alone it never completes for a large
+/// region, because copies arrive after the requesters have given up.
 #[test]
 fn copies_spread_over_those_that_have_one() {
     for entries in [100, 300, 1000, 2000] {
@@ -119,7 +121,7 @@
     assert!(spread_time(2000, false, 0).is_none());
 }
 
-/// Promise: entries that end after they were served keep nobody from a copy.
+/// Entries that stop after they received a copy must not keep others from getting one.
 #[test]
 fn a_relay_that_ends_costs_one_more_question() {
     let took = spread_time(1000, true, 60).expect("everybody has one");
@@ -129,8 +131,8 @@
     );
 }
 
-/// Promise: small answers are always given, and nobody is kept waiting for longer than it
-/// waits.
+/// Small copies must be served immediately, and large ones refused rather than queued for
+/// longer than a requester waits.
 #[test]
 fn small_answers_are_given_at_once() {
     let now = Instant::now();
--- a/crates/place/tests/crash_load.rs
+++ b/crates/place/tests/crash_load.rs
@@ -1,5 +1,5 @@
-//! A service under load while one request ends its servers: callers whose requests are
-//! caught beside it, repeats, servers that end by themselves, datagrams that are lost.
+//! Simulates a service under load while one request crashes its servers, with retries,
+//! bystanders in flight at the same servers, spontaneous crashes and lost datagrams.
 
 mod fleet_world;
 
@@ -13,24 +13,25 @@
 use place::rank::pair_weight;
 
 const STEP: Duration = Duration::from_millis(10);
-/// The request that ends servers, and how long it runs before.
+/// The request that crashes servers, and how long it runs before it does.
 const FATAL: RequestFingerprint = RequestFingerprint(1);
 const FATAL_TIME: Duration = Duration::from_millis(80);
-/// Servers of the service, and requests at each of them at most.
+/// Number of servers, and maximum number of requests at each.
 const SERVERS: usize = 22;
 const SERVER_JOBS: usize = 6;
-/// Time until a server is back, and until its end is known to the entries that had
-/// requests there.
+/// Time until a crashed server is back, and until the entries that had requests there know of
+/// the crash.
 const BACK_AFTER: Duration = Duration::from_millis(2500);
 const LOOK_TIME: Duration = Duration::from_millis(60);
-/// Arrivals a second: of all requests, of the fatal one, and ends without a cause.
+/// Rates per second: all requests, fatal requests, and spontaneous crashes.
 const ARRIVALS: f64 = 128.0;
 const FATAL_ARRIVALS: f64 = 4.0;
 const OWN_ENDS: f64 = 0.3;
-/// A request is sent so often at most: twice by its entry, and by its caller once more.
+/// Maximum number of sends of a request: two by its entry, and as many again for the caller's
+/// retry.
 const SENDS_MOST: u32 = 4;
-/// The time after the third end within which all entries must know of it, and sends of the
-/// fatal request allowed later.
+/// Time after the third crash within which all entries must know the cause, and the number of
+/// fatal requests that may still be sent later.
 const SPREAD_TIME: Duration = Duration::from_secs(3);
 const LATE_SENDS: usize = 3;
 
@@ -49,7 +50,7 @@
     back_at: Option<Instant>,
 }
 
-/// What came of a play.
+/// Counters of a simulation.
 #[derive(Debug, Default)]
 struct Tally {
     refused: usize,
@@ -96,7 +97,7 @@
         }
     }
 
-    /// A number from 0 to 1.
+    /// Returns a random number from 0 to 1.
     fn draw(&mut self) -> f64 {
         self.drawn += 1;
         (pair_weight(self.seed, self.drawn) >> 11) as f64 / (1_u64 << 53) as f64
@@ -215,7 +216,7 @@
         }
     }
 
-    /// The server ends; what was at it is sent again where it may be.
+    /// Crashes the server and resends its requests as far as allowed.
     fn end(&mut self, index: usize) {
         let now = self.world.now;
         let server = &mut self.servers[index];
@@ -260,9 +261,9 @@
     }
 }
 
-/// Promise: under load, with servers that end by themselves and one datagram in twenty
-/// lost, no caller but that of the fatal request is refused, and that one reaches at most
-/// three servers later than three seconds after it ended the third.
+/// Under load, with spontaneous crashes and one in twenty datagrams lost, no request but the
+/// fatal one may be refused. The fatal request may reach at most three servers later than three
+/// seconds after it crashed the third.
 #[test]
 fn only_the_cause_is_refused_under_load() {
     let plays = (0..40).map(|seed| (12, seed)).chain([(300, 40), (300, 41)]);
--- a/crates/place/tests/crashes.rs
+++ b/crates/place/tests/crashes.rs
@@ -1,4 +1,5 @@
-//! Requests that end servers: which is the cause, who hears of it, and what it costs.
+//! Tests of the detection of requests that crash servers: finding the cause, propagating it,
+//! and the traffic for it.
 
 mod fleet_world;
 
@@ -23,14 +24,14 @@
     }
 }
 
-/// A fleet of `count` that has run for a while.
+/// A fleet of `count` entries that has run for a while.
 fn settled(count: usize) -> FleetWorld {
     let mut world = FleetWorld::new(count);
     world.run(ms(8000));
     world
 }
 
-/// Lets the request end a server for each of `entries`.
+/// Lets the request crash a different server for each of `entries`.
 fn crash(world: &mut FleetWorld, entries: &[usize], first_run: u64) {
     for (run, entry) in (first_run..).zip(entries) {
         world.tell(*entry, FleetEvent::Crashed(vec![report(run, FATAL)]));
@@ -45,8 +46,8 @@
         .count()
 }
 
-/// Promise: a request that ended three servers, each seen by another entry of another
-/// region, is refused by all entries within 1.5 s, whatever their number.
+/// A request that crashed three servers, each seen by an entry of a different region, must be
+/// refused by all entries within 1.5 s at any fleet size.
 #[test]
 fn what_each_entry_saw_once_all_know_soon() {
     for count in [12, 300, 1000] {
@@ -57,8 +58,7 @@
     }
 }
 
-/// Promise: what an entry that doesn't lead sends and hears for it doesn't grow with the
-/// fleet.
+/// The datagrams of an entry that doesn't lead must not increase with the fleet size.
 #[test]
 fn it_costs_the_same_in_a_large_fleet() {
     let mut heard = Vec::new();
@@ -71,12 +71,12 @@
         world.run(ms(10_000));
         heard.push(world.entries[follower].crash_datagrams);
     }
-    // Both leads tell their statuses with each beat.
+    // Both leads send their statuses with each beat.
     assert!(heard.iter().all(|datagrams| *datagrams <= 40), "{heard:?}");
     assert!(heard[0].abs_diff(heard[1]) <= 4, "{heard:?}");
 }
 
-/// Promise: a quarantine outlives the leads that found the cause.
+/// A quarantine must survive the leads that detected the cause.
 #[test]
 fn a_quarantine_outlives_the_leads() {
     let mut world = settled(60);
@@ -97,7 +97,7 @@
     assert_eq!(refusing(&world), 60);
 }
 
-/// Promise: a quarantine outlives a loss of all entries, at one row in the store.
+/// A quarantine must survive the loss of all entries, with a single row in the store.
 #[test]
 fn a_quarantine_outlives_all_entries() {
     let mut world = settled(60);
@@ -110,12 +110,12 @@
     for entry in 0..60 {
         world.restart(entry);
     }
-    // Before they count as settled.
+    // Before the entries count as settled.
     world.run(ms(3000));
     assert_eq!(refusing(&world), 60);
 }
 
-/// Promise: what is cleared leaves the store as well, also where it was away meanwhile.
+/// A cleared request must be removed from the store, even if the store was down at that time.
 #[test]
 fn a_cleared_request_leaves_the_store() {
     let mut world = settled(60);
@@ -131,7 +131,7 @@
     assert_eq!(refusing(&world), 0);
 }
 
-/// Promise: a good answer anywhere lifts what all entries hold of a request.
+/// A successful answer at any entry must clear the request at all entries.
 #[test]
 fn a_good_answer_clears_a_request_everywhere() {
     let mut world = settled(60);
@@ -145,7 +145,8 @@
     assert_eq!(refusing(&world), 0);
 }
 
-/// Promise: an operator lifts a quarantine by a row, everywhere, and the row goes.
+/// An operator must be able to lift a quarantine everywhere by changing its row, which is then
+/// removed.
 #[test]
 fn an_operator_lifts_a_quarantine() {
     let mut world = settled(60);
@@ -159,7 +160,7 @@
     assert_eq!(refusing(&world), 0);
 }
 
-/// Promise: once a request is cleared nobody speaks of it for long.
+/// Messages about a cleared request must stop soon.
 #[test]
 fn a_cleared_request_is_soon_forgotten() {
     let mut world = settled(60);
@@ -179,7 +180,8 @@
     assert_eq!(told(&world), before);
 }
 
-/// Promise: two ends are not enough, and one server that several entries saw is one end.
+/// Two crashes must not be enough for a quarantine. A crash seen by several entries counts
+/// once.
 #[test]
 fn two_ends_may_be_chance() {
     let mut world = settled(60);
@@ -190,8 +192,8 @@
     assert_eq!(refusing(&world), 0);
 }
 
-/// Promise: after a quarantine one further end is enough for the next, and without one a
-/// request is served.
+/// After a quarantine, one further crash must be enough for the next one; without a crash the
+/// request must be served.
 #[test]
 fn a_quarantine_ends_and_returns() {
     let (mut ledger, mut book) = (CrashLedger::default(), QuarantineTable::default());
@@ -212,7 +214,7 @@
     assert!(book.quarantine_left(now, FATAL).is_some());
 }
 
-/// Promise: requests that never part are both refused in the end, not served for good.
+/// Requests that always occur together must both be quarantined eventually.
 #[test]
 fn inseparable_requests_are_found_out() {
     let (mut ledger, mut book) = (CrashLedger::default(), QuarantineTable::default());
@@ -225,7 +227,7 @@
     assert_eq!(book.quarantined().count(), 2);
 }
 
-/// Promise: a request is cleared however many others were before.
+/// A request must be clearable after any number of other clearings.
 #[test]
 fn one_among_many_is_cleared() {
     let mut book = QuarantineTable::default();
@@ -239,7 +241,7 @@
     assert!(!book.raise(FATAL, RequestStatus::Quarantined, now));
 }
 
-/// Promise: what is cleared is told also where many reports wait.
+/// A clearing must be sent even if the queue is full of reports.
 #[test]
 fn a_clearing_is_told_among_many_reports() {
     let mut outbox = CrashOutbox::default();
@@ -253,7 +255,7 @@
     assert_eq!(word.cleared[0].print, FATAL);
 }
 
-/// Promise: a request that was caught often beside the cause is not taken for it.
+/// A request that is often in flight beside the cause must not be mistaken for it.
 #[test]
 fn a_constant_companion_is_not_refused() {
     let (mut ledger, mut book) = (CrashLedger::default(), QuarantineTable::default());
@@ -268,7 +270,7 @@
     assert_eq!(book.quarantined().collect::<Vec<_>>(), [FATAL]);
 }
 
-/// Promise: where servers end whatever they run, few callers are refused for it.
+/// If servers crash regardless of what they run, only a few requests may be refused for it.
 #[test]
 fn a_service_that_ends_by_itself_refuses_few() {
     let (mut ledger, mut book) = (CrashLedger::default(), QuarantineTable::default());
@@ -280,7 +282,7 @@
     assert!(book.quarantined().count() <= 8);
 }
 
-/// One server's end: which of the bystanders were there, and whether the request was.
+/// A crash: the bystanders that were in flight, and whether the fatal request was.
 fn ends() -> impl Strategy<Value = Vec<(BTreeSet<u128>, bool)>> {
     let bystanders = proptest::collection::btree_set(2_u128..40, 0..6);
     proptest::collection::vec((bystanders, proptest::bool::weighted(0.8)), 1..40)
@@ -289,8 +291,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(24), ..ProptestConfig::default() })]
 
-    /// Promise: bystanders, which other servers answer, are never refused, though servers
-    /// end by themselves as well; the cause is refused once it ended enough servers.
+    /// Bystanders, which other servers answer, must never be quarantined, although servers also
+    /// crash by themselves. The cause must be quarantined once it has crashed enough servers.
     #[test]
     fn bystanders_are_never_refused(ends in ends()) {
         let (mut ledger, mut book) = (CrashLedger::default(), QuarantineTable::default());
@@ -310,7 +312,7 @@
                 news.contains(&(*fingerprint, RequestStatus::Quarantined)) && *fingerprint != FATAL
             };
             prop_assert!(!bystanders.iter().any(|fingerprint| refused(&RequestFingerprint(*fingerprint))));
-            // They run again on another server, and are answered.
+            // The bystanders run again on another server, which answers them.
             now += ms(200);
             for fingerprint in &bystanders {
                 ledger.clear(RequestFingerprint(*fingerprint));
--- a/crates/place/tests/departed.rs
+++ b/crates/place/tests/departed.rs
@@ -1,5 +1,5 @@
-//! Servers that have left and what could bring them back: older words, copies of entries that
-//! are behind, a grace without end.
+//! Tests of servers that have left, and of what could bring them back by mistake: obsolete
+//! registrations, copies from lagging entries, and endless grace periods.
 
 mod common;
 
@@ -15,7 +15,7 @@
 use place::prelude::*;
 
 const DRAIN: Duration = Duration::from_millis(3000);
-/// What is left of it for the other entries to hear.
+/// Share of it that remains for the propagation to other entries.
 const TELLING: Duration = Duration::from_millis(600);
 
 fn catalog() -> ServerCatalog {
@@ -41,13 +41,13 @@
     servers.any(|(_, record)| record.entry.id == id)
 }
 
-/// Takes in a reading of `rows` at `at`.
+/// Applies a read of `rows` at `at`.
 fn read(catalog: &mut ServerCatalog, at: Instant, rows: &[ServerEntry]) {
     catalog.on_read(at, &reading(at, rows));
 }
 
-/// Promise: a word that is no newer than the last one of a server that is gone brings it back
-/// nowhere, and no word does where it said that it leaves.
+/// A registration that is no newer than the last one of a departed server must not bring it
+/// back. If the server had announced its departure, no registration of that run may.
 #[test]
 fn a_heartbeat_that_the_store_performs_late_brings_no_server_back() {
     let cases = [
@@ -85,7 +85,7 @@
     }
 }
 
-/// Promise: a later run of a server is another server, whatever its number.
+/// A later run of a departed server must be accepted, whatever its sequence number.
 #[test]
 fn a_later_run_of_a_server_that_left_is_taken_in() {
     let start = Instant::now();
@@ -98,8 +98,7 @@
     assert!(is_open(&catalog, "x"));
 }
 
-/// Promise: an entry that is behind tells everything that it knows, and brings no server back
-/// that its hearer has seen leave.
+/// A full copy from a lagging entry must not bring back a server that the receiver saw leave.
 #[test]
 fn a_copy_of_an_entry_that_is_behind_brings_no_server_back() {
     for last in [leaving("x", 11), ready("x", 11)] {
@@ -120,8 +119,8 @@
     }
 }
 
-/// Promise: a live server that a copy from behind lacks is known again with the next reading,
-/// though its word hasn't changed.
+/// A live server that is missing from a lagging entry's copy must be known again after the next
+/// read, although its registration hasn't changed.
 #[test]
 fn a_copy_that_lacks_a_live_server_keeps_it_out_no_longer_than_until_the_next_reading() {
     let start = Instant::now();
@@ -136,8 +135,8 @@
     assert!(is_open(&catalog, "x"));
 }
 
-/// Promise: what an entry tells of a leaving server isn't taken back by an older word, neither
-/// of the store nor of another entry.
+/// The log must not replace the news that a server is leaving with an older registration,
+/// whether that comes from the store or from another entry.
 #[test]
 fn an_older_word_is_not_told_on() {
     let start = Instant::now();
@@ -157,8 +156,8 @@
     assert_eq!(all(&log), [EntryState::Draining]);
 }
 
-/// Promise: an entry that starts is told of servers that left, so that an older word in its
-/// own reading brings none back.
+/// An entry that starts must be told which servers have left, so that an obsolete registration
+/// in its first own read doesn't bring one back.
 #[test]
 fn an_entry_that_starts_hears_which_servers_have_left() {
     let start = Instant::now();
@@ -180,8 +179,8 @@
     assert!(is_open(&catalog, "y"));
 }
 
-/// Promise: a row that vanished while calls fail now and then is kept no longer than a leaving
-/// server may get requests: the registry answers between, so that nothing lapses.
+/// A row that disappeared while some calls fail must not be kept for longer than a leaving
+/// server may get requests: the registry answers in between, so nothing has expired.
 #[test]
 fn calls_that_fail_now_and_then_keep_no_server_that_is_gone() {
     for gap in [300, 700, 1100, 1500, 1900, 2300, 2700, 3100, 4100] {
@@ -208,8 +207,8 @@
     }
 }
 
-/// Promise: the same where the registry answers seldom: each failure begins a new wait for
-/// live servers, but no wait is begun twice for one row.
+/// The same for a registry that rarely answers: each failure starts a new grace period for live
+/// servers, but must not restart it for a row that is already missing.
 #[test]
 fn a_registry_that_answers_seldom_keeps_no_server_without_end() {
     const MOST: Duration = Duration::from_millis(8000);
@@ -237,8 +236,8 @@
     );
 }
 
-/// Promise: rows that lapsed in a real outage are kept until live servers had time to be
-/// listed again, though calls fail once more meanwhile.
+/// Rows that expired during a real outage must be kept until live servers had time to register
+/// again, although another call fails in the meantime.
 #[test]
 fn a_row_that_lapsed_in_an_outage_is_kept_for_its_server() {
     let start = Instant::now();
@@ -256,8 +255,9 @@
     assert!(!is_open(&catalog, "y"), "not listed again in time");
 }
 
-/// Promise: an entry that read for itself in an outage, keeps what vanished and follows a lead
-/// again asks the registry once more when the wait is over; it asks again where that fails.
+/// An entry that read for itself during an outage, keeps missing servers and then follows a
+/// lead again must read the registry once more when the grace period ends, and retry if that
+/// fails.
 #[test]
 fn a_follower_ends_the_wait_that_it_began() {
     let start = Instant::now();
@@ -288,8 +288,8 @@
     assert_eq!(plan.begin_read(later, follower, Some(later), false), None);
 }
 
-/// Promise: a server that is told as gone and as listed again in one change keeps what is known
-/// of it: it is the same run.
+/// A server that leaves and is listed again within a single change must keep its state: it is
+/// the same run.
 #[test]
 fn a_server_that_is_back_in_the_same_change_is_not_forgotten() {
     let start = Instant::now();
@@ -310,11 +310,11 @@
     assert_eq!(changed, []);
 }
 
-/// Promise: a row that is dropped and listed again between two readings is of a live server only
-/// by a newer word than what stood there, also where nobody read that one; others are told.
+/// A row that is dropped and listed again between two reads belongs to a live server only if it
+/// is newer than the dropped one, even if nobody read that one. Followers must see the same.
 #[test]
 fn a_row_that_is_listed_again_between_two_readings_needs_a_newer_word() {
-    // What is known, what was dropped, what is listed now, and whether that is a live server's.
+    // The sequence numbers known, dropped and listed, and whether the server is alive.
     let cases = [
         (1, None, 1, false),
         (1, None, 2, true),
@@ -348,8 +348,8 @@
     }
 }
 
-/// Promise: a reading that tells late of a row's drop, which another entry has told since with
-/// the newer word, keeps no live server out.
+/// A read that reports a row's drop late, after another entry sent a newer registration, must
+/// not keep the live server out.
 #[test]
 fn a_drop_that_is_heard_late_keeps_no_live_server_out() {
     let start = Instant::now();
@@ -363,8 +363,8 @@
     assert!(is_open(&catalog, "x"));
 }
 
-/// Promise: a lead's word that waited unread while the process stood still is as old as the
-/// wait; one that never was stays so.
+/// A lead's message that waited unread while the process was suspended must age by that time. A
+/// read that never happened stays unset.
 #[test]
 fn a_word_that_waited_is_older_by_the_wait() {
     let now = Instant::now();
@@ -378,8 +378,8 @@
     assert_eq!(heard.operator_at, None);
 }
 
-/// Promise: a server that a whole copy lacks, which is as new as what was known, has ended: a
-/// word that is no newer brings it back nowhere.
+/// A server that is missing from a full copy at least as new as the receiver's knowledge has
+/// left: only a newer registration may bring it back.
 #[test]
 fn a_server_that_a_newer_copy_lacks_needs_a_newer_word() {
     for (seq, is_live) in [(10, false), (11, true)] {
@@ -398,8 +398,8 @@
     }
 }
 
-/// Promise: what kept the words of a server out that announced nothing ends by itself, so that
-/// no damaged message keeps a live server out for long.
+/// The departure of a server that didn't announce it must expire, so that a corrupted message
+/// can't keep a live server out for long.
 #[test]
 fn the_end_of_a_silent_server_is_forgotten_in_time() {
     const MOST: Duration = Duration::from_secs(30);
@@ -414,8 +414,8 @@
     assert!(is_open(&catalog, "x"));
 }
 
-/// Promise: entries that have seen a server announce its end agree on an older word of it,
-/// whether they saw the row dropped or not.
+/// Entries that saw a server announce its departure must agree on an obsolete registration of
+/// it, whether or not they saw its row dropped.
 #[test]
 fn entries_agree_on_an_older_word_of_a_server_that_announced_its_end() {
     let start = Instant::now();
@@ -437,8 +437,8 @@
     assert_eq!(log_of(&[0, 1, 2, 3]), log_of(&[0, 1, 3]));
 }
 
-/// Promise: a lead that has heard of a server's end tells no older word of it without that end,
-/// whether the word came before it heard or after.
+/// A lead that knows a server's departure must not send an obsolete registration without it,
+/// whichever of the two it learned first.
 #[test]
 fn an_older_word_is_told_with_the_servers_end() {
     let start = Instant::now();
@@ -467,8 +467,8 @@
     }
 }
 
-/// Promise: of a server's end that another entry tells, with an earlier word than is known here,
-/// the last word that is known here counts in what is told on.
+/// When another entry reports a departure with an older registration than the one known here,
+/// the log must pass on the newer one.
 #[test]
 fn an_end_that_is_told_on_has_the_last_word_that_is_known() {
     let start = Instant::now();
@@ -485,7 +485,7 @@
     follower.on_told(start, start, &lead.since(0));
     read(&mut follower, start + ms(9000), &[ready("x", 3), other]);
     assert!(!is_open(&follower, "x"));
-    // The same where a whole copy, as new as what is known, lacks it.
+    // The same if a full copy, as new as the local knowledge, lacks the server.
     let mut lead = RegistryLog::default();
     lead.on_read(&reading(start, &[ready("x", 3), ready("y", 3)]), changes());
     let copy = RegistryDelta {
@@ -499,7 +499,8 @@
     let late = [ready("x", 3), ready("y", 3)];
     read(&mut follower, start + ms(9000), &late);
     assert!(!is_open(&follower, "x"), "a whole copy");
-    // A server that is told as gone and back is known by the word that is told.
+    // A server reported as departed and listed again is known by the registration that was
+    // sent.
     let mut lead = RegistryLog::default();
     lead.on_read(&reading(start, &[ready("x", 3)]), changes());
     let back = RegistryDelta {
@@ -512,8 +513,8 @@
     assert!(is_open(&follower, "x"));
 }
 
-/// Promise: however many servers leave at once, what is told of their ends is bounded, and the
-/// newest thousand are kept out.
+/// The number of departures sent must be bounded however many servers leave at once, and the
+/// latest thousand must stay out.
 #[test]
 fn what_is_told_of_ends_is_bounded() {
     const TOLD_MOST: usize = 1024;
@@ -550,8 +551,8 @@
     }
 }
 
-/// Promise: a row that vanished in an outage and is listed again while its server is waited for
-/// isn't the live server's by an older word.
+/// A row that disappeared during an outage and is listed again during the grace period must not
+/// count as the live server's if it is older than the last known registration.
 #[test]
 fn an_older_word_ends_no_wait() {
     for (seq, is_live) in [(9, false), (11, true)] {
@@ -572,8 +573,8 @@
     }
 }
 
-/// Promise: the last word of a row that vanished in an outage counts in what is told of its end,
-/// though that word came in the same reading as the drop.
+/// The departure that is sent after the grace period must include the row's last registration,
+/// even if that was first seen in the read that reported the drop.
 #[test]
 fn the_end_after_a_wait_has_the_last_word() {
     let start = Instant::now();
--- a/crates/place/tests/directory.rs
+++ b/crates/place/tests/directory.rs
@@ -1,4 +1,4 @@
-//! Which entries callers are told to use.
+//! Tests of which entries callers are told to use.
 
 use std::collections::HashMap;
 
@@ -20,8 +20,8 @@
     ("west", 7),
 ];
 
-/// Promise: a caller is told entries of its own region first, and some of others for
-/// when that region fails; each entry once.
+/// A caller must be told entries of its own region first, then some of other regions for when
+/// that region fails, and each entry only once.
 #[test]
 fn own_region_comes_first() {
     for spread in 0..50 {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Promise: callers spread evenly over entries of equal standing.
+/// Callers must be spread evenly over equivalent entries.
 #[test]
 fn callers_spread_over_equal_entries() {
     let mut first: HashMap<u32, u32> = HashMap::new();
@@ -49,7 +49,8 @@
     assert!(first.values().all(|count| *count == 100), "{first:?}");
 }
 
-/// Promise: a caller from nowhere, or from a region without entries, is told others.
+/// A caller without a region, or from a region without entries, must be told entries of other
+/// regions.
 #[test]
 fn a_caller_without_a_region_is_told_others() {
     for home in [None, Some("east")] {
--- a/crates/place/tests/log.rs
+++ b/crates/place/tests/log.rs
@@ -1,4 +1,4 @@
-//! What an entry learns of another one's readings of the registry.
+//! Tests of the registry log, by which an entry follows another entry's reads of the registry.
 
 mod common;
 
@@ -13,11 +13,11 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Fixed, so that each run gives the same verdict.
+/// Fixed, so that every run has the same result.
 const SEED: u64 = 7;
 
-/// Promise: a reading that brought only heartbeats, or the rest of a warm-up that was
-/// told, costs a follower nothing; the end of the warm-up is told.
+/// Heartbeats and the elapsing of a known warm-up time must cause no traffic to followers. The
+/// end of the warm-up is sent.
 #[test]
 fn heartbeats_are_not_told() {
     let now = Instant::now();
@@ -34,8 +34,8 @@
     assert_eq!(log.since(log_version(1)).entries.len(), 1);
 }
 
-/// Promise: a server whose row vanished while the registry was in trouble is kept by
-/// followers until its reader gives it up, also by one that then reads itself.
+/// Followers must keep a server whose row disappeared during trouble with the registry until
+/// their reader gives it up, including a follower that then reads the registry itself.
 #[test]
 fn followers_keep_what_their_reader_keeps() {
     let now = Instant::now();
@@ -53,7 +53,7 @@
     follower.on_told(&delta);
     catalog.on_told(now, now, &delta);
     assert_eq!(catalog.iter().count(), 2);
-    // What it would go on from if it read itself has no row of the missing server.
+    // A read of its own would start from these entries, without the row of the missing server.
     assert_eq!(follower.entries().count(), 1);
     reader.on_read(&reading(now, &both[..1]).with_version(3), changes());
     let delta = reader.since(follower.version());
@@ -61,7 +61,7 @@
     assert_eq!(catalog.iter().count(), 1);
 }
 
-/// Promise: a log that holds what no reading gave is made anew by the next reading.
+/// A log ahead of the store, as after a corrupted message, must be rebuilt by the next read.
 #[test]
 fn a_log_ahead_of_the_store_is_made_anew() {
     let now = Instant::now();
@@ -86,9 +86,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Promise: whatever servers come, go and change, whichever answers are missed, and
-    /// whichever of two readers, or another follower, is asked, an entry that hears knows
-    /// what the one that it asked knows, also of servers that this one never saw.
+    /// A follower must always end up with the knowledge of the entry that it asked, whether
+    /// that is one of two readers or another follower. Servers come, change and go at random,
+    /// and answers get lost. This includes the departure of servers that the follower never
+    /// saw.
     #[test]
     fn a_follower_catches_up(steps in prop::collection::vec((0u8..40, 0u8..4, any::<bool>()), 1..300)) {
         let now = Instant::now();
@@ -98,8 +99,8 @@
         let mut catalog = ServerCatalog::new(domains());
         let mut present: BTreeSet<u8> = BTreeSet::new();
         let mut leaving: BTreeSet<u8> = BTreeSet::new();
-        // What was dropped since each reader's last reading; `None` before the first and
-        // where the history is gone.
+        // Rows dropped since each reader's last read; `None` before the first read and after
+        // the store's history was lost.
         let mut dropped: [Option<Vec<DroppedRow>>; 2] = [None, None];
         for (version, (number, heard, is_second)) in (1..).zip(steps) {
             if !present.insert(number) && !leaving.insert(number) {
@@ -116,7 +117,7 @@
                 .iter()
                 .map(|number| {
                     let mut entry = server(&format!("s{number}"), "a1");
-                    // A run that left is followed by another one of the same server.
+                    // A run that left is followed by another run of the same server.
                     entry.started = Some(version);
                     if leaving.contains(number) {
                         entry.state = EntryState::Draining;
@@ -152,7 +153,7 @@
     }
 }
 
-/// What an entry with this log knows, which has read the store as of `read`.
+/// The progress of an entry with this log that has read the store as of the version `read`.
 fn known_of(log: &RegistryLog, read: u64, at: Instant) -> StoreProgress {
     StoreProgress {
         registry: log.version(),
@@ -163,8 +164,8 @@
     }
 }
 
-/// Promise: two entries that each noticed something of their own, at the same version of the
-/// store, are not taken to know the same.
+/// Two entries that each made a local change at the same version of the store must not treat
+/// their knowledge as equal.
 #[test]
 fn steps_of_the_same_number_do_not_hide_each_other() {
     let now = Instant::now();
@@ -176,7 +177,7 @@
     };
     here.on_read(&reading(now, &both[..1]).with_version(100), kept.clone());
     there.on_read(&reading(now, &both[..1]).with_version(100), kept);
-    // Here somebody else's row is met; there a server that is not back is given up.
+    // Here a row of another writer appears; there a missing server is given up.
     let mut odd = reading(now, &both[..1]);
     odd.foreign.push("z".to_owned());
     let kept = ReadScope {
@@ -193,8 +194,8 @@
     );
 }
 
-/// Promise: what one entry reads is not taken as known by another whose own log moved on for
-/// a reason of its own, though no change of the store's was in it.
+/// An entry must not skip a change that another entry read because its own log advanced by a
+/// local change in the meantime.
 #[test]
 fn a_change_is_not_hidden_by_what_only_one_entry_noticed() {
     let now = Instant::now();
@@ -202,7 +203,7 @@
     let both = [server("x", "a1"), server("y", "a1")];
     here.on_read(&reading(now, &both).with_version(100), changes());
     there.on_read(&reading(now, &both).with_version(100), changes());
-    // Only here somebody else's row is met; the store's version is the same.
+    // A row of another writer appears only here; the store's version is the same.
     let mut odd = reading(now, &both);
     odd.foreign.push("z".to_owned());
     here.on_read(&odd.with_version(100), changes());
@@ -212,7 +213,7 @@
         registry_at: Some(now),
         ..StoreProgress::default()
     };
-    // There it is read that a server leaves.
+    // The other entry reads that a server is leaving.
     let mut leaving = both.clone();
     leaving[0].state = EntryState::Draining;
     there.on_read(
--- a/crates/place/tests/proofs.rs
+++ b/crates/place/tests/proofs.rs
@@ -1,5 +1,5 @@
-//! How fresh the store's word on the operator's rows is at each entry, in virtual time: an
-//! entry may act on a team's key only while it can show that the key held lately.
+//! Tests in virtual time how recently each entry knows the operator's rows to be current. An
+//! entry may act on a team's key only while it can show that the key was valid recently.
 
 mod fleet_world;
 
@@ -14,16 +14,16 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Fixed, so that each run gives the same verdict.
+/// Fixed, so that every run has the same result.
 const SEED: u64 = 23;
-/// A key that was taken away must not be served this long after.
+/// A revoked key must not be accepted for longer than this.
 const REVOKE: Duration = Duration::from_secs(5);
-/// A key that was added must be known this long after.
+/// A new key must be known after this time.
 const LEARN: Duration = Duration::from_secs(3);
-/// What entries keep off these bounds.
+/// Safety margin that entries must keep to these limits.
 const MARGIN: Duration = Duration::from_millis(150);
 
-/// A fleet of `count` that has run for a while.
+/// A fleet of `count` entries that has run for a while.
 fn settled(count: usize) -> FleetWorld {
     let mut world = FleetWorld::new(count);
     world.proof_within = Some(REVOKE);
@@ -38,7 +38,8 @@
         .collect()
 }
 
-/// Plays `span`; the oldest proof that any of `entries` was left with meanwhile.
+/// Runs the world for `span` and returns the maximum proof age of any of `entries` in that
+/// time.
 fn oldest(world: &mut FleetWorld, entries: &[usize], span: Duration) -> Duration {
     let until = world.now + span;
     let mut oldest = Duration::ZERO;
@@ -51,7 +52,7 @@
     oldest
 }
 
-/// Fails where an entry's knowledge seems younger than a change that it lacks.
+/// Fails if an entry's knowledge claims to be more recent than a change that it lacks.
 fn check_claims(world: &FleetWorld) {
     for entry in world.live() {
         if world.is_still(entry) {
@@ -67,8 +68,8 @@
     }
 }
 
-/// Promise: on calm days each entry's knowledge is young enough to deny an unknown key,
-/// whatever the size of the fleet, at the calls that are made anyway.
+/// Without faults, each entry's knowledge must be recent enough to deny an unknown key, at any
+/// fleet size and without additional calls to the store.
 #[test]
 fn calm_entries_know_enough_to_deny() {
     for count in [12, 300, 1000] {
@@ -82,8 +83,8 @@
     }
 }
 
-/// Promise: entries that get requests go on serving keys when both leads of their region end
-/// at once, and when the store refuses a third of all, leads among them.
+/// Entries with traffic must continue to accept keys when both leads of their region stop at
+/// once, and when the store refuses a third of all entries including leads.
 #[test]
 fn lost_and_refused_leads_leave_nobody_in_the_dark() {
     for count in [12, 64, 300] {
@@ -112,8 +113,8 @@
     }
 }
 
-/// Promise: an entry that nothing reaches any more knows that its knowledge grows old, and
-/// one that only the other entries don't reach asks the store itself.
+/// An isolated entry must recognize that its knowledge ages. An entry that is cut off from
+/// other entries only must ask the store itself.
 #[test]
 fn a_cut_off_entry_knows_its_age() {
     for keeps_store in [false, true] {
@@ -134,8 +135,8 @@
     }
 }
 
-/// Promise: while the store is down it isn't pressed, and what all know grows old at all;
-/// soon after its return all may serve again.
+/// While the store is down it must not be flooded with calls, and every entry's knowledge must
+/// age. Soon after the store recovers all entries must be able to serve again.
 #[test]
 fn a_store_that_is_down_leaves_all_in_the_dark() {
     for count in [64, 1000] {
@@ -158,8 +159,8 @@
     }
 }
 
-/// Promise: a digest that comes seconds late, as one that waited at a process that stood
-/// still, makes no knowledge younger than it is.
+/// A digest that arrives seconds late, such as one that waited at a suspended process, must not
+/// make any knowledge appear more recent than it is.
 #[test]
 fn late_digests_make_nothing_younger() {
     for suspended in [false, true] {
@@ -181,8 +182,7 @@
     }
 }
 
-/// Promise: a stamp beyond what the store's clock can show renews nothing; neither does one
-/// that was heard before.
+/// Stamps ahead of the store's clock and stamps received before must not renew a proof.
 #[test]
 fn forged_and_repeated_stamps_renew_nothing() {
     let mut world = settled(12);
@@ -222,7 +222,7 @@
     assert!(age >= ms(5900), "{age:?}");
 }
 
-/// Promise: a store whose clock begins anew is believed again.
+/// A store whose clock restarts must be accepted again.
 #[test]
 fn a_clock_that_begins_anew_is_followed() {
     let start = std::time::Instant::now();
@@ -235,7 +235,7 @@
     assert!(clock.age(later + ms(50), StoreTime(20)).unwrap() <= ms(37));
 }
 
-/// What befalls the fleet.
+/// Faults and events of the fleet.
 #[derive(Debug, Clone, Copy)]
 enum Trouble {
     Change,
@@ -296,7 +296,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Promise: whatever befalls the fleet, no entry's knowledge seems younger than a change
+    /// Whatever faults occur, no entry's knowledge may claim to be more recent than a change
     /// that it lacks.
     #[test]
     fn no_knowledge_seems_younger_than_it_is(troubles in troubles()) {
@@ -314,8 +314,8 @@
     }
 }
 
-/// Promise: an entry that takes older knowledge of the operator's rows in place of its own
-/// claims no younger proof than that knowledge has.
+/// An entry that replaces its knowledge of the operator's rows with older knowledge must not
+/// claim a more recent proof than that knowledge has.
 #[test]
 fn older_knowledge_comes_with_its_own_proof() {
     let word = |operator, proved| StoreProgress {
--- a/crates/place/tests/reading.rs
+++ b/crates/place/tests/reading.rs
@@ -1,11 +1,11 @@
-//! When an entry asks the store itself.
+//! Tests of when an entry reads the registry from the store.
 
 use std::time::{Duration, Instant};
 
 use place::fleet::pace::ReadIntervals;
 use place::fleet::reading::{ReadOutcome, ReadRole, ReadScheduler, answer_as_of};
 
-/// Promise: an entry that goes on doubting what it knows reads everything again no more often
+/// An entry that remains in doubt about its knowledge must not repeat full reads more often
 /// than a reader reads.
 #[test]
 fn a_reading_that_settles_nothing_is_not_repeated_at_once() {
@@ -30,8 +30,9 @@
     assert!(calls <= most, "{calls} calls in {span:?}");
 }
 
-/// Promise: an answer with news counts from its question, however late it is read, since it may
-/// have been given at once; one without news counts from the end of the wait.
+/// An answer with a change must count as of the call's start, however late it is processed,
+/// since the store may have answered immediately. An answer without a change counts as of the
+/// end of the wait.
 #[test]
 fn a_late_answer_with_news_counts_from_its_question() {
     let begun = Instant::now();
--- a/crates/place/tests/relisting.rs
+++ b/crates/place/tests/relisting.rs
@@ -1,5 +1,5 @@
-//! Servers whose rows vanish around an outage of the store: kept while they may only have
-//! lapsed, and no longer.
+//! Tests of servers whose rows disappear around an outage of the store: they must be kept while
+//! they may merely have expired, but no longer.
 
 mod common;
 
@@ -10,15 +10,15 @@
 use place::fleet::pace::ReadIntervals;
 use place::fleet::reading::{ReadOutcome, ReadRole, ReadScheduler, RegistryRead};
 
-/// Within this time a leaving server must get no more requests.
+/// Time within which a leaving server must get no more requests.
 const DRAIN: Duration = Duration::from_millis(3000);
-/// An answer of the store.
+/// Latency of the store's answers.
 const ANSWER: Duration = Duration::from_millis(5);
-/// The way to the entries that follow the reader.
+/// Propagation time to the entries that follow the reader.
 const TELLING: Duration = Duration::from_millis(150);
 
-/// Promise: a server whose row is dropped just after the store's return is used by nobody
-/// any more in time, whenever its reader happened to ask.
+/// A server whose row is dropped right after the store recovers must be out of use in time,
+/// whenever its reader happened to ask.
 #[test]
 fn a_row_dropped_after_an_outage_counts_in_time() {
     for offset in 0..20 {
@@ -47,7 +47,7 @@
                 continue;
             }
             let begun = now;
-            // The store answers at once what has changed, else after the wait.
+            // The store answers immediately if there is a change, otherwise after the wait.
             let is_news = catalog.missing().next().is_none() && dropped < begun + wait;
             now = if is_news {
                 dropped.max(begun)
@@ -70,8 +70,8 @@
     }
 }
 
-/// Promise: a server whose row vanishes is gone at once for an entry that the store alone
-/// turned away, as others' readings show: nothing has lapsed.
+/// If the store refuses only this entry, as other entries' reads show, nothing expires: a
+/// server whose row disappears must be gone immediately.
 #[test]
 fn a_store_that_turns_one_away_lapses_nothing() {
     let start = Instant::now();
@@ -86,7 +86,7 @@
     let now = start + ms(6200);
     catalog.on_read(now, &reading(now, &both[..1]));
     assert_eq!(catalog.iter().count(), 1);
-    // Nobody was answered: it may only have lapsed.
+    // The store answered nobody, so the row may merely have expired.
     for turn in 1..=20 {
         catalog.on_read_failed(now + ms(300 * turn));
     }
--- a/crates/place/tests/routes.rs
+++ b/crates/place/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Routes by host and prefix, and the division of a route's traffic.
+//! Tests of route look-up by host and path prefix, and of traffic splits.
 
 mod common;
 
@@ -9,10 +9,10 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Fixed, so that each run gives the same verdict.
+/// Fixed, so that every run has the same result.
 const SEED: u64 = 7;
 
-/// Promise: the longest prefix that begins the path decides, whatever the order.
+/// The longest matching path prefix must win, in whatever order the routes are configured.
 #[test]
 fn the_longest_prefix_decides() {
     let routes = vec![
@@ -32,7 +32,7 @@
     assert_eq!(name("/d/"), None);
 }
 
-/// Promise: hosts are told apart, without regard to case or port.
+/// Hosts must match regardless of case and port.
 #[test]
 fn hosts_are_told_apart() {
     let table = RouteTable::new(&desired(3, vec![route("only", "/")]));
@@ -47,7 +47,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Promise: after any number of requests each part has its share, to within one.
+    /// After any number of requests each part of a split must have received its share, up to a
+    /// difference of less than one request per part.
     #[test]
     fn shares_hold_at_every_moment(weights in prop::collection::vec(1u32..100, 2..6), count in 1usize..400) {
         let mut split = route("split", "/");
--- a/crates/place/tests/runs.rs
+++ b/crates/place/tests/runs.rs
@@ -1,4 +1,5 @@
-//! Servers that start again under their id, and rows of other writers.
+//! Tests of servers that restart under the same id, and of rows that other writers put into the
+//! registry.
 
 mod common;
 
@@ -13,7 +14,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Fixed, so that each run gives the same verdict.
+/// Fixed, so that every run has the same result.
 const SEED: u64 = 11;
 
 fn run(id: &str, started: u64, seq: u64) -> ServerEntry {
@@ -30,8 +31,8 @@
     ids
 }
 
-/// Promise: a server that was leaving and starts again under its id is used again,
-/// though its counts start anew, at its new address and for its new service.
+/// A server that was leaving and restarts under its id must be used again, with its new address
+/// and service, although its sequence numbers start over.
 #[test]
 fn a_new_run_is_used_though_the_former_one_was_leaving() {
     let now = Instant::now();
@@ -56,7 +57,7 @@
     assert_eq!(catalog.open_servers("desk").count(), 1);
 }
 
-/// Promise: a late word of a former run changes nothing, whatever its count.
+/// A late registration of an earlier run must change nothing, whatever its sequence number.
 #[test]
 fn a_late_word_of_a_former_run_changes_nothing() {
     let now = Instant::now();
@@ -69,8 +70,8 @@
     assert_eq!(open(&catalog), ["x"]);
 }
 
-/// Promise: a new run holds no objects, has no requests and no history: what is
-/// heard of the former run doesn't count for it.
+/// A new run caches no objects and has no requests or history. Reports about the earlier run
+/// must not count for it.
 #[test]
 fn a_new_run_knows_nothing_of_the_former_one() {
     let now = Instant::now();
@@ -85,7 +86,7 @@
         .catalog
         .on_read(now + ms(5), &reading(now + ms(5), &[fresh]));
     let later = now + ms(10);
-    // Another entry's word, and an answer, both of the former run.
+    // Another entry's load report, and an answer, both of the earlier run.
     placer.on_peer_load(later, 5, told);
     let report = ServerReport {
         running: 4,
@@ -112,8 +113,8 @@
     );
 }
 
-/// Promise: the cold rate of a new run holds from its first request, also at an
-/// entry that hears of it from another one.
+/// The cold rate of a new run must apply from its first request, including at an entry that
+/// learns of the run from another entry.
 #[test]
 fn a_new_run_gets_its_cold_rate_at_followers_too() {
     let now = Instant::now();
@@ -139,9 +140,9 @@
     assert_eq!(refused.unwrap_err().reason, RefusalReason::Cold);
 }
 
-/// Promise: a row of another writer takes a server out only while it stands; the
-/// server's own next word brings it back as it was, not cold, and the others hold.
-/// Followers see the same.
+/// A row of another writer must take a server out of use only while it exists. The server's
+/// next registration restores it, not cold, and other servers aren't affected. Followers must
+/// see the same.
 #[test]
 fn a_foreign_row_takes_its_server_out_while_it_stands() {
     let now = Instant::now();
@@ -178,8 +179,8 @@
     );
 }
 
-/// Promise: a whole row that moves a run to another service, address or failure
-/// domain, or into one that isn't known, is somebody else's.
+/// A complete row that moves a run to another service, address or failure domain, or into an
+/// unknown domain, must be treated as written by another process.
 #[test]
 fn a_run_does_not_move() {
     let now = Instant::now();
@@ -198,7 +199,8 @@
     }
 }
 
-/// Promise: a leaving run is believed even where somebody raised its count before.
+/// A run's announcement that it leaves must be accepted even if another writer raised its
+/// sequence number before.
 #[test]
 fn leaving_is_believed_whatever_the_count() {
     let now = Instant::now();
@@ -239,9 +241,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Promise, for any rows in any order: a leaving run never returns, a known run
-    /// never gives way to an earlier one, a server under a foreign row isn't used,
-    /// and a server whose rows don't change never changes.
+    /// For any rows in any order: a leaving run never returns, a known run is never replaced by
+    /// an earlier one, a server under a foreign row isn't used, and a server with unchanged
+    /// rows never changes.
     #[test]
     fn any_rows_in_any_order_keep_runs_apart(rows in prop::collection::vec(any_row(), 1..40)) {
         let now = Instant::now();
@@ -262,7 +264,7 @@
             } else {
                 snapshot.entries.push(entry);
             }
-            // The other ids' rows stand as they were: read again as they are known.
+            // The rows of the other ids are read again as they are known.
             for record in catalog.iter() {
                 if record.entry.id != id && record.entry.id != "calm" {
                     snapshot.entries.push(record.entry.clone());
