--- a/crates/place/tests/blocks.rs
+++ b/crates/place/tests/blocks.rs
@@ -54,7 +54,7 @@
 
 /// Invalid blocks must be rejected.
 #[test]
-fn a_block_that_is_none_is_refused() {
+fn invalid_blocks_are_rejected() {
     for text in ["10.0.0.0/33", "10.0.0.0", "north/8", "::/129"] {
         assert!(parse_block(text).is_err(), "{text}");
     }
--- a/crates/place/tests/common/mod.rs
+++ b/crates/place/tests/common/mod.rs
@@ -34,7 +34,7 @@
 }
 
 /// Time at which the store had version 0.
-static STORE_BEGUN: LazyLock<Instant> =
+static STORE_START: LazyLock<Instant> =
     LazyLock::new(|| Instant::now() - Duration::from_secs(3600));
 
 /// A read of the registry that began at `begun`; the store's version increases every
@@ -44,7 +44,7 @@
         entries: entries.to_vec(),
         foreign: Vec::new(),
         begun,
-        version: (begun - *STORE_BEGUN).as_millis() as u64,
+        version: (begun - *STORE_START).as_millis() as u64,
     }
 }
 
--- a/crates/place/tests/copies.rs
+++ b/crates/place/tests/copies.rs
@@ -8,21 +8,21 @@
 use place::fleet::copies::{CopyScheduler, CopySource};
 
 /// Size of a server's row in a copy, in bytes.
-const ROW: usize = 75;
+const ROW_BYTES: usize = 75;
 /// Servers per entry.
-const SERVERS: usize = 10;
+const SERVERS_PER_ENTRY: usize = 10;
 const LEADS: usize = 2;
 /// Bandwidth of the links of leads and of other entries, in megabits per second.
-const LEAD_LINK: f64 = 1000.0;
-const LINK: f64 = 20.0;
-const WAY: Duration = Duration::from_millis(1);
+const LEAD_LINK_MEGABITS: f64 = 1000.0;
+const LINK_MEGABITS: f64 = 20.0;
+const NETWORK_DELAY: Duration = Duration::from_millis(1);
 /// Delay after which an entry that was refused or got no answer asks the other lead.
-const AGAIN: Duration = Duration::from_millis(800);
+const RETRY_DELAY: Duration = Duration::from_millis(800);
 /// Maximum time that an entry waits for a copy before it asks again.
-const PATIENCE: Duration = Duration::from_millis(1500);
-const TAKE_IN: Duration = Duration::from_millis(200);
+const COPY_TIMEOUT: Duration = Duration::from_millis(1500);
+const APPLY_TIME: Duration = Duration::from_millis(200);
 /// End of the simulation.
-const LAST: Duration = Duration::from_secs(60);
+const END_TIME: Duration = Duration::from_secs(60);
 
 fn address(entry: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (entry / 250) as u8, (entry % 250) as u8], 7))
@@ -30,17 +30,25 @@
 
 /// Transmission time of a copy on a slow link.
 fn one_copy(entries: usize) -> Duration {
-    Duration::from_secs_f64((entries * SERVERS * ROW * 8) as f64 / (LINK * 1e6))
+    Duration::from_secs_f64(
+        (entries * SERVERS_PER_ENTRY * ROW_BYTES * 8) as f64 / (LINK_MEGABITS * 1e6),
+    )
 }
 
 /// Returns the time until the last of `entries` has a copy, or `None` if the simulation ends
-/// first. Without `spreads` the asked entry always serves the copy itself. `lost` entries stop
+/// first. Without `uses_relays` the asked entry always serves the copy itself. `lost` entries stop
 /// right after they received a copy.
-fn spread_time(entries: usize, spreads: bool, lost: usize) -> Option<Duration> {
+fn spread_time(entries: usize, uses_relays: bool, lost: usize) -> Option<Duration> {
     let start = Instant::now();
-    let bytes = entries * SERVERS * ROW;
-    let mut desks: Vec<CopyScheduler> = (0..entries)
-        .map(|entry| CopyScheduler::new(if entry < LEADS { LEAD_LINK } else { LINK }))
+    let bytes = entries * SERVERS_PER_ENTRY * ROW_BYTES;
+    let mut schedulers: Vec<CopyScheduler> = (0..entries)
+        .map(|entry| {
+            CopyScheduler::new(if entry < LEADS {
+                LEAD_LINK_MEGABITS
+            } else {
+                LINK_MEGABITS
+            })
+        })
         .collect();
     let mut free: Vec<Duration> = vec![Duration::ZERO; entries];
     let mut has: HashMap<usize, Duration> = (0..LEADS).map(|lead| (lead, Duration::ZERO)).collect();
@@ -52,45 +60,54 @@
         asks.insert((at, entry), (entry % LEADS, false));
     }
     let mut last = Duration::ZERO;
-    while let Some(((at, entry), (asked, insists))) = asks.pop_first() {
-        if at > LAST {
+    while let Some(((at, entry), (asked, requires_direct))) = asks.pop_first() {
+        if at > END_TIME {
             return None;
         }
         let other = LEADS - 1 - asked % LEADS;
         let has_copy = has.get(&asked).is_some_and(|since| at >= *since);
         let is_lost = asked >= LEADS && asked < LEADS + lost;
         if !has_copy || is_lost {
-            asks.insert((at + WAY, entry), (other, true));
+            asks.insert((at + NETWORK_DELAY, entry), (other, true));
             continue;
         }
         let mut source = CopySource::Direct;
-        if spreads {
-            source = desks[asked].on_copy_request(start + at, address(entry), bytes, insists);
+        if uses_relays {
+            source = schedulers[asked].on_copy_request(
+                start + at,
+                address(entry),
+                bytes,
+                requires_direct,
+            );
         }
         match source {
             CopySource::Relay(relay) => {
                 let mut others = LEADS..entries;
                 let relay = others.find(|other| address(*other) == relay).unwrap();
-                asks.insert((at + WAY, entry), (relay, false));
+                asks.insert((at + NETWORK_DELAY, entry), (relay, false));
                 continue;
             }
             CopySource::Busy => {
-                asks.insert((at + AGAIN, entry), (other, false));
+                asks.insert((at + RETRY_DELAY, entry), (other, false));
                 continue;
             }
             CopySource::Direct => {}
         }
-        let link = if asked < LEADS { LEAD_LINK } else { LINK };
+        let link = if asked < LEADS {
+            LEAD_LINK_MEGABITS
+        } else {
+            LINK_MEGABITS
+        };
         let begins = free[asked].max(at);
         let carries = Duration::from_secs_f64(bytes as f64 * 8.0 / (link * 1e6));
         free[asked] = begins + carries;
         let received = (begins + carries).max(begins + one_copy(entries));
-        if received > at + PATIENCE.max(one_copy(entries) * 2) {
-            asks.insert((at + PATIENCE, entry), (other, false));
+        if received > at + COPY_TIMEOUT.max(one_copy(entries) * 2) {
+            asks.insert((at + COPY_TIMEOUT, entry), (other, false));
             continue;
         }
-        has.insert(entry, received + TAKE_IN);
-        last = last.max(received + TAKE_IN);
+        has.insert(entry, received + APPLY_TIME);
+        last = last.max(received + APPLY_TIME);
     }
     assert_eq!(has.len(), entries);
     Some(last)
@@ -99,7 +116,7 @@
 /// Time allowed for everything but transmission: requests, retries, and applying the copy.
 const OVERHEAD: Duration = Duration::from_millis(2500);
 /// Number of successive copies allowed until the last entry has one.
-const COPIES_MOST: u32 = 8;
+const MAX_SUCCESSIVE_COPIES: u32 = 8;
 
 /// The time until all entries of a region have a copy must grow with the size of a copy, but
 /// not with the number of entries as well. With the leads alone it never completes for a large
@@ -108,7 +125,7 @@
 fn copies_spread_over_those_that_have_one() {
     for entries in [100, 300, 1000, 2000] {
         let took = spread_time(entries, true, 0).expect("everybody has one");
-        let most = one_copy(entries) * COPIES_MOST + OVERHEAD;
+        let most = one_copy(entries) * MAX_SUCCESSIVE_COPIES + OVERHEAD;
         println!(
             "{entries}: {took:?}, by the leads alone {:?}",
             spread_time(entries, false, 0)
@@ -126,7 +143,7 @@
 fn a_relay_that_ends_costs_one_more_question() {
     let took = spread_time(1000, true, 60).expect("everybody has one");
     assert!(
-        took <= one_copy(1000) * COPIES_MOST + OVERHEAD * 2,
+        took <= one_copy(1000) * MAX_SUCCESSIVE_COPIES + OVERHEAD * 2,
         "{took:?}"
     );
 }
@@ -134,30 +151,30 @@
 /// Small copies must be served immediately, and large ones refused rather than queued for
 /// longer than a requester waits.
 #[test]
-fn small_answers_are_given_at_once() {
+fn small_copies_are_served_immediately() {
     let now = Instant::now();
-    let mut desk = CopyScheduler::new(10.0);
+    let mut scheduler = CopyScheduler::new(10.0);
     assert_eq!(
-        desk.on_copy_request(now, address(1), 1 << 20, false),
+        scheduler.on_copy_request(now, address(1), 1 << 20, false),
         CopySource::Direct
     );
     assert_eq!(
-        desk.on_copy_request(now, address(2), 1 << 20, false),
+        scheduler.on_copy_request(now, address(2), 1 << 20, false),
         CopySource::Busy
     );
     assert_eq!(
-        desk.on_copy_request(now, address(3), 1000, false),
+        scheduler.on_copy_request(now, address(3), 1000, false),
         CopySource::Direct
     );
     let later = now + Duration::from_secs(3);
     assert_eq!(
-        desk.on_copy_request(later, address(2), 1 << 20, false),
+        scheduler.on_copy_request(later, address(2), 1 << 20, false),
         CopySource::Direct
     );
-    let relay = desk.on_copy_request(later, address(3), 1 << 20, false);
+    let relay = scheduler.on_copy_request(later, address(3), 1 << 20, false);
     assert_eq!(relay, CopySource::Relay(address(1)));
     assert_eq!(
-        desk.on_copy_request(later, address(4), 1 << 20, false),
+        scheduler.on_copy_request(later, address(4), 1 << 20, false),
         CopySource::Busy
     );
 }
--- a/crates/place/tests/crash_load.rs
+++ b/crates/place/tests/crash_load.rs
@@ -21,15 +21,15 @@
 const SERVER_JOBS: usize = 6;
 /// Time until a crashed server is back, and until the entries that had requests there know of
 /// the crash.
-const BACK_AFTER: Duration = Duration::from_millis(2500);
-const LOOK_TIME: Duration = Duration::from_millis(60);
+const RESTART_TIME: Duration = Duration::from_millis(2500);
+const REPORT_DELAY: Duration = Duration::from_millis(60);
 /// Rates per second: all requests, fatal requests, and spontaneous crashes.
 const ARRIVALS: f64 = 128.0;
 const FATAL_ARRIVALS: f64 = 4.0;
-const OWN_ENDS: f64 = 0.3;
+const SPONTANEOUS_CRASHES: f64 = 0.3;
 /// Maximum number of sends of a request: two by its entry, and as many again for the caller's
 /// retry.
-const SENDS_MOST: u32 = 4;
+const MAX_SENDS: u32 = 4;
 /// Time after the third crash within which all entries must know the cause, and the number of
 /// fatal requests that may still be sent later.
 const SPREAD_TIME: Duration = Duration::from_secs(3);
@@ -52,28 +52,28 @@
 
 /// Counters of a simulation.
 #[derive(Debug, Default)]
-struct Tally {
+struct Counters {
     refused: usize,
     answered: usize,
-    ended: usize,
+    crashed: usize,
     fatal_sends: usize,
     late_sends: usize,
 }
 
-struct Play {
+struct Simulation {
     world: FleetWorld,
     servers: Vec<Server>,
     seed: u64,
     drawn: u64,
-    prints: u128,
+    next_fingerprint: u128,
     runs: u64,
-    third_at: Option<Instant>,
-    fatal_ends: BTreeSet<u64>,
+    third_crash_at: Option<Instant>,
+    fatal_crashes: BTreeSet<u64>,
     reports: Vec<(Instant, usize, CrashReport)>,
-    tally: Tally,
+    counters: Counters,
 }
 
-impl Play {
+impl Simulation {
     fn new(entries: usize, seed: u64) -> Self {
         let mut world = FleetWorld::new(entries);
         world.run(ms(8000));
@@ -88,12 +88,12 @@
             servers: servers.collect(),
             seed,
             drawn: 0,
-            prints: 100,
+            next_fingerprint: 100,
             runs: SERVERS as u64,
-            third_at: None,
-            fatal_ends: BTreeSet::new(),
+            third_crash_at: None,
+            fatal_crashes: BTreeSet::new(),
             reports: Vec::new(),
-            tally: Tally::default(),
+            counters: Counters::default(),
         }
     }
 
@@ -111,7 +111,7 @@
         self.draw() < rate * STEP.as_secs_f64()
     }
 
-    fn run(mut self, span: Duration) -> Tally {
+    fn run(mut self, span: Duration) -> Counters {
         let until = self.world.now + span;
         while self.world.now < until {
             self.world.run(STEP);
@@ -119,14 +119,14 @@
             self.finish();
             self.report();
         }
-        self.tally
+        self.counters
     }
 
     fn arrive(&mut self) {
         for _ in 0..4 {
             if self.happens(ARRIVALS / 4.0) {
-                self.prints += 1;
-                let fingerprint = RequestFingerprint(self.prints);
+                self.next_fingerprint += 1;
+                let fingerprint = RequestFingerprint(self.next_fingerprint);
                 let repeats = self.draw() < 0.7;
                 self.send(fingerprint, repeats, 0);
             }
@@ -134,7 +134,7 @@
         if self.happens(FATAL_ARRIVALS) {
             self.send(FATAL, true, 0);
         }
-        if self.happens(OWN_ENDS) {
+        if self.happens(SPONTANEOUS_CRASHES) {
             let server = self.pick(SERVERS);
             self.end(server);
         }
@@ -155,7 +155,7 @@
         let now = self.world.now;
         let member = &self.world.entries[entry].member;
         if member.quarantine_left(now, fingerprint).is_some() {
-            self.tally.refused += usize::from(fingerprint != FATAL);
+            self.counters.refused += usize::from(fingerprint != FATAL);
             return;
         }
         let first = self.pick(SERVERS);
@@ -168,9 +168,9 @@
             return;
         };
         let takes = if fingerprint == FATAL {
-            self.tally.fatal_sends += 1;
-            let is_late = self.third_at.is_some_and(|at| now > at + SPREAD_TIME);
-            self.tally.late_sends += usize::from(is_late);
+            self.counters.fatal_sends += 1;
+            let is_late = self.third_crash_at.is_some_and(|at| now > at + SPREAD_TIME);
+            self.counters.late_sends += usize::from(is_late);
             FATAL_TIME
         } else {
             Duration::from_secs_f64(0.1 + 0.8 * self.draw())
@@ -208,7 +208,7 @@
     }
 
     fn answer(&mut self, job: &Job) {
-        self.tally.answered += 1;
+        self.counters.answered += 1;
         let member = &self.world.entries[job.entry].member;
         if member.has_suspects(self.world.now) && member.suspects(job.fingerprint) {
             self.world
@@ -223,13 +223,13 @@
         if server.back_at.is_some() {
             return;
         }
-        server.back_at = Some(now + BACK_AFTER);
+        server.back_at = Some(now + RESTART_TIME);
         let (run, jobs) = (server.run, std::mem::take(&mut server.jobs));
-        self.tally.ended += 1;
+        self.counters.crashed += 1;
         if jobs.iter().any(|job| job.fingerprint == FATAL) {
-            self.fatal_ends.insert(run);
-            if self.fatal_ends.len() >= 3 {
-                self.third_at.get_or_insert(now);
+            self.fatal_crashes.insert(run);
+            if self.fatal_crashes.len() >= 3 {
+                self.third_crash_at.get_or_insert(now);
             }
         }
         for job in jobs {
@@ -238,8 +238,8 @@
                 run,
                 print: fingerprint,
             };
-            self.reports.push((now + LOOK_TIME, job.entry, report));
-            if !job.repeats || job.sends >= SENDS_MOST {
+            self.reports.push((now + REPORT_DELAY, job.entry, report));
+            if !job.repeats || job.sends >= MAX_SENDS {
                 continue;
             }
             if job.sends % 2 == 1 {
@@ -266,20 +266,20 @@
 /// seconds after it crashed the third.
 #[test]
 fn only_the_cause_is_refused_under_load() {
-    let plays = (0..40).map(|seed| (12, seed)).chain([(300, 40), (300, 41)]);
-    for (entries, seed) in plays {
-        let tally = Play::new(entries, seed).run(Duration::from_secs(20));
+    let simulations = (0..40).map(|seed| (12, seed)).chain([(300, 40), (300, 41)]);
+    for (entries, seed) in simulations {
+        let counters = Simulation::new(entries, seed).run(Duration::from_secs(20));
         assert_eq!(
-            tally.refused, 0,
-            "{entries} entries, seed {seed}: {tally:?}"
+            counters.refused, 0,
+            "{entries} entries, seed {seed}: {counters:?}"
         );
         assert!(
-            tally.late_sends <= LATE_SENDS,
-            "{entries} entries, seed {seed}: {tally:?}"
+            counters.late_sends <= LATE_SENDS,
+            "{entries} entries, seed {seed}: {counters:?}"
         );
         assert!(
-            tally.answered > 1500,
-            "{entries} entries, seed {seed}: {tally:?}"
+            counters.answered > 1500,
+            "{entries} entries, seed {seed}: {counters:?}"
         );
     }
 }
--- a/crates/place/tests/crashes.rs
+++ b/crates/place/tests/crashes.rs
@@ -216,7 +216,7 @@
 
 /// Requests that always occur together must both be quarantined eventually.
 #[test]
-fn inseparable_requests_are_found_out() {
+fn inseparable_requests_are_quarantined() {
     let (mut ledger, mut book) = (CrashLedger::default(), QuarantineTable::default());
     let now = Instant::now();
     for run in 0..5 {
@@ -283,7 +283,7 @@
 }
 
 /// A crash: the bystanders that were in flight, and whether the fatal request was.
-fn ends() -> impl Strategy<Value = Vec<(BTreeSet<u128>, bool)>> {
+fn crashes() -> impl Strategy<Value = Vec<(BTreeSet<u128>, bool)>> {
     let bystanders = proptest::collection::btree_set(2_u128..40, 0..6);
     proptest::collection::vec((bystanders, proptest::bool::weighted(0.8)), 1..40)
 }
@@ -294,18 +294,18 @@
     /// Bystanders, which other servers answer, must never be quarantined, although servers also
     /// crash by themselves. The cause must be quarantined once it has crashed enough servers.
     #[test]
-    fn bystanders_are_never_refused(ends in ends()) {
+    fn bystanders_are_never_refused(crashes in crashes()) {
         let (mut ledger, mut book) = (CrashLedger::default(), QuarantineTable::default());
         let mut now = Instant::now();
-        let mut fatal_ends = 0;
-        for (run, (bystanders, is_fatal)) in ends.into_iter().enumerate() {
+        let mut fatal_crashes = 0;
+        for (run, (bystanders, is_fatal)) in crashes.into_iter().enumerate() {
             let run = run as u64;
             for fingerprint in &bystanders {
                 ledger.on_report(now, report(run, RequestFingerprint(*fingerprint)));
             }
             if is_fatal {
                 ledger.on_report(now, report(run, FATAL));
-                fatal_ends += 1;
+                fatal_crashes += 1;
             }
             let news = ledger.review(now, &mut book);
             let refused = |fingerprint: &RequestFingerprint| {
@@ -323,7 +323,7 @@
                 break;
             }
         }
-        prop_assert!(fatal_ends <= 3);
-        prop_assert_eq!(book.quarantine_left(now, FATAL).is_some(), fatal_ends == 3);
+        prop_assert!(fatal_crashes <= 3);
+        prop_assert_eq!(book.quarantine_left(now, FATAL).is_some(), fatal_crashes == 3);
     }
 }
--- a/crates/place/tests/departed.rs
+++ b/crates/place/tests/departed.rs
@@ -16,24 +16,24 @@
 
 const DRAIN: Duration = Duration::from_millis(3000);
 /// Share of it that remains for the propagation to other entries.
-const TELLING: Duration = Duration::from_millis(600);
+const PROPAGATION_TIME: Duration = Duration::from_millis(600);
 
 fn catalog() -> ServerCatalog {
     ServerCatalog::new(domains()).with_drain(DRAIN)
 }
 
-fn word(id: &str, seq: u64, state: EntryState) -> ServerEntry {
+fn registration(id: &str, seq: u64, state: EntryState) -> ServerEntry {
     let mut entry = server(id, "a1");
     (entry.started, entry.seq, entry.state) = (Some(5), seq, state);
     entry
 }
 
 fn ready(id: &str, seq: u64) -> ServerEntry {
-    word(id, seq, EntryState::Ready)
+    registration(id, seq, EntryState::Ready)
 }
 
 fn leaving(id: &str, seq: u64) -> ServerEntry {
-    word(id, seq, EntryState::Draining)
+    registration(id, seq, EntryState::Draining)
 }
 
 fn is_open(catalog: &ServerCatalog, id: &str) -> bool {
@@ -202,7 +202,7 @@
                 break;
             }
         }
-        let is_in_time = gone_after.is_some_and(|after| after <= DRAIN - TELLING);
+        let is_in_time = gone_after.is_some_and(|after| after <= DRAIN - PROPAGATION_TIME);
         assert!(is_in_time, "a failed call each {gap} ms: {gone_after:?}");
     }
 }
@@ -211,7 +211,7 @@
 /// servers, but must not restart it for a row that is already missing.
 #[test]
 fn a_registry_that_answers_seldom_keeps_no_server_without_end() {
-    const MOST: Duration = Duration::from_millis(8000);
+    const MAX_TIME: Duration = Duration::from_millis(8000);
     let start = Instant::now();
     let mut catalog = catalog();
     let both = [ready("x", 1), ready("y", 1)];
@@ -231,7 +231,7 @@
         }
     }
     assert!(
-        gone_after.is_some_and(|after| after <= MOST),
+        gone_after.is_some_and(|after| after <= MAX_TIME),
         "{gone_after:?}"
     );
 }
@@ -351,7 +351,7 @@
 /// A read that reports a row's drop late, after another entry sent a newer registration, must
 /// not keep the live server out.
 #[test]
-fn a_drop_that_is_heard_late_keeps_no_live_server_out() {
+fn a_late_drop_keeps_no_live_server_out() {
     let start = Instant::now();
     let mut catalog = catalog();
     let mut lead = RegistryLog::default();
@@ -372,8 +372,8 @@
         registry_at: Some(now - ms(100)),
         ..StoreProgress::default()
     };
-    let word = known.to_message(now).delayed_by(ms(2500));
-    let heard = StoreProgress::from_message(now, &word);
+    let registration = known.to_message(now).delayed_by(ms(2500));
+    let heard = StoreProgress::from_message(now, &registration);
     assert_eq!(heard.registry_at, Some(now - ms(2600)));
     assert_eq!(heard.operator_at, None);
 }
@@ -381,7 +381,7 @@
 /// A server that is missing from a full copy at least as new as the receiver's knowledge has
 /// left: only a newer registration may bring it back.
 #[test]
-fn a_server_that_a_newer_copy_lacks_needs_a_newer_word() {
+fn a_server_that_a_newer_copy_lacks_needs_a_newer_registration() {
     for (seq, is_live) in [(10, false), (11, true)] {
         let start = Instant::now();
         let both = [ready("x", 10), ready("y", 3)];
@@ -401,8 +401,8 @@
 /// The departure of a server that didn't announce it must expire, so that a corrupted message
 /// can't keep a live server out for long.
 #[test]
-fn the_end_of_a_silent_server_is_forgotten_in_time() {
-    const MOST: Duration = Duration::from_secs(30);
+fn an_unannounced_departure_expires() {
+    const MAX_TIME: Duration = Duration::from_secs(30);
     let start = Instant::now();
     let both = [ready("x", 10), ready("y", 3)];
     let mut catalog = catalog();
@@ -410,14 +410,14 @@
     read(&mut catalog, start + ms(1000), &both[1..]);
     read(&mut catalog, start + ms(2000), &both);
     assert!(!is_open(&catalog, "x"));
-    read(&mut catalog, start + MOST, &both);
+    read(&mut catalog, start + MAX_TIME, &both);
     assert!(is_open(&catalog, "x"));
 }
 
 /// Entries that saw a server announce its departure must agree on an obsolete registration of
 /// it, whether or not they saw its row dropped.
 #[test]
-fn entries_agree_on_an_older_word_of_a_server_that_announced_its_end() {
+fn entries_agree_on_an_obsolete_registration() {
     let start = Instant::now();
     let other = ready("y", 3);
     let steps = [
@@ -516,8 +516,8 @@
 /// The number of departures sent must be bounded however many servers leave at once, and the
 /// latest thousand must stay out.
 #[test]
-fn what_is_told_of_ends_is_bounded() {
-    const TOLD_MOST: usize = 1024;
+fn the_number_of_departures_sent_is_bounded() {
+    const MAX_DEPARTURES: usize = 1024;
     for count in [100, 300, 1000, 3000] {
         let start = Instant::now();
         let other = ready("y", 3);
@@ -534,7 +534,7 @@
         );
         let told = lead.since(0);
         assert!(
-            told.departures.len() <= TOLD_MOST,
+            told.departures.len() <= MAX_DEPARTURES,
             "{count}: {}",
             told.departures.len()
         );
--- a/crates/place/tests/log.rs
+++ b/crates/place/tests/log.rs
@@ -19,7 +19,7 @@
 /// Heartbeats and the elapsing of a known warm-up time must cause no traffic to followers. The
 /// end of the warm-up is sent.
 #[test]
-fn heartbeats_are_not_told() {
+fn heartbeats_are_not_sent() {
     let now = Instant::now();
     let mut log = RegistryLog::default();
     let mut cold = server("x", "a1");
--- a/crates/place/tests/proofs.rs
+++ b/crates/place/tests/proofs.rs
@@ -17,16 +17,16 @@
 /// Fixed, so that every run has the same result.
 const SEED: u64 = 23;
 /// A revoked key must not be accepted for longer than this.
-const REVOKE: Duration = Duration::from_secs(5);
+const REVOKE_LIMIT: Duration = Duration::from_secs(5);
 /// A new key must be known after this time.
-const LEARN: Duration = Duration::from_secs(3);
+const LEARN_LIMIT: Duration = Duration::from_secs(3);
 /// Safety margin that entries must keep to these limits.
 const MARGIN: Duration = Duration::from_millis(150);
 
 /// A fleet of `count` entries that has run for a while.
 fn settled(count: usize) -> FleetWorld {
     let mut world = FleetWorld::new(count);
-    world.proof_within = Some(REVOKE);
+    world.proof_within = Some(REVOKE_LIMIT);
     world.run(ms(8000));
     world
 }
@@ -40,16 +40,16 @@
 
 /// Runs the world for `span` and returns the maximum proof age of any of `entries` in that
 /// time.
-fn oldest(world: &mut FleetWorld, entries: &[usize], span: Duration) -> Duration {
+fn max_proof_age(world: &mut FleetWorld, entries: &[usize], span: Duration) -> Duration {
     let until = world.now + span;
-    let mut oldest = Duration::ZERO;
+    let mut max_proof_age = Duration::ZERO;
     while world.now < until {
         world.run(ms(20));
         for entry in entries.iter().filter(|entry| world.entries[**entry].alive) {
-            oldest = oldest.max(world.proof_age(*entry).unwrap_or(Duration::MAX));
+            max_proof_age = max_proof_age.max(world.proof_age(*entry).unwrap_or(Duration::MAX));
         }
     }
-    oldest
+    max_proof_age
 }
 
 /// Fails if an entry's knowledge claims to be more recent than a change that it lacks.
@@ -71,13 +71,13 @@
 /// Without faults, each entry's knowledge must be recent enough to deny an unknown key, at any
 /// fleet size and without additional calls to the store.
 #[test]
-fn calm_entries_know_enough_to_deny() {
+fn entries_without_faults_can_deny_unknown_keys() {
     for count in [12, 300, 1000] {
         let mut world = settled(count);
         let all = world.live();
         let before = world.calls;
-        let age = oldest(&mut world, &all, ms(12_000));
-        assert!(age + MARGIN < LEARN, "{count}: {age:?}");
+        let age = max_proof_age(&mut world, &all, ms(12_000));
+        assert!(age + MARGIN < LEARN_LIMIT, "{count}: {age:?}");
         let calls = world.calls - before;
         assert!(calls <= 7 * 12, "{count}: {calls} calls in 12 s");
     }
@@ -86,15 +86,15 @@
 /// Entries with traffic must continue to accept keys when both leads of their region stop at
 /// once, and when the store refuses a third of all entries including leads.
 #[test]
-fn lost_and_refused_leads_leave_nobody_in_the_dark() {
+fn lost_and_refused_leads_keep_proofs_recent() {
     for count in [12, 64, 300] {
         let mut world = settled(count);
         for lead in world.leads(1) {
             world.kill(lead);
         }
         let used = listed(&world);
-        let age = oldest(&mut world, &used, ms(8000));
-        assert!(age + MARGIN < REVOKE, "{count}, leads ended: {age:?}");
+        let age = max_proof_age(&mut world, &used, ms(8000));
+        assert!(age + MARGIN < REVOKE_LIMIT, "{count}, leads ended: {age:?}");
         for is_silent in [false, true] {
             let mut world = settled(count);
             let mut refused: Vec<usize> = (0..count).filter(|entry| entry % 7 < 2).collect();
@@ -104,9 +104,9 @@
                 world.entries[entry].silent = is_silent;
             }
             let used = listed(&world);
-            let age = oldest(&mut world, &used, ms(9000));
+            let age = max_proof_age(&mut world, &used, ms(9000));
             assert!(
-                age + MARGIN < REVOKE,
+                age + MARGIN < REVOKE_LIMIT,
                 "{count}, silent {is_silent}: {age:?}"
             );
         }
@@ -116,7 +116,7 @@
 /// An isolated entry must recognize that its knowledge ages. An entry that is cut off from
 /// other entries only must ask the store itself.
 #[test]
-fn a_cut_off_entry_knows_its_age() {
+fn an_isolated_entry_knows_its_age() {
     for keeps_store in [false, true] {
         let mut world = settled(64);
         let cut = listed(&world)[0];
@@ -131,14 +131,14 @@
             let age = world.proof_age(cut).unwrap_or(Duration::MAX);
             oldest_claim = oldest_claim.max(age);
         }
-        assert_eq!(oldest_claim < REVOKE, keeps_store, "{oldest_claim:?}");
+        assert_eq!(oldest_claim < REVOKE_LIMIT, keeps_store, "{oldest_claim:?}");
     }
 }
 
 /// While the store is down it must not be flooded with calls, and every entry's knowledge must
 /// age. Soon after the store recovers all entries must be able to serve again.
 #[test]
-fn a_store_that_is_down_leaves_all_in_the_dark() {
+fn proofs_age_while_the_store_is_down() {
     for count in [64, 1000] {
         let mut world = settled(count);
         let used = listed(&world);
@@ -148,13 +148,16 @@
         let most = 10 * (3 * used.len() as u64 + 20);
         assert!(calls <= most, "{count}: {calls} calls in 10 s");
         for entry in &used {
-            assert!(world.proof_age(*entry).is_none_or(|age| age > REVOKE));
+            assert!(world.proof_age(*entry).is_none_or(|age| age > REVOKE_LIMIT));
         }
         world.store_down = false;
         world.run(ms(1800));
         for entry in &used {
             let age = world.proof_age(*entry).unwrap_or(Duration::MAX);
-            assert!(age + MARGIN < REVOKE, "{count}: {age:?} after the return");
+            assert!(
+                age + MARGIN < REVOKE_LIMIT,
+                "{count}: {age:?} after the return"
+            );
         }
     }
 }
@@ -184,7 +187,7 @@
 
 /// Stamps ahead of the store's clock and stamps received before must not renew a proof.
 #[test]
-fn forged_and_repeated_stamps_renew_nothing() {
+fn forged_and_repeated_stamps_are_ignored() {
     let mut world = settled(12);
     let lead = world.leads(0)[0];
     let follower = (0..12)
@@ -224,7 +227,7 @@
 
 /// A store whose clock restarts must be accepted again.
 #[test]
-fn a_clock_that_begins_anew_is_followed() {
+fn a_restarted_store_clock_is_accepted() {
     let start = std::time::Instant::now();
     let mut clock = StoreClock::default();
     clock.on_answer(start, StoreTime(90_000));
@@ -237,7 +240,7 @@
 
 /// Faults and events of the fleet.
 #[derive(Debug, Clone, Copy)]
-enum Trouble {
+enum Fault {
     Change,
     Kill(usize),
     StandStill(usize, u64, bool),
@@ -249,43 +252,43 @@
     Wait(u64),
 }
 
-fn troubles() -> impl Strategy<Value = Vec<Trouble>> {
+fn faults() -> impl Strategy<Value = Vec<Fault>> {
     let entry = 0..24_usize;
     let one = prop_oneof![
-        3 => Just(Trouble::Change),
-        1 => entry.clone().prop_map(Trouble::Kill),
+        3 => Just(Fault::Change),
+        1 => entry.clone().prop_map(Fault::Kill),
         2 => (entry.clone(), 200..9000_u64, any::<bool>())
-            .prop_map(|(entry, span, suspended)| Trouble::StandStill(entry, span, suspended)),
-        1 => entry.clone().prop_map(Trouble::Refuse),
-        1 => entry.clone().prop_map(Trouble::Silence),
-        2 => entry.prop_map(Trouble::Cut),
-        1 => Just(Trouble::Heal),
-        1 => any::<bool>().prop_map(Trouble::StoreDown),
-        4 => (100..3000_u64).prop_map(Trouble::Wait),
+            .prop_map(|(entry, span, suspended)| Fault::StandStill(entry, span, suspended)),
+        1 => entry.clone().prop_map(Fault::Refuse),
+        1 => entry.clone().prop_map(Fault::Silence),
+        2 => entry.prop_map(Fault::Cut),
+        1 => Just(Fault::Heal),
+        1 => any::<bool>().prop_map(Fault::StoreDown),
+        4 => (100..3000_u64).prop_map(Fault::Wait),
     ];
     proptest::collection::vec(one, 10..40)
 }
 
-fn befall(world: &mut FleetWorld, trouble: Trouble) {
-    match trouble {
-        Trouble::Change => world.change(),
-        Trouble::Kill(entry) => world.kill(entry),
-        Trouble::StandStill(entry, span, suspended) if world.entries[entry].alive => {
+fn apply_fault(world: &mut FleetWorld, fault: Fault) {
+    match fault {
+        Fault::Change => world.change(),
+        Fault::Kill(entry) => world.kill(entry),
+        Fault::StandStill(entry, span, suspended) if world.entries[entry].alive => {
             if !world.is_still(entry) {
                 world.stand_still(entry, ms(span), suspended);
             }
         }
-        Trouble::StandStill(entry, ..) => world.restart(entry),
-        Trouble::Refuse(entry) => world.entries[entry].refused = true,
-        Trouble::Silence(entry) => world.entries[entry].silent = true,
-        Trouble::Cut(entry) => world.entries[entry].group = 1 + (entry % REGIONS) as u32,
-        Trouble::Heal => {
+        Fault::StandStill(entry, ..) => world.restart(entry),
+        Fault::Refuse(entry) => world.entries[entry].refused = true,
+        Fault::Silence(entry) => world.entries[entry].silent = true,
+        Fault::Cut(entry) => world.entries[entry].group = 1 + (entry % REGIONS) as u32,
+        Fault::Heal => {
             for entry in &mut world.entries {
                 (entry.refused, entry.silent, entry.group) = (false, false, 0);
             }
         }
-        Trouble::StoreDown(is_down) => world.store_down = is_down,
-        Trouble::Wait(span) => world.run(ms(span)),
+        Fault::StoreDown(is_down) => world.store_down = is_down,
+        Fault::Wait(span) => world.run(ms(span)),
     }
 }
 
@@ -299,13 +302,13 @@
     /// Whatever faults occur, no entry's knowledge may claim to be more recent than a change
     /// that it lacks.
     #[test]
-    fn no_knowledge_seems_younger_than_it_is(troubles in troubles()) {
+    fn no_knowledge_seems_younger_than_it_is(faults in faults()) {
         let mut world = FleetWorld::new(24);
-        world.proof_within = Some(REVOKE);
+        world.proof_within = Some(REVOKE_LIMIT);
         world.delays = Some((7, ms(2500)));
         world.run(ms(2500));
-        for trouble in troubles {
-            befall(&mut world, trouble);
+        for fault in faults {
+            apply_fault(&mut world, fault);
             for _ in 0..10 {
                 world.run(ms(40));
                 check_claims(&world);
--- a/crates/place/tests/relisting.rs
+++ b/crates/place/tests/relisting.rs
@@ -15,7 +15,7 @@
 /// Latency of the store's answers.
 const ANSWER: Duration = Duration::from_millis(5);
 /// Propagation time to the entries that follow the reader.
-const TELLING: Duration = Duration::from_millis(150);
+const PROPAGATION_TIME: Duration = Duration::from_millis(150);
 
 /// A server whose row is dropped right after the store recovers must be out of use in time,
 /// whenever its reader happened to ask.
@@ -32,7 +32,7 @@
         let mut now = start;
         while catalog.iter().count() == 2 {
             assert!(
-                now <= dropped + DRAIN - TELLING,
+                now <= dropped + DRAIN - PROPAGATION_TIME,
                 "offset {offset}: used too long"
             );
             now += ms(10);
@@ -73,7 +73,7 @@
 /// If the store refuses only this entry, as other entries' reads show, nothing expires: a
 /// server whose row disappears must be gone immediately.
 #[test]
-fn a_store_that_turns_one_away_lapses_nothing() {
+fn refusing_one_entry_expires_no_rows() {
     let start = Instant::now();
     let mut catalog = ServerCatalog::new(placer_config().domains);
     let both = [server("x", "a1"), server("y", "a1")];
--- a/crates/place/tests/routes.rs
+++ b/crates/place/tests/routes.rs
@@ -34,7 +34,7 @@
 
 /// Hosts must match regardless of case and port.
 #[test]
-fn hosts_are_told_apart() {
+fn hosts_match_regardless_of_case_and_port() {
     let table = RouteTable::new(&desired(3, vec![route("only", "/")]));
     assert!(table.find("BOARD.example:80", "/x").is_some());
     assert!(table.find("other.example", "/x").is_none());
--- a/crates/place/tests/runs.rs
+++ b/crates/place/tests/runs.rs
@@ -59,7 +59,7 @@
 
 /// A late registration of an earlier run must change nothing, whatever its sequence number.
 #[test]
-fn a_late_word_of_a_former_run_changes_nothing() {
+fn a_late_registration_of_an_earlier_run_changes_nothing() {
     let now = Instant::now();
     let mut catalog = ServerCatalog::new(domains());
     catalog.on_read(now, &reading(now, &[run("x", 2000, 1)]));
@@ -202,7 +202,7 @@
 /// A run's announcement that it leaves must be accepted even if another writer raised its
 /// sequence number before.
 #[test]
-fn leaving_is_believed_whatever_the_count() {
+fn leaving_is_accepted_whatever_the_sequence_number() {
     let now = Instant::now();
     let mut catalog = ServerCatalog::new(domains());
     catalog.on_read(now, &reading(now, &[run("x", 1000, 900)]));
