--- a/crates/place/src/crash/ledger.rs
+++ b/crates/place/src/crash/ledger.rs
@@ -189,13 +189,13 @@
     /// Returns whether no other suspect of this crash has been present at as many crashes.
     fn explains(&self, fingerprint: RequestFingerprint, crash: &ServerCrash) -> bool {
         let total = self.total(fingerprint);
-        let most = if total >= INSEPARABLE_CRASHES {
+        let max_total = if total >= INSEPARABLE_CRASHES {
             total
         } else {
             total - 1
         };
         let mut others = crash.suspects.iter().filter(|other| **other != fingerprint);
-        others.all(|other| self.total(*other) <= most)
+        others.all(|other| self.total(*other) <= max_total)
     }
 
     fn total(&self, fingerprint: RequestFingerprint) -> usize {
--- a/crates/place/src/crash/quarantine.rs
+++ b/crates/place/src/crash/quarantine.rs
@@ -32,7 +32,7 @@
 }
 
 impl StatusRecord {
-    fn ends(&self) -> Instant {
+    fn expires_at(&self) -> Instant {
         self.since
             + match self.status {
                 RequestStatus::Suspect => SUSPECT_TTL,
@@ -66,7 +66,7 @@
         fingerprint: RequestFingerprint,
     ) -> Option<Duration> {
         let record = self.records.get(&fingerprint)?;
-        let left = record.ends().saturating_duration_since(now);
+        let left = record.expires_at().saturating_duration_since(now);
         (record.status == RequestStatus::Quarantined && !left.is_zero()).then_some(left)
     }
 
@@ -129,7 +129,7 @@
 
     /// Drops expired statuses and clearings.
     pub fn drop_expired(&mut self, now: Instant) {
-        self.records.retain(|_, record| record.ends() > now);
+        self.records.retain(|_, record| record.expires_at() > now);
         self.cleared
             .retain(|_, at| now.saturating_duration_since(*at) < CLEARED_TTL);
     }
--- a/crates/place/src/directory.rs
+++ b/crates/place/src/directory.rs
@@ -35,19 +35,19 @@
     let far: Vec<&T> = entries.iter().filter(|entry| !is_near(entry)).collect();
     let wanted = NEAR_ENTRIES + FAR_ENTRIES;
     let mut chosen = rotated(&near, rotation, NEAR_ENTRIES);
-    let most = if chosen.is_empty() {
+    let limit = if chosen.is_empty() {
         wanted
     } else {
         FAR_ENTRIES
     };
-    chosen.extend(rotated(&far, rotation.rotate_left(7), most));
+    chosen.extend(rotated(&far, rotation.rotate_left(7), limit));
     chosen
 }
 
-fn rotated<'a, T>(entries: &[&'a T], rotation: u64, most: usize) -> Vec<&'a T> {
+fn rotated<'a, T>(entries: &[&'a T], rotation: u64, limit: usize) -> Vec<&'a T> {
     let count = entries.len();
-    let places = 0..count.min(most);
-    places
+    let positions = 0..count.min(limit);
+    positions
         .map(|step| entries[(rotation as usize).wrapping_add(step) % count])
         .collect()
 }
--- a/crates/place/src/fleet/log.rs
+++ b/crates/place/src/fleet/log.rs
@@ -184,15 +184,15 @@
 
     /// Returns the servers that are known to have left.
     pub fn departures(&self) -> Vec<Departure> {
-        let told_departures = self.departures.iter().map(|(_, departure)| departure);
-        let dropped_departures = told_departures.filter(|departure| self.has_ended(departure));
-        dropped_departures.cloned().collect()
+        let departures = self.departures.iter().map(|(_, departure)| departure);
+        let ended = departures.filter(|departure| self.has_ended(departure));
+        ended.cloned().collect()
     }
 
     /// Records servers that left, as known to another entry. Entries listed by an obsolete
     /// registration get a new version, so that followers receive the departure too.
-    pub fn on_departures(&mut self, told_departures: &[Departure]) {
-        for departure in told_departures {
+    pub fn on_departures(&mut self, departures: &[Departure]) {
+        for departure in departures {
             let mut known = self.departures.iter().map(|(_, known)| known);
             if known.any(|known| known == departure) {
                 continue;
@@ -273,8 +273,8 @@
         let kept = scope.dropped.iter();
         for row in kept.filter(|row| scope.missing.contains(&row.id)) {
             let known = self.entries.get_mut(&row.id);
-            if let (Some(record), Some(word)) = (known, &row.last_entry) {
-                *record = LogEntry::new(record.changed, newer_entry(&record.entry, word));
+            if let (Some(record), Some(last_entry)) = (known, &row.last_entry) {
+                *record = LogEntry::new(record.changed, newer_entry(&record.entry, last_entry));
             }
         }
     }
@@ -295,8 +295,8 @@
                 continue;
             }
             let known = self.entries.get(&row.id).map(|record| &record.entry);
-            for word in known.into_iter().chain(&row.last_entry) {
-                departure.merge(&Departure::of(word));
+            for entry in known.into_iter().chain(&row.last_entry) {
+                departure.merge(&Departure::of(entry));
             }
         }
         dropped_departures
@@ -310,14 +310,14 @@
         if let Some(known) = known {
             return newer_entry(&known.entry, entry);
         }
-        let mut told_departures = self.departures.iter().rev().map(|(_, departure)| departure);
+        let mut departures = self.departures.iter().rev().map(|(_, departure)| departure);
         let has_left =
-            told_departures.any(|departure| departure.announced && departure.supersedes(entry));
-        let mut word = entry.clone();
+            departures.any(|departure| departure.announced && departure.supersedes(entry));
+        let mut merged = entry.clone();
         if has_left {
-            word.state = EntryState::Draining;
+            merged.state = EntryState::Draining;
         }
-        word
+        merged
     }
 
     /// Records the departure of servers that were known `before` but are missing from a full
@@ -328,9 +328,9 @@
         let others = before
             .values()
             .filter(|record| !kept.contains(&record.entry.id));
-        let told_departures: Vec<Departure> =
+        let departures: Vec<Departure> =
             others.map(|record| Departure::of(&record.entry)).collect();
-        for departure in told_departures {
+        for departure in departures {
             self.record_departure(delta.version, departure);
         }
     }
@@ -370,15 +370,15 @@
     if !entry.is_same_run(known) {
         return entry.clone();
     }
-    let mut word = if entry.seq < known.seq {
+    let mut merged = if entry.seq < known.seq {
         known.clone()
     } else {
         entry.clone()
     };
     if known.state == EntryState::Draining {
-        word.state = EntryState::Draining;
+        merged.state = EntryState::Draining;
     }
-    word
+    merged
 }
 
 /// Returns whether the entries differ only in the heartbeat, and in a warm-up time that has
--- a/crates/place/tests/copies.rs
+++ b/crates/place/tests/copies.rs
@@ -124,15 +124,15 @@
 #[test]
 fn copies_spread_over_those_that_have_one() {
     for entries in [100, 300, 1000, 2000] {
-        let took = spread_time(entries, true, 0).expect("everybody has one");
-        let most = one_copy(entries) * MAX_SUCCESSIVE_COPIES + OVERHEAD;
+        let took = spread_time(entries, true, 0).expect("every entry has a copy");
+        let max_time = one_copy(entries) * MAX_SUCCESSIVE_COPIES + OVERHEAD;
         println!(
-            "{entries}: {took:?}, by the leads alone {:?}",
+            "{entries}: {took:?}, from the leads only {:?}",
             spread_time(entries, false, 0)
         );
         assert!(
-            took <= most,
-            "{took:?} at {entries} entries, at most {most:?}"
+            took <= max_time,
+            "{took:?} at {entries} entries, at most {max_time:?}"
         );
     }
     assert!(spread_time(2000, false, 0).is_none());
@@ -141,7 +141,7 @@
 /// Entries that stop after they received a copy must not keep others from getting one.
 #[test]
 fn a_relay_that_ends_costs_one_more_question() {
-    let took = spread_time(1000, true, 60).expect("everybody has one");
+    let took = spread_time(1000, true, 60).expect("every entry has a copy");
     assert!(
         took <= one_copy(1000) * MAX_SUCCESSIVE_COPIES + OVERHEAD * 2,
         "{took:?}"
--- a/crates/place/tests/crashes.rs
+++ b/crates/place/tests/crashes.rs
@@ -61,7 +61,7 @@
 /// The datagrams of an entry that doesn't lead must not increase with the fleet size.
 #[test]
 fn it_costs_the_same_in_a_large_fleet() {
-    let mut heard = Vec::new();
+    let mut datagrams_per_size = Vec::new();
     for count in [100, 1000] {
         let mut world = settled(count);
         let follower = (0..count).find(|entry| !world.entries[*entry].member.leads());
@@ -69,11 +69,17 @@
         assert_eq!(world.entries[follower].crash_datagrams, 0);
         crash(&mut world, &[0, 4, 11], 100);
         world.run(ms(10_000));
-        heard.push(world.entries[follower].crash_datagrams);
+        datagrams_per_size.push(world.entries[follower].crash_datagrams);
     }
     // Both leads send their statuses with each beat.
-    assert!(heard.iter().all(|datagrams| *datagrams <= 40), "{heard:?}");
-    assert!(heard[0].abs_diff(heard[1]) <= 4, "{heard:?}");
+    assert!(
+        datagrams_per_size.iter().all(|datagrams| *datagrams <= 40),
+        "{datagrams_per_size:?}"
+    );
+    assert!(
+        datagrams_per_size[0].abs_diff(datagrams_per_size[1]) <= 4,
+        "{datagrams_per_size:?}"
+    );
 }
 
 /// A quarantine must survive the leads that detected the cause.
@@ -168,16 +174,16 @@
     world.run(ms(1500));
     world.tell(20, FleetEvent::Cleared(FATAL));
     world.run(ms(5000));
-    let told = |world: &FleetWorld| -> u64 {
+    let datagrams_sent = |world: &FleetWorld| -> u64 {
         world
             .entries
             .iter()
             .map(|entry| entry.crash_datagrams)
             .sum()
     };
-    let before = told(&world);
+    let before = datagrams_sent(&world);
     world.run(ms(5000));
-    assert_eq!(told(&world), before);
+    assert_eq!(datagrams_sent(&world), before);
 }
 
 /// Two crashes must not be enough for a quarantine. A crash seen by several entries counts
@@ -250,9 +256,9 @@
         outbox.on_report(now, report(1, RequestFingerprint(fingerprint)));
     }
     outbox.on_cleared(now, FATAL, true);
-    let word = outbox.take_due(now + ms(1));
-    assert_eq!(word.cleared.len(), 1);
-    assert_eq!(word.cleared[0].print, FATAL);
+    let message = outbox.take_due(now + ms(1));
+    assert_eq!(message.cleared.len(), 1);
+    assert_eq!(message.cleared[0].print, FATAL);
 }
 
 /// A request that is often in flight beside the cause must not be mistaken for it.
@@ -307,9 +313,9 @@
                 ledger.on_report(now, report(run, FATAL));
                 fatal_crashes += 1;
             }
-            let news = ledger.review(now, &mut book);
+            let raised = ledger.review(now, &mut book);
             let refused = |fingerprint: &RequestFingerprint| {
-                news.contains(&(*fingerprint, RequestStatus::Quarantined)) && *fingerprint != FATAL
+                raised.contains(&(*fingerprint, RequestStatus::Quarantined)) && *fingerprint != FATAL
             };
             prop_assert!(!bystanders.iter().any(|fingerprint| refused(&RequestFingerprint(*fingerprint))));
             // The bystanders run again on another server, which answers them.
--- a/crates/place/tests/departed.rs
+++ b/crates/place/tests/departed.rs
@@ -52,20 +52,35 @@
 fn a_heartbeat_that_the_store_performs_late_brings_no_server_back() {
     let cases = [
         (
-            "said so, older word",
+            "announced, older registration",
             leaving("x", 11),
             ready("x", 10),
             false,
         ),
         (
-            "said so, newer word",
+            "announced, newer registration",
             leaving("x", 11),
             ready("x", 12),
             false,
         ),
-        ("silent, older word", ready("x", 11), ready("x", 10), false),
-        ("silent, same word", ready("x", 11), ready("x", 11), false),
-        ("silent, newer word", ready("x", 11), ready("x", 12), true),
+        (
+            "unannounced, older registration",
+            ready("x", 11),
+            ready("x", 10),
+            false,
+        ),
+        (
+            "unannounced, same registration",
+            ready("x", 11),
+            ready("x", 11),
+            false,
+        ),
+        (
+            "unannounced, newer registration",
+            ready("x", 11),
+            ready("x", 12),
+            true,
+        ),
     ];
     for (what, last, late, is_back) in cases {
         let start = Instant::now();
@@ -373,9 +388,9 @@
         ..StoreProgress::default()
     };
     let registration = known.to_message(now).delayed_by(ms(2500));
-    let heard = StoreProgress::from_message(now, &registration);
-    assert_eq!(heard.registry_at, Some(now - ms(2600)));
-    assert_eq!(heard.operator_at, None);
+    let received = StoreProgress::from_message(now, &registration);
+    assert_eq!(received.registry_at, Some(now - ms(2600)));
+    assert_eq!(received.operator_at, None);
 }
 
 /// A server that is missing from a full copy at least as new as the receiver's knowledge has
@@ -394,7 +409,7 @@
         assert!(!is_open(&catalog, "x"));
         let late = [ready("x", seq), ready("y", 3)];
         read(&mut catalog, start + ms(2000), &late);
-        assert_eq!(is_open(&catalog, "x"), is_live, "word {seq}");
+        assert_eq!(is_open(&catalog, "x"), is_live, "registration {seq}");
     }
 }
 
@@ -443,7 +458,7 @@
 fn an_older_word_is_told_with_the_servers_end() {
     let start = Instant::now();
     let told = [leaving("x", 11), ready("x", 11)];
-    for (last, hears_first) in told.iter().flat_map(|last| [(last, false), (last, true)]) {
+    for (last, knows_end_first) in told.iter().flat_map(|last| [(last, false), (last, true)]) {
         let ends = [Departure::of(last)];
         let mut lead = RegistryLog::default();
         lead.on_read(&reading(start, &[ready("y", 3)]), changes());
@@ -451,18 +466,18 @@
         follower.on_told(start, start, &lead.since(0));
         let mut known = lead.version();
         let late = reading(start + ms(1000), &[ready("x", 10), ready("y", 3)]);
-        if hears_first {
+        if knows_end_first {
             lead.on_departures(&ends);
         } else {
             lead.on_read(&late, changes());
             follower.on_told(start, start, &lead.since(known));
             known = lead.version();
             lead.on_departures(&ends);
-            assert!(lead.version() > known, "its followers are told");
+            assert!(lead.version() > known, "the followers must be told");
         }
         lead.on_read(&late, changes());
         follower.on_told(start, start, &lead.since(known));
-        assert!(!is_open(&follower, "x"), "hears first: {hears_first}");
+        assert!(!is_open(&follower, "x"), "hears first: {knows_end_first}");
         assert!(is_open(&follower, "y"));
     }
 }
@@ -568,7 +583,11 @@
         let again = [ready("x", seq), ready("y", 3)];
         for at in [9000, 10_000, 12_000] {
             read(&mut catalog, start + ms(at), &again);
-            assert_eq!(is_open(&catalog, "x"), is_live, "word {seq} at {at}");
+            assert_eq!(
+                is_open(&catalog, "x"),
+                is_live,
+                "registration {seq} at {at}"
+            );
         }
     }
 }
--- a/crates/place/tests/log.rs
+++ b/crates/place/tests/log.rs
@@ -102,7 +102,7 @@
         // Rows dropped since each reader's last read; `None` before the first read and after
         // the store's history was lost.
         let mut dropped: [Option<Vec<DroppedRow>>; 2] = [None, None];
-        for (version, (number, heard, is_second)) in (1..).zip(steps) {
+        for (version, (number, source_choice, is_second)) in (1..).zip(steps) {
             if !present.insert(number) && !leaving.insert(number) {
                 present.remove(&number);
                 leaving.remove(&number);
@@ -133,7 +133,7 @@
                 ..changes()
             };
             reader.on_read(&reading(now, &entries).with_version(version), scope);
-            let source = match heard {
+            let source = match source_choice {
                 0 => continue,
                 1 => {
                     relay.on_told(&reader.since(relay.version()));
@@ -178,19 +178,19 @@
     here.on_read(&reading(now, &both[..1]).with_version(100), kept.clone());
     there.on_read(&reading(now, &both[..1]).with_version(100), kept);
     // Here a row of another writer appears; there a missing server is given up.
-    let mut odd = reading(now, &both[..1]);
-    odd.foreign.push("z".to_owned());
+    let mut with_foreign_row = reading(now, &both[..1]);
+    with_foreign_row.foreign.push("z".to_owned());
     let kept = ReadScope {
         missing: vec!["y".to_owned()],
         ..changes()
     };
-    here.on_read(&odd.with_version(100), kept);
+    here.on_read(&with_foreign_row.with_version(100), kept);
     there.on_read(&reading(now, &both[..1]).with_version(100), changes());
     let mut known = known_of(&here, 100, now);
-    let heard = known_of(&there, 100, now + ms(20));
+    let received = known_of(&there, 100, now + ms(20));
     assert!(
-        !known.confirm(&heard),
-        "what is known is not what was confirmed"
+        !known.confirm(&received),
+        "knowledge was confirmed that this entry lacks"
     );
 }
 
@@ -204,9 +204,9 @@
     here.on_read(&reading(now, &both).with_version(100), changes());
     there.on_read(&reading(now, &both).with_version(100), changes());
     // A row of another writer appears only here; the store's version is the same.
-    let mut odd = reading(now, &both);
-    odd.foreign.push("z".to_owned());
-    here.on_read(&odd.with_version(100), changes());
+    let mut with_foreign_row = reading(now, &both);
+    with_foreign_row.foreign.push("z".to_owned());
+    here.on_read(&with_foreign_row.with_version(100), changes());
     let mut known = StoreProgress {
         registry: here.version(),
         registry_read: 100,
@@ -224,16 +224,16 @@
         &reading(now + ms(20), &leaving).with_version(102),
         changes(),
     );
-    let heard = StoreProgress {
+    let received = StoreProgress {
         registry: there.version(),
         registry_read: 102,
         registry_at: Some(now + ms(20)),
         ..StoreProgress::default()
     };
-    assert!(known.is_behind_registry(&heard));
-    assert!(!known.confirm(&heard));
+    assert!(known.is_behind_registry(&received));
+    assert!(!known.confirm(&received));
     assert_eq!(
         known.registry_read, 100,
-        "it would ask for later changes only"
+        "the next read would skip the missed change"
     );
 }
--- a/crates/place/tests/proofs.rs
+++ b/crates/place/tests/proofs.rs
@@ -62,7 +62,7 @@
         if let (Some(lacks), Some(claim)) = (lacks, claim) {
             assert!(
                 claim >= lacks,
-                "entry {entry} lacks what was set {lacks:?} ago and claims {claim:?}"
+                "entry {entry} lacks a change set {lacks:?} ago but claims an age of {claim:?}"
             );
         }
     }
@@ -94,7 +94,10 @@
         }
         let used = listed(&world);
         let age = max_proof_age(&mut world, &used, ms(8000));
-        assert!(age + MARGIN < REVOKE_LIMIT, "{count}, leads ended: {age:?}");
+        assert!(
+            age + MARGIN < REVOKE_LIMIT,
+            "{count}, leads stopped: {age:?}"
+        );
         for is_silent in [false, true] {
             let mut world = settled(count);
             let mut refused: Vec<usize> = (0..count).filter(|entry| entry % 7 < 2).collect();
@@ -145,8 +148,8 @@
         world.store_down = true;
         world.run(ms(5000));
         let calls = world.calls_in(ms(10_000));
-        let most = 10 * (3 * used.len() as u64 + 20);
-        assert!(calls <= most, "{count}: {calls} calls in 10 s");
+        let max_calls = 10 * (3 * used.len() as u64 + 20);
+        assert!(calls <= max_calls, "{count}: {calls} calls in 10 s");
         for entry in &used {
             assert!(world.proof_age(*entry).is_none_or(|age| age > REVOKE_LIMIT));
         }
@@ -156,7 +159,7 @@
             let age = world.proof_age(*entry).unwrap_or(Duration::MAX);
             assert!(
                 age + MARGIN < REVOKE_LIMIT,
-                "{count}: {age:?} after the return"
+                "{count}: {age:?} after the recovery"
             );
         }
     }
@@ -170,16 +173,16 @@
         let mut world = settled(64);
         world.delays = Some((5, ms(4000)));
         for turn in 0..6 {
-            let still = listed(&world)[turn % 3];
-            world.stand_still(still, ms(7000), suspended);
-            world.entries[still].silent = true;
+            let suspended_entry = listed(&world)[turn % 3];
+            world.stand_still(suspended_entry, ms(7000), suspended);
+            world.entries[suspended_entry].silent = true;
             world.run(ms(300));
             world.change();
             for _ in 0..450 {
                 world.run(ms(20));
                 check_claims(&world);
             }
-            world.entries[still].silent = false;
+            world.entries[suspended_entry].silent = false;
             world.run(ms(1000));
         }
     }
@@ -210,8 +213,8 @@
             regions: Vec::new(),
         }))
     };
-    let heard = world.entries[follower].member.known().proved;
-    let old = digest(&world, heard);
+    let known_proof = world.entries[follower].member.known().proved;
+    let old = digest(&world, known_proof);
     world.entries[follower].group = 9;
     world.entries[follower].silent = true;
     for turn in 0..30 {
@@ -321,15 +324,15 @@
 /// claim a more recent proof than that knowledge has.
 #[test]
 fn older_knowledge_comes_with_its_own_proof() {
-    let word = |operator, proved| StoreProgress {
+    let progress = |operator, proved| StoreProgress {
         operator,
         proved: StoreTime(proved),
         ..StoreProgress::default()
     };
-    let mut known = word(12, 73_000);
-    known.replace_operator(&word(11, 68_000));
+    let mut known = progress(12, 73_000);
+    known.replace_operator(&progress(11, 68_000));
     assert_eq!((known.operator, known.proved), (11, StoreTime(68_000)));
-    known.replace_operator(&word(12, 70_000));
-    known.confirm_operator(&word(12, 70_000));
+    known.replace_operator(&progress(12, 70_000));
+    known.confirm_operator(&progress(12, 70_000));
     assert_eq!((known.operator, known.proved), (12, StoreTime(70_000)));
 }
--- a/crates/place/tests/reading.rs
+++ b/crates/place/tests/reading.rs
@@ -26,8 +26,8 @@
             scheduler.on_read(now, ReadOutcome::Unchanged);
         }
     }
-    let most = span.as_millis() / intervals.reader.as_millis() + 1;
-    assert!(calls <= most, "{calls} calls in {span:?}");
+    let max_calls = span.as_millis() / intervals.reader.as_millis() + 1;
+    assert!(calls <= max_calls, "{calls} calls in {span:?}");
 }
 
 /// An answer with a change must count as of the call's start, however late it is processed,
--- a/crates/place/tests/relisting.rs
+++ b/crates/place/tests/relisting.rs
@@ -33,7 +33,7 @@
         while catalog.iter().count() == 2 {
             assert!(
                 now <= dropped + DRAIN - PROPAGATION_TIME,
-                "offset {offset}: used too long"
+                "offset {offset}: used for too long"
             );
             now += ms(10);
             plan.set_settles(catalog.settles_at());
@@ -65,7 +65,7 @@
         }
         assert!(
             now >= back + ms(2000),
-            "offset {offset}: dropped before it could be back"
+            "offset {offset}: dropped before it could register again"
         );
     }
 }
--- a/crates/place/tests/runs.rs
+++ b/crates/place/tests/runs.rs
@@ -248,7 +248,7 @@
     fn any_rows_in_any_order_keep_runs_apart(rows in prop::collection::vec(any_row(), 1..40)) {
         let now = Instant::now();
         let mut catalog = ServerCatalog::new(domains());
-        let calm = run("calm", 1, 1);
+        let unchanged = run("calm", 1, 1);
         let mut newest: HashMap<String, Option<u64>> = HashMap::new();
         let mut left: Vec<(String, Option<u64>)> = Vec::new();
         for (step, row) in rows.iter().enumerate() {
@@ -258,7 +258,7 @@
             if row.leaving {
                 entry.state = EntryState::Draining;
             }
-            let mut snapshot = reading(now + ms(step as u64), std::slice::from_ref(&calm));
+            let mut snapshot = reading(now + ms(step as u64), std::slice::from_ref(&unchanged));
             if row.foreign {
                 snapshot.foreign.push(id.clone());
             } else {
@@ -287,7 +287,7 @@
                 }
             }
             let kept = catalog.iter().find(|record| record.entry.id == "calm");
-            prop_assert_eq!(&kept.unwrap().entry, &calm);
+            prop_assert_eq!(&kept.unwrap().entry, &unchanged);
         }
     }
 }
