--- a/crates/place/tests/departed.rs
+++ b/crates/place/tests/departed.rs
@@ -15,7 +15,7 @@
 use place::prelude::*;
 
 const DRAIN: Duration = Duration::from_millis(3000);
-/// Share of it that remains for the propagation to other entries.
+/// Part of it that remains for the propagation to other entries.
 const PROPAGATION_TIME: Duration = Duration::from_millis(600);
 
 fn catalog() -> ServerCatalog {
@@ -276,7 +276,7 @@
 #[test]
 fn a_follower_ends_the_wait_that_it_began() {
     let start = Instant::now();
-    let mut plan = ReadScheduler::new(start, ReadIntervals::new(DRAIN), 1);
+    let mut scheduler = ReadScheduler::new(start, ReadIntervals::new(DRAIN), 1);
     let follower = ReadRole::Follower {
         substitute: false,
         stuck: false,
@@ -285,22 +285,33 @@
         used: true,
         first: start,
     };
-    assert!(plan.begin_read(start, alone, None, false).is_some());
+    assert!(scheduler.begin_read(start, alone, None, false).is_some());
     let at = start + ms(2000);
-    plan.set_settles(Some(at));
-    plan.on_read(start + ms(10), ReadOutcome::Changed);
+    scheduler.set_settles(Some(at));
+    scheduler.on_read(start + ms(10), ReadOutcome::Changed);
     let before = at - ms(100);
-    assert_eq!(plan.begin_read(before, follower, Some(before), false), None);
-    assert!(plan.begin_read(at, follower, Some(at), false).is_some());
-    plan.on_read(at + ms(10), ReadOutcome::Failed);
+    assert_eq!(
+        scheduler.begin_read(before, follower, Some(before), false),
+        None
+    );
+    assert!(
+        scheduler
+            .begin_read(at, follower, Some(at), false)
+            .is_some()
+    );
+    scheduler.on_read(at + ms(10), ReadOutcome::Failed);
     let again = at + ms(500);
     assert!(
-        plan.begin_read(again, follower, Some(again), false)
+        scheduler
+            .begin_read(again, follower, Some(again), false)
             .is_some()
     );
-    plan.on_read(again + ms(10), ReadOutcome::Unchanged);
+    scheduler.on_read(again + ms(10), ReadOutcome::Unchanged);
     let later = at + ms(1500);
-    assert_eq!(plan.begin_read(later, follower, Some(later), false), None);
+    assert_eq!(
+        scheduler.begin_read(later, follower, Some(later), false),
+        None
+    );
 }
 
 /// A server that leaves and is listed again within a single change must keep its state: it is
@@ -387,8 +398,8 @@
         registry_at: Some(now - ms(100)),
         ..StoreProgress::default()
     };
-    let registration = known.to_message(now).delayed_by(ms(2500));
-    let received = StoreProgress::from_message(now, &registration);
+    let message = known.to_message(now).delayed_by(ms(2500));
+    let received = StoreProgress::from_message(now, &message);
     assert_eq!(received.registry_at, Some(now - ms(2600)));
     assert_eq!(received.operator_at, None);
 }
@@ -477,7 +488,10 @@
         }
         lead.on_read(&late, changes());
         follower.on_told(start, start, &lead.since(known));
-        assert!(!is_open(&follower, "x"), "hears first: {knows_end_first}");
+        assert!(
+            !is_open(&follower, "x"),
+            "knows the end first: {knows_end_first}"
+        );
         assert!(is_open(&follower, "y"));
     }
 }
--- a/crates/place/tests/relisting.rs
+++ b/crates/place/tests/relisting.rs
@@ -24,7 +24,7 @@
     for offset in 0..20 {
         let start = Instant::now();
         let mut catalog = ServerCatalog::new(placer_config().domains).with_drain(DRAIN);
-        let mut plan = ReadScheduler::new(start, ReadIntervals::new(DRAIN), 1);
+        let mut scheduler = ReadScheduler::new(start, ReadIntervals::new(DRAIN), 1);
         let both = [server("x", "a1"), server("y", "a1")];
         catalog.on_read(start, &reading(start, &both));
         let back = start + ms(4000 + 55 * offset);
@@ -36,14 +36,14 @@
                 "offset {offset}: used for too long"
             );
             now += ms(10);
-            plan.set_settles(catalog.settles_at());
-            let call = plan.begin_read(now, ReadRole::Reader, catalog.read_at(), false);
+            scheduler.set_settles(catalog.settles_at());
+            let call = scheduler.begin_read(now, ReadRole::Reader, catalog.read_at(), false);
             let Some(RegistryRead { wait, .. }) = call else {
                 continue;
             };
             if now < back {
                 catalog.on_read_failed(now);
-                plan.on_read(now, ReadOutcome::Failed);
+                scheduler.on_read(now, ReadOutcome::Failed);
                 continue;
             }
             let begun = now;
@@ -61,7 +61,7 @@
             } else {
                 ReadOutcome::Unchanged
             };
-            plan.on_read(now, outcome);
+            scheduler.on_read(now, outcome);
         }
         assert!(
             now >= back + ms(2000),
