--- a/crates/place/src/crash/ledger.rs
+++ b/crates/place/src/crash/ledger.rs
@@ -55,7 +55,7 @@
     /// When each suspect was last put into quarantine.
     quarantined_at: HashMap<RequestFingerprint, Instant>,
     review_due: Option<Instant>,
-    newest: Option<Instant>,
+    last_report_at: Option<Instant>,
 }
 
 impl CrashLedger {
@@ -85,7 +85,7 @@
         }
         crash.suspects.push(fingerprint);
         *self.totals.entry(fingerprint).or_default() += 1;
-        self.newest = Some(now);
+        self.last_report_at = Some(now);
         self.review_due = self.review_due.or(Some(now + REVIEW_DELAY));
         true
     }
@@ -117,7 +117,9 @@
 
     /// Returns whether a new report arrived within `RECENT_REPORTS_TIME`.
     pub fn has_recent_reports(&self, now: Instant) -> bool {
-        let age = self.newest.map(|at| now.saturating_duration_since(at));
+        let age = self
+            .last_report_at
+            .map(|at| now.saturating_duration_since(at));
         age.is_some_and(|age| age < RECENT_REPORTS_TIME)
     }
 
@@ -131,27 +133,27 @@
         self.review_due = None;
     }
 
-    /// Determines the causes of the known crashes, raises the status of requests in `book`, and
+    /// Determines the causes of the known crashes, raises the status of requests in `statuses`, and
     /// returns the requests whose status it raised.
     pub fn review(
         &mut self,
         now: Instant,
-        book: &mut QuarantineTable,
+        statuses: &mut QuarantineTable,
     ) -> Vec<(RequestFingerprint, RequestStatus)> {
         self.review_due = None;
         self.drop_expired(now);
         let mut raised = Vec::new();
         for fingerprint in self.frequent_suspects() {
-            let room = book.quarantines().count() < MAX_QUARANTINED;
+            let room = statuses.quarantines().count() < MAX_QUARANTINED;
             let status = if room && self.is_cause(fingerprint) {
                 self.quarantined_at.insert(fingerprint, now);
                 RequestStatus::Quarantined
-            } else if !book.contains(fingerprint) {
+            } else if !statuses.contains(fingerprint) {
                 RequestStatus::Suspect
             } else {
                 continue;
             };
-            if book.raise(fingerprint, status, now) {
+            if statuses.raise(fingerprint, status, now) {
                 raised.push((fingerprint, status));
             }
         }
--- a/crates/place/tests/common/mod.rs
+++ b/crates/place/tests/common/mod.rs
@@ -12,7 +12,7 @@
 use place::placing::choice::ByteCosts;
 use place::prelude::*;
 
-/// Milliseconds.
+/// Shorthand for a duration in milliseconds.
 pub fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
--- a/crates/place/tests/crashes.rs
+++ b/crates/place/tests/crashes.rs
@@ -202,49 +202,49 @@
 /// request must be served.
 #[test]
 fn a_quarantine_ends_and_returns() {
-    let (mut ledger, mut book) = (CrashLedger::default(), QuarantineTable::default());
+    let (mut ledger, mut statuses) = (CrashLedger::default(), QuarantineTable::default());
     let mut now = Instant::now();
     for run in 0..3 {
         ledger.on_report(now, report(run, FATAL));
     }
-    ledger.review(now, &mut book);
-    let left = book.quarantine_left(now, FATAL).unwrap();
+    ledger.review(now, &mut statuses);
+    let left = statuses.quarantine_left(now, FATAL).unwrap();
     now += left + ms(1);
-    book.drop_expired(now);
+    statuses.drop_expired(now);
     ledger.on_report(now, report(50, RequestFingerprint(7)));
-    ledger.review(now, &mut book);
-    assert_eq!(book.quarantine_left(now, FATAL), None);
+    ledger.review(now, &mut statuses);
+    assert_eq!(statuses.quarantine_left(now, FATAL), None);
     now += ms(1);
     ledger.on_report(now, report(51, FATAL));
-    ledger.review(now, &mut book);
-    assert!(book.quarantine_left(now, FATAL).is_some());
+    ledger.review(now, &mut statuses);
+    assert!(statuses.quarantine_left(now, FATAL).is_some());
 }
 
 /// Requests that always occur together must both be quarantined eventually.
 #[test]
 fn inseparable_requests_are_quarantined() {
-    let (mut ledger, mut book) = (CrashLedger::default(), QuarantineTable::default());
+    let (mut ledger, mut statuses) = (CrashLedger::default(), QuarantineTable::default());
     let now = Instant::now();
     for run in 0..5 {
         ledger.on_report(now, report(run, FATAL));
         ledger.on_report(now, report(run, RequestFingerprint(2)));
     }
-    ledger.review(now, &mut book);
-    assert_eq!(book.quarantined().count(), 2);
+    ledger.review(now, &mut statuses);
+    assert_eq!(statuses.quarantined().count(), 2);
 }
 
 /// A request must be clearable after any number of other clearings.
 #[test]
 fn one_among_many_is_cleared() {
-    let mut book = QuarantineTable::default();
+    let mut statuses = QuarantineTable::default();
     let now = Instant::now();
     for fingerprint in 100..1000 {
-        book.clear(RequestFingerprint(fingerprint), now);
+        statuses.clear(RequestFingerprint(fingerprint), now);
     }
-    book.raise(FATAL, RequestStatus::Quarantined, now);
-    assert!(book.clear(FATAL, now + ms(1)));
-    assert_eq!(book.quarantined().count(), 0);
-    assert!(!book.raise(FATAL, RequestStatus::Quarantined, now));
+    statuses.raise(FATAL, RequestStatus::Quarantined, now);
+    assert!(statuses.clear(FATAL, now + ms(1)));
+    assert_eq!(statuses.quarantined().count(), 0);
+    assert!(!statuses.raise(FATAL, RequestStatus::Quarantined, now));
 }
 
 /// A clearing must be sent even if the queue is full of reports.
@@ -264,7 +264,7 @@
 /// A request that is often in flight beside the cause must not be mistaken for it.
 #[test]
 fn a_constant_companion_is_not_refused() {
-    let (mut ledger, mut book) = (CrashLedger::default(), QuarantineTable::default());
+    let (mut ledger, mut statuses) = (CrashLedger::default(), QuarantineTable::default());
     let now = Instant::now();
     for run in 0..8 {
         ledger.on_report(now, report(run, FATAL));
@@ -272,20 +272,20 @@
             ledger.on_report(now, report(run, RequestFingerprint(2)));
         }
     }
-    ledger.review(now, &mut book);
-    assert_eq!(book.quarantined().collect::<Vec<_>>(), [FATAL]);
+    ledger.review(now, &mut statuses);
+    assert_eq!(statuses.quarantined().collect::<Vec<_>>(), [FATAL]);
 }
 
 /// If servers crash regardless of what they run, only a few requests may be refused for it.
 #[test]
 fn a_service_that_ends_by_itself_refuses_few() {
-    let (mut ledger, mut book) = (CrashLedger::default(), QuarantineTable::default());
+    let (mut ledger, mut statuses) = (CrashLedger::default(), QuarantineTable::default());
     let now = Instant::now();
     for run in 0..400 {
         ledger.on_report(now, report(run, RequestFingerprint(u128::from(run % 50))));
-        ledger.review(now, &mut book);
+        ledger.review(now, &mut statuses);
     }
-    assert!(book.quarantined().count() <= 8);
+    assert!(statuses.quarantined().count() <= 8);
 }
 
 /// A crash: the bystanders that were in flight, and whether the fatal request was.
@@ -301,7 +301,7 @@
     /// crash by themselves. The cause must be quarantined once it has crashed enough servers.
     #[test]
     fn bystanders_are_never_refused(crashes in crashes()) {
-        let (mut ledger, mut book) = (CrashLedger::default(), QuarantineTable::default());
+        let (mut ledger, mut statuses) = (CrashLedger::default(), QuarantineTable::default());
         let mut now = Instant::now();
         let mut fatal_crashes = 0;
         for (run, (bystanders, is_fatal)) in crashes.into_iter().enumerate() {
@@ -313,7 +313,7 @@
                 ledger.on_report(now, report(run, FATAL));
                 fatal_crashes += 1;
             }
-            let raised = ledger.review(now, &mut book);
+            let raised = ledger.review(now, &mut statuses);
             let refused = |fingerprint: &RequestFingerprint| {
                 raised.contains(&(*fingerprint, RequestStatus::Quarantined)) && *fingerprint != FATAL
             };
@@ -322,14 +322,14 @@
             now += ms(200);
             for fingerprint in &bystanders {
                 ledger.clear(RequestFingerprint(*fingerprint));
-                book.clear(RequestFingerprint(*fingerprint), now);
+                statuses.clear(RequestFingerprint(*fingerprint), now);
             }
             now += Duration::from_millis(50);
-            if book.quarantine_left(now, FATAL).is_some() {
+            if statuses.quarantine_left(now, FATAL).is_some() {
                 break;
             }
         }
         prop_assert!(fatal_crashes <= 3);
-        prop_assert_eq!(book.quarantine_left(now, FATAL).is_some(), fatal_crashes == 3);
+        prop_assert_eq!(statuses.quarantine_left(now, FATAL).is_some(), fatal_crashes == 3);
     }
 }
