--- a/bin/lh-entry/src/fleet.rs
+++ b/bin/lh-entry/src/fleet.rs
@@ -5,12 +5,12 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use place::crash::print::RequestPrint;
+use place::crash::print::RequestFingerprint;
 use place::fleet::clock::StoreTime;
-use place::fleet::known::KnownStore;
 use place::fleet::member::{BEAT_EVERY, MemberConfig};
 use place::fleet::message::PeerMessage;
 use place::fleet::regions::RegionBook;
+use place::fleet::store_progress::StoreProgress;
 use place::prelude::*;
 use tokio::net::UdpSocket;
 use tokio::sync::{Notify, watch};
@@ -67,7 +67,7 @@
     }
 
     /// Takes in what this entry knows of the store since `change`.
-    pub(crate) fn on_known(&self, change: impl FnOnce(&mut KnownStore)) {
+    pub(crate) fn on_known(&self, change: impl FnOnce(&mut StoreProgress)) {
         let mut known = self.known();
         change(&mut known);
         self.on_event(FleetEvent::Known(known));
@@ -82,7 +82,7 @@
     }
 
     /// What this entry knows of the store.
-    pub(crate) fn known(&self) -> KnownStore {
+    pub(crate) fn known(&self) -> StoreProgress {
         *self.member.borrow().known()
     }
 
@@ -118,13 +118,13 @@
     }
 
     /// How much longer the request is refused; `None` where it isn't.
-    pub(crate) fn quarantine_left(&self, print: RequestPrint) -> Option<Duration> {
+    pub(crate) fn quarantine_left(&self, print: RequestFingerprint) -> Option<Duration> {
         let member = self.member.borrow();
         member.quarantine_left(Instant::now(), print)
     }
 
     /// The requests in quarantine.
-    pub(crate) fn quarantined(&self) -> Vec<RequestPrint> {
+    pub(crate) fn quarantined(&self) -> Vec<RequestFingerprint> {
         self.member.borrow().quarantined().collect()
     }
 
@@ -134,7 +134,7 @@
     }
 
     /// A server answered the request well.
-    pub(crate) fn on_answered(&self, print: RequestPrint) {
+    pub(crate) fn on_answered(&self, print: RequestFingerprint) {
         let is_news = self.member.borrow().suspects(print);
         if is_news {
             self.on_event(FleetEvent::Cleared(print));
@@ -250,7 +250,7 @@
         Ok(PeerMessage::Rollout(beat)) => state.rollouts.on_beat(&beat),
         Ok(mut message) => {
             if let (PeerMessage::Digest(digest), Some(span)) = (&mut message, waited) {
-                digest.store = digest.store.waited(span);
+                digest.store = digest.store.delayed_by(span);
             }
             state.fleet.on_event(FleetEvent::Message(message));
         }
--- a/bin/lh-entry/src/state.rs
+++ b/bin/lh-entry/src/state.rs
@@ -9,12 +9,12 @@
 use base::prelude::{Incarnation, InstanceId, NodeId};
 use place::catalog::CatalogChange;
 use place::departure::Departure;
-use place::fleet::copies::CopyDesk;
+use place::fleet::copies::CopyScheduler;
 use place::fleet::front::RateMeter;
-use place::fleet::known::KnownStore;
 use place::fleet::log::{ReadScope, RegistryDelta, RegistryLog};
 use place::fleet::member::MemberConfig;
 use place::fleet::seat::LeadSeat;
+use place::fleet::store_progress::StoreProgress;
 use place::placing::load::load_interval;
 use place::prelude::*;
 use place::rank::stable_hash;
@@ -63,7 +63,7 @@
     /// The same, encoded.
     pub(crate) encoded: RefCell<EncodedChanges>,
     /// Whole copies of it that were told.
-    pub(crate) copies: RefCell<CopyDesk>,
+    pub(crate) copies: RefCell<CopyScheduler>,
     /// Reads the registry; taken while it does.
     pub(crate) registry: RefCell<Option<StoreClient>>,
     pub(crate) registry_dependency: RefCell<Dependency>,
@@ -124,7 +124,7 @@
             evacuated: RefCell::default(),
             servers: RefCell::default(),
             encoded: RefCell::default(),
-            copies: RefCell::new(CopyDesk::new(config.link_megabits)),
+            copies: RefCell::new(CopyScheduler::new(config.link_megabits)),
             registry: RefCell::default(),
             registry_dependency: RefCell::new(Dependency::new("server registry")),
             fleet: FleetDesk::new(member_config(&config, incarnation)),
@@ -234,7 +234,7 @@
     /// was asked for they count also if they seem older.
     pub(crate) fn on_told_operator(
         &self,
-        heard: &KnownStore,
+        heard: &StoreProgress,
         evacuated: &[String],
         is_whole: bool,
     ) {
@@ -312,7 +312,7 @@
     pub(crate) fn on_told_servers(
         &self,
         lead: SocketAddr,
-        heard: &KnownStore,
+        heard: &StoreProgress,
         delta: &RegistryDelta,
         is_whole: bool,
     ) {
@@ -348,7 +348,7 @@
     /// Takes in which servers have left, as a lead told that has run for longer.
     pub(crate) fn on_told_ends(&self, lead: SocketAddr, ends: &[Departure]) {
         let mut servers = self.servers.borrow_mut();
-        servers.on_ends(ends);
+        servers.on_departures(ends);
         let changed_at = servers.version();
         drop(servers);
         let mut placer = self.placer.borrow_mut();
--- a/bin/lh-entry/src/view.rs
+++ b/bin/lh-entry/src/view.rs
@@ -15,12 +15,12 @@
 use place::departure::Departure;
 use place::desired::DesiredState;
 use place::fleet::clock::StoreTime;
+use place::fleet::content_hash::ContentHash;
 use place::fleet::copies::CopySource;
 use place::fleet::follow::{PullScope, PullTarget};
-use place::fleet::known::{KnownStore, StoreWord};
 use place::fleet::list::{EntryList, ListVersion};
 use place::fleet::log::{RegistryDelta, RegistryLog};
-use place::fleet::mark::ContentMark;
+use place::fleet::store_progress::{StoreProgress, StoreProgressMessage};
 use place::prelude::FleetEvent;
 use quick_error::quick_error;
 use rollout::order::RolloutRecord;
@@ -66,7 +66,7 @@
     /// What the one that asked lacks.
     #[derive(Default)]
     struct ViewAnswer {
-        store: StoreWord,
+        store: StoreProgressMessage,
         /// An encoded [`RegistryDelta`]; empty where nothing changed.
         registry: Vec<u8>,
         /// Where that is to be had instead.
@@ -117,7 +117,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct EncodedChanges {
     /// The log that they are of. Its version alone may stand for other content before.
-    of: (u64, ContentMark),
+    of: (u64, ContentHash),
     by_mark: HashMap<u64, Rc<Vec<u8>>>,
 }
 
@@ -139,7 +139,7 @@
     let query: ViewQuery = postcard::from_bytes(&bytes).ok()?;
     let known = state.fleet.known();
     let mut answer = ViewAnswer {
-        store: known.word(Instant::now()),
+        store: known.to_message(Instant::now()),
         latest: state.fleet.latest_store_time(),
         ..ViewAnswer::default()
     };
@@ -147,14 +147,15 @@
         let log = state.servers.borrow();
         let changes = state.encoded.borrow_mut().since(&log, query.registry);
         let mut copies = state.copies.borrow_mut();
-        let asked = copies.on_asked(Instant::now(), query.view, changes.len(), query.insists);
+        let asked =
+            copies.on_copy_request(Instant::now(), query.view, changes.len(), query.insists);
         match asked {
-            CopySource::Here => {
+            CopySource::Direct => {
                 state.metrics.on_told(query.registry == 0);
                 answer.registry.clone_from(&changes);
             }
-            CopySource::Elsewhere(relay) => answer.copy_at = Some(relay),
-            CopySource::Later => answer.is_busy = true,
+            CopySource::Relay(relay) => answer.copy_at = Some(relay),
+            CopySource::Busy => answer.is_busy = true,
         }
     }
     if known.operator > query.operator {
@@ -167,7 +168,7 @@
         answer.desired = encode(desired);
     }
     if query.ends {
-        answer.ends = state.servers.borrow().ends();
+        answer.ends = state.servers.borrow().departures();
     }
     answer.lists = state
         .fleet
@@ -241,7 +242,7 @@
 ) -> Result<(), ViewError> {
     // The answer was given at some time since the question: taking it for new would hide how
     // long this process had no turn to read it.
-    let heard = KnownStore::heard(begun, &answer.store);
+    let heard = StoreProgress::from_message(begun, &answer.store);
     if !answer.desired.is_empty() {
         let desired: DesiredState = postcard::from_bytes(&answer.desired)?;
         state.on_desired(&desired);
--- a/crates/emulate/benches/slopes.rs
+++ b/crates/emulate/benches/slopes.rs
@@ -8,12 +8,12 @@
 use conf::ConfigBundle;
 use place::blocks::BlockTableBuilder;
 use place::desired::{DesiredState, RequestKind, RouteSpec, ServiceSpec, SplitPart};
-use place::directory::in_order;
-use place::fleet::known::KnownStore;
+use place::directory::ordered_entries;
 use place::fleet::log::{ReadScope, RegistryDelta, RegistryLog};
 use place::fleet::member::MemberConfig;
 use place::fleet::message::{EntryBeat, PeerMessage};
 use place::fleet::seat::LeadSeat;
+use place::fleet::store_progress::StoreProgress;
 use place::limits::budget::BudgetBounds;
 use place::placing::choice::ByteCosts;
 use place::placing::load::{LoadUpdate, short_id};
@@ -358,9 +358,9 @@
         };
         let mut lead = FleetMember::new(start, config);
         let mut actions = Vec::new();
-        let known = KnownStore {
+        let known = StoreProgress {
             registry_at: Some(start),
-            ..KnownStore::default()
+            ..StoreProgress::default()
         };
         lead.on_event(start, FleetEvent::Known(known), &mut actions);
         let mut now = start + Duration::from_secs(2);
@@ -395,7 +395,12 @@
         let mut spread = 0;
         let answer = median(7, 200, || {
             spread += 1;
-            drop(black_box(in_order(&entries, Some("r3"), spread, |e| &e.0)));
+            drop(black_box(ordered_entries(
+                &entries,
+                Some("r3"),
+                spread,
+                |e| &e.0,
+            )));
         });
         let mut log = RegistryLog::default();
         let servers: Vec<ServerEntry> = (0..count * 4).map(|number| server(number, 0)).collect();
--- a/crates/place/src/blocks.rs
+++ b/crates/place/src/blocks.rs
@@ -1,9 +1,9 @@
-//! Client address blocks: which region or site a caller's address belongs to.
+//! Table of client address blocks (CIDR), which maps a caller's address to its region or site.
 
 use std::fmt;
 use std::net::IpAddr;
 
-/// A block that can't be read.
+/// Error for a text that isn't a valid address block.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BlockParseError(String);
 
@@ -11,7 +11,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "'{}' is no address block; write it as 10.1.0.0/16",
+            "'{}' is not a valid address block; write it as 10.1.0.0/16",
             self.0
         )
     }
@@ -19,10 +19,10 @@
 
 impl std::error::Error for BlockParseError {}
 
-/// Reads a block such as `10.1.0.0/16`.
+/// Parses a block such as `10.1.0.0/16`.
 ///
 /// # Errors
-/// Where the address or the prefix length can't be read.
+/// Fails if the address or the prefix length is invalid.
 pub fn parse_block(text: &str) -> Result<(IpAddr, u8), BlockParseError> {
     let fail = || BlockParseError(text.to_owned());
     let (address, length) = text.trim().split_once('/').ok_or_else(fail)?;
@@ -35,10 +35,10 @@
     Ok((address, length))
 }
 
-/// Value of addresses outside every block.
+/// Marks ranges outside all blocks.
 const NO_SITE: u16 = u16::MAX;
 
-/// Disjoint ranges of addresses in two flat arrays: where each starts, and its site.
+/// Disjoint address ranges in two flat arrays: the first address of each range, and its site.
 #[derive(Debug, Clone)]
 struct RangeTable<A> {
     starts: Vec<A>,
@@ -46,41 +46,42 @@
 }
 
 impl<A: Copy + Ord> RangeTable<A> {
-    /// Flattens blocks, of which the longest prefix counts. `blocks` holds the first
-    /// and last address and the site; `next` gives the address after one, if any.
+    /// Flattens overlapping blocks; the longest prefix wins. `blocks` holds the first address,
+    /// the last address and the site of each block; `next` returns the address after the given
+    /// one, if any.
     fn new(mut blocks: Vec<(A, A, u16)>, next: impl Fn(A) -> Option<A>) -> Self {
         blocks.sort_by(|a, b| a.0.cmp(&b.0).then(b.1.cmp(&a.1)));
         let mut table = Self {
             starts: Vec::with_capacity(blocks.len() * 2),
             sites: Vec::with_capacity(blocks.len() * 2),
         };
-        let mut open: Vec<(A, u16)> = Vec::new();
+        let mut open_blocks: Vec<(A, u16)> = Vec::new();
         for (first, last, site) in blocks {
-            table.close_before(&mut open, Some(first), &next);
+            table.close_before(&mut open_blocks, Some(first), &next);
             table.push(first, site);
-            open.push((last, site));
+            open_blocks.push((last, site));
         }
-        table.close_before(&mut open, None, &next);
+        table.close_before(&mut open_blocks, None, &next);
         table.starts.shrink_to_fit();
         table.sites.shrink_to_fit();
         table
     }
 
-    /// Ends the open blocks that lie before `first`, going back to the block around each.
+    /// Ends the open blocks that lie before `first` and resumes the enclosing block of each.
     fn close_before(
         &mut self,
-        open: &mut Vec<(A, u16)>,
+        open_blocks: &mut Vec<(A, u16)>,
         first: Option<A>,
         next: impl Fn(A) -> Option<A>,
     ) {
-        while let Some((last, _)) = open.last().copied() {
+        while let Some((last, _)) = open_blocks.last().copied() {
             if first.is_some_and(|first| first <= last) {
                 return;
             }
-            open.pop();
-            let around = open.last().map_or(NO_SITE, |(_, site)| *site);
+            open_blocks.pop();
+            let enclosing = open_blocks.last().map_or(NO_SITE, |(_, site)| *site);
             if let Some(after) = next(last) {
-                self.push(after, around);
+                self.push(after, enclosing);
             }
         }
     }
@@ -108,15 +109,15 @@
     }
 }
 
-/// Collects blocks for a [`BlockTable`].
+/// Builder of a [`BlockTable`].
 #[derive(Debug, Clone, Default)]
 pub struct BlockTableBuilder {
-    four: Vec<(u32, u32, u16)>,
-    six: Vec<(u128, u128, u16)>,
+    v4: Vec<(u32, u32, u16)>,
+    v6: Vec<(u128, u128, u16)>,
 }
 
 impl BlockTableBuilder {
-    /// Without any block.
+    /// Creates a builder without blocks.
     pub fn new() -> Self {
         Self::default()
     }
@@ -128,12 +129,12 @@
             IpAddr::V4(address) => {
                 let host = u32::MAX.checked_shr(u32::from(length)).unwrap_or(0);
                 let first = u32::from(address) & !host;
-                self.four.push((first, first | host, site));
+                self.v4.push((first, first | host, site));
             }
             IpAddr::V6(address) => {
                 let host = u128::MAX.checked_shr(u32::from(length)).unwrap_or(0);
                 let first = u128::from(address) & !host;
-                self.six.push((first, first | host, site));
+                self.v6.push((first, first | host, site));
             }
         }
         self
@@ -142,8 +143,8 @@
     /// Builds the table.
     pub fn build(self) -> BlockTable {
         BlockTable {
-            four: RangeTable::new(self.four, |address| address.checked_add(1)),
-            six: RangeTable::new(self.six, |address| address.checked_add(1)),
+            v4: RangeTable::new(self.v4, |address| address.checked_add(1)),
+            v6: RangeTable::new(self.v6, |address| address.checked_add(1)),
         }
     }
 }
@@ -161,21 +162,21 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct BlockTable {
-    four: RangeTable<u32>,
-    six: RangeTable<u128>,
+    v4: RangeTable<u32>,
+    v6: RangeTable<u128>,
 }
 
 impl BlockTable {
-    /// The site of `address`.
+    /// Returns the site of `address`.
     pub fn find(&self, address: IpAddr) -> Option<u16> {
         match address.to_canonical() {
-            IpAddr::V4(address) => self.four.find(u32::from(address)),
-            IpAddr::V6(address) => self.six.find(u128::from(address)),
+            IpAddr::V4(address) => self.v4.find(u32::from(address)),
+            IpAddr::V6(address) => self.v6.find(u128::from(address)),
         }
     }
 
-    /// Memory of the arrays in bytes.
+    /// Returns the size of the arrays in bytes.
     pub fn bytes(&self) -> usize {
-        self.four.bytes() + self.six.bytes()
+        self.v4.bytes() + self.v6.bytes()
     }
 }
--- a/crates/place/src/catalog/mod.rs
+++ b/crates/place/src/catalog/mod.rs
@@ -16,7 +16,7 @@
 use crate::catalog::index::{ServiceIndex, TopServersByLocality};
 use crate::catalog::outage::{RegistryOutage, VanishedRow};
 use crate::catalog::table::RecordTable;
-use crate::departure::{Departure, DepartureBook};
+use crate::departure::{Departure, DepartureTable};
 use crate::fleet::log::{RegistryDelta, store_version};
 use crate::placing::candidates::RankScope;
 use crate::placing::trip::RoundTripEstimator;
@@ -39,7 +39,7 @@
     applied_at: Option<Instant>,
     trips: RoundTripEstimator,
     outage: RegistryOutage,
-    departures: DepartureBook,
+    departures: DepartureTable,
 }
 
 impl ServerCatalog {
@@ -134,8 +134,8 @@
                 continue;
             }
             let known = self.table.by_id(&row.id).map(|record| &record.entry);
-            for word in known.into_iter().chain(&row.word) {
-                self.departures.note(now, &Departure::of(word));
+            for word in known.into_iter().chain(&row.last_entry) {
+                self.departures.record(now, &Departure::of(word));
             }
         }
     }
@@ -178,9 +178,9 @@
     pub fn on_ends(&mut self, now: Instant, ends: &[Departure]) -> Vec<CatalogChange> {
         let mut changes = Vec::new();
         for departure in ends {
-            self.departures.note(now, departure);
+            self.departures.record(now, departure);
             let known = self.table.by_id(&departure.id);
-            if known.is_some_and(|record| self.departures.refuses(now, &record.entry)) {
+            if known.is_some_and(|record| self.departures.supersedes(now, &record.entry)) {
                 self.remove(now, &departure.id, &mut changes);
             }
         }
@@ -213,7 +213,7 @@
         for record in self.table.iter_mut() {
             let domain = &record.entry.domain;
             if self.evacuated.contains(domain) && !domains.contains(domain) {
-                record.chill(now, warmup);
+                record.mark_cold(now, warmup);
             }
         }
         self.evacuated = domains;
@@ -317,7 +317,7 @@
     pub fn condition(&self, now: Instant, record: &ServerRecord) -> ServerCondition {
         if let Some(condition) = self.closed_reason(record) {
             condition
-        } else if record.is_paused(now) {
+        } else if record.is_backing_off(now) {
             ServerCondition::Unreachable
         } else if record.is_cold(now) {
             ServerCondition::Cold
--- a/crates/place/src/catalog/update.rs
+++ b/crates/place/src/catalog/update.rs
@@ -22,7 +22,7 @@
             self.mark_overwritten(&entry.id, changes);
             return;
         }
-        if self.departures.refuses(now, entry) {
+        if self.departures.supersedes(now, entry) {
             self.on_refused(now, entry, changes);
             return;
         }
@@ -57,7 +57,7 @@
     /// another instance.
     fn on_refused(&mut self, now: Instant, entry: &ServerEntry, changes: &mut Vec<CatalogChange>) {
         let current = self.table.by_id(&entry.id);
-        if current.is_some_and(|record| self.departures.refuses(now, &record.entry)) {
+        if current.is_some_and(|record| self.departures.supersedes(now, &record.entry)) {
             self.remove(now, &entry.id, changes);
         }
         if self.departures.on_refused(&entry.id) {
@@ -82,7 +82,7 @@
         let mut record = ServerRecord::new(entry.clone(), region);
         record.trip = self.trips.trip(&entry.domain, region);
         if !entry.cold_remaining.is_zero() {
-            record.chill(begun, entry.cold_remaining);
+            record.mark_cold(begun, entry.cold_remaining);
         }
         self.table.insert(record);
     }
@@ -126,20 +126,20 @@
         delta: &RegistryDelta,
         changes: &mut Vec<CatalogChange>,
     ) {
-        if delta.gone.is_empty() {
+        if delta.departures.is_empty() {
             return;
         }
         let listed = delta.entries.iter();
         let listed: HashMap<&str, &ServerEntry> =
             listed.map(|entry| (entry.id.as_str(), entry)).collect();
-        for departure in &delta.gone {
-            self.departures.note(now, departure);
+        for departure in &delta.departures {
+            self.departures.record(now, departure);
             let Some(record) = self.table.by_id(&departure.id) else {
                 continue;
             };
             let relisted = listed.get(departure.id.as_str());
             let is_back = relisted.is_some_and(|entry| {
-                entry.is_same_run(&record.entry) && !self.departures.refuses(now, entry)
+                entry.is_same_run(&record.entry) && !self.departures.supersedes(now, entry)
             });
             if !is_back {
                 self.remove(now, &departure.id, changes);
@@ -169,7 +169,7 @@
         let Some(record) = self.table.by_id(id) else {
             return;
         };
-        self.departures.note(now, &Departure::of(&record.entry));
+        self.departures.record(now, &Departure::of(&record.entry));
         self.table.remove(id);
         changes.push(CatalogChange::Gone(id.to_owned()));
     }
@@ -202,6 +202,6 @@
         if !record.is_cold(begun) {
             changes.push(CatalogChange::Cold(entry.id.clone()));
         }
-        record.chill(begun, entry.cold_remaining);
+        record.mark_cold(begun, entry.cold_remaining);
     }
 }
--- a/crates/place/src/crash/ledger.rs
+++ b/crates/place/src/crash/ledger.rs
@@ -1,206 +1,224 @@
-//! Finds the request that ended servers, from all that were at them.
+//! Correlates server crashes with the requests that were in flight, to find the request that
+//! causes them.
 
 use std::cmp::Reverse;
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use crate::crash::print::RequestPrint;
-use crate::crash::quarantine::QuarantineBook;
-use crate::crash::word::{CrashReport, PrintStatus};
-
-/// Servers that a request may end before it is put into quarantine. Two may be chance: a
-/// request and its repeat that each met a server on its way down.
-const FREE_ENDS: usize = 3;
-/// Ends after which a request is a suspect everywhere: all entries look out for a good
-/// answer to it.
-const SUSPECT_ENDS: usize = 2;
-/// Ends from which a request counts as a cause although another was at the same servers:
-/// two that never part can't be told from each other.
-const INSEPARABLE_ENDS: usize = 5;
-/// Requests in quarantine at once. Where more seem to end servers, it is the servers that
-/// end, whatever they run, and refusing callers would only add to it.
-const QUARANTINES_MOST: usize = 8;
-/// Time from the first news until the cause is looked for, so that the words of all entries that had
-/// requests at the server are in: several trips between regions.
-const SETTLE_TIME: Duration = Duration::from_millis(300);
-/// How long an end counts: a request that comes every few minutes is found out as well.
-const EVIDENCE_TIME: Duration = Duration::from_secs(1800);
-/// How long after the last news good answers are compared with the suspects: the longest
-/// time that a repeat takes.
-const FRESH_TIME: Duration = Duration::from_secs(10);
-/// Ends kept at most; with all suspects 0.6 MB.
-const ENDS_KEPT: usize = 512;
-/// Suspects of one end: all that a server runs and queues.
-const SUSPECTS_MOST: usize = 64;
-
-/// The end of a server.
+use crate::crash::print::RequestFingerprint;
+use crate::crash::quarantine::QuarantineTable;
+use crate::crash::word::{CrashReport, RequestStatus};
+
+/// Crashes after which a request is quarantined. Two may be a coincidence: a request and its
+/// retry can each reach a server that was already failing.
+const QUARANTINE_CRASHES: usize = 3;
+/// Crashes after which a request is a suspect: all entries then watch for a successful answer
+/// to it.
+const SUSPECT_CRASHES: usize = 2;
+/// Crashes after which a request counts as a cause even though another request was present at
+/// the same servers: two requests that always occur together can't be told apart.
+const INSEPARABLE_CRASHES: usize = 5;
+/// Maximum number of requests in quarantine at once. When more requests seem to crash servers,
+/// the servers fail regardless of what they run, and refusing callers would only add to the
+/// outage.
+const MAX_QUARANTINED: usize = 8;
+/// Delay from the first report until the cause is determined. It leaves time for the reports of
+/// all entries that had requests at the server: several round trips between regions.
+const REVIEW_DELAY: Duration = Duration::from_millis(300);
+/// How long a crash counts as evidence: long enough to detect a request that arrives only every
+/// few minutes.
+const CRASH_TTL: Duration = Duration::from_secs(1800);
+/// How long after the latest report successful answers are compared with the suspects: the
+/// longest time that a retry takes.
+const RECENT_REPORTS_TIME: Duration = Duration::from_secs(10);
+/// Maximum number of recorded crashes; with all suspects they take 0.6 MB.
+const MAX_CRASHES: usize = 512;
+/// Maximum number of suspects per crash: all requests that a server runs and queues.
+const MAX_SUSPECTS_PER_CRASH: usize = 64;
+
+/// A crash of a server run.
 #[derive(Debug)]
-struct ServerEnd {
+struct ServerCrash {
     run: u64,
     at: Instant,
-    suspects: Vec<RequestPrint>,
-    /// Those that were answered well since.
-    cleared: Vec<RequestPrint>,
+    suspects: Vec<RequestFingerprint>,
+    /// Suspects that were answered successfully afterwards.
+    cleared: Vec<RequestFingerprint>,
 }
 
-/// The ends of servers that are known, and the requests that were at them.
+/// The known server crashes and the requests that were in flight at each.
 #[derive(Debug, Default)]
 pub struct CrashLedger {
-    ends: VecDeque<ServerEnd>,
-    /// Ends for each suspect.
-    totals: HashMap<RequestPrint, usize>,
-    /// When suspects were last put into quarantine.
-    quarantined_at: HashMap<RequestPrint, Instant>,
+    crashes: VecDeque<ServerCrash>,
+    /// Number of crashes per suspect.
+    totals: HashMap<RequestFingerprint, usize>,
+    /// When each suspect was last put into quarantine.
+    quarantined_at: HashMap<RequestFingerprint, Instant>,
     review_due: Option<Instant>,
-    newest: Option<Instant>,
+    last_report_at: Option<Instant>,
 }
 
 impl CrashLedger {
-    /// Takes in that a request was at a server when it ended; whether that is news.
+    /// Records that a request was in flight at a server when it crashed. Returns whether this
+    /// is new.
     pub fn on_report(&mut self, now: Instant, report: CrashReport) -> bool {
-        self.forget(now);
-        let found = self.ends.iter().position(|end| end.run == report.run);
+        self.drop_expired(now);
+        let found = self
+            .crashes
+            .iter()
+            .position(|crash| crash.run == report.run);
         let index = found.unwrap_or_else(|| {
-            self.ends.push_back(ServerEnd {
+            self.crashes.push_back(ServerCrash {
                 run: report.run,
                 at: now,
                 suspects: Vec::new(),
                 cleared: Vec::new(),
             });
-            self.ends.len() - 1
+            self.crashes.len() - 1
         });
-        let end = &mut self.ends[index];
-        let print = report.print;
-        let is_known = end.suspects.contains(&print) || end.cleared.contains(&print);
-        if is_known || end.suspects.len() >= SUSPECTS_MOST {
+        let crash = &mut self.crashes[index];
+        let fingerprint = report.print;
+        let is_known =
+            crash.suspects.contains(&fingerprint) || crash.cleared.contains(&fingerprint);
+        if is_known || crash.suspects.len() >= MAX_SUSPECTS_PER_CRASH {
             return false;
         }
-        end.suspects.push(print);
-        *self.totals.entry(print).or_default() += 1;
-        self.newest = Some(now);
-        self.review_due = self.review_due.or(Some(now + SETTLE_TIME));
+        crash.suspects.push(fingerprint);
+        *self.totals.entry(fingerprint).or_default() += 1;
+        self.last_report_at = Some(now);
+        self.review_due = self.review_due.or(Some(now + REVIEW_DELAY));
         true
     }
 
-    /// The request was answered well: it is no suspect of the ends that are known. Whether
-    /// it was one.
-    pub fn clear(&mut self, print: RequestPrint) -> bool {
-        if self.totals.remove(&print).is_none() {
+    /// Clears a request after a successful answer: it no longer counts as a suspect of any
+    /// known crash. Returns whether it was a suspect.
+    pub fn clear(&mut self, fingerprint: RequestFingerprint) -> bool {
+        if self.totals.remove(&fingerprint).is_none() {
             return false;
         }
-        self.quarantined_at.remove(&print);
-        for end in &mut self.ends {
-            if let Some(index) = end.suspects.iter().position(|known| *known == print) {
-                end.suspects.swap_remove(index);
-                end.cleared.push(print);
+        self.quarantined_at.remove(&fingerprint);
+        for crash in &mut self.crashes {
+            if let Some(index) = crash
+                .suspects
+                .iter()
+                .position(|known| *known == fingerprint)
+            {
+                crash.suspects.swap_remove(index);
+                crash.cleared.push(fingerprint);
             }
         }
         true
     }
 
-    /// Whether the request is a suspect.
-    pub fn suspects(&self, print: RequestPrint) -> bool {
-        self.totals.contains_key(&print)
+    /// Returns whether the request is a suspect.
+    pub fn is_suspect(&self, fingerprint: RequestFingerprint) -> bool {
+        self.totals.contains_key(&fingerprint)
     }
 
-    /// Whether there were news lately.
-    pub fn is_fresh(&self, now: Instant) -> bool {
-        let age = self.newest.map(|at| now.saturating_duration_since(at));
-        age.is_some_and(|age| age < FRESH_TIME)
+    /// Returns whether a new report arrived within `RECENT_REPORTS_TIME`.
+    pub fn has_recent_reports(&self, now: Instant) -> bool {
+        let age = self
+            .last_report_at
+            .map(|at| now.saturating_duration_since(at));
+        age.is_some_and(|age| age < RECENT_REPORTS_TIME)
     }
 
-    /// When the cause is to be looked for next.
+    /// Returns when the next review is due.
     pub fn review_due(&self) -> Option<Instant> {
         self.review_due
     }
 
-    /// Leaves what is known so far to others.
-    pub fn leave(&mut self) {
+    /// Cancels the pending review; other entries decide on the reports so far.
+    pub fn cancel_review(&mut self) {
         self.review_due = None;
     }
 
-    /// Looks for the cause of the ends; raises the status of requests in `book` and returns
-    /// those that it raised.
+    /// Determines the causes of the known crashes, raises the status of requests in `statuses`, and
+    /// returns the requests whose status it raised.
     pub fn review(
         &mut self,
         now: Instant,
-        book: &mut QuarantineBook,
-    ) -> Vec<(RequestPrint, PrintStatus)> {
+        statuses: &mut QuarantineTable,
+    ) -> Vec<(RequestFingerprint, RequestStatus)> {
         self.review_due = None;
-        self.forget(now);
+        self.drop_expired(now);
         let mut raised = Vec::new();
-        for print in self.often_seen() {
-            let room = book.quarantines().count() < QUARANTINES_MOST;
-            let status = if room && self.is_cause(print) {
-                self.quarantined_at.insert(print, now);
-                PrintStatus::Quarantined
-            } else if !book.contains(print) {
-                PrintStatus::Suspect
+        for fingerprint in self.frequent_suspects() {
+            let room = statuses.quarantines().count() < MAX_QUARANTINED;
+            let status = if room && self.is_cause(fingerprint) {
+                self.quarantined_at.insert(fingerprint, now);
+                RequestStatus::Quarantined
+            } else if !statuses.contains(fingerprint) {
+                RequestStatus::Suspect
             } else {
                 continue;
             };
-            if book.raise(print, status, now) {
-                raised.push((print, status));
+            if statuses.raise(fingerprint, status, now) {
+                raised.push((fingerprint, status));
             }
         }
         raised
     }
 
-    /// Requests that were at several servers when these ended, those at most of them first.
-    fn often_seen(&self) -> Vec<RequestPrint> {
+    /// Returns requests that were present at several crashes, the most frequent first.
+    fn frequent_suspects(&self) -> Vec<RequestFingerprint> {
         let totals = self.totals.iter();
-        let often = totals.filter(|(_, total)| **total >= SUSPECT_ENDS);
-        let mut prints: Vec<RequestPrint> = often.map(|(print, _)| *print).collect();
-        prints.sort_unstable_by_key(|print| (Reverse(self.total(*print)), *print));
-        prints
+        let often = totals.filter(|(_, total)| **total >= SUSPECT_CRASHES);
+        let mut fingerprints: Vec<RequestFingerprint> =
+            often.map(|(fingerprint, _)| *fingerprint).collect();
+        fingerprints
+            .sort_unstable_by_key(|fingerprint| (Reverse(self.total(*fingerprint)), *fingerprint));
+        fingerprints
     }
 
-    /// Whether the request alone explains enough ends, one of them since it was last put
-    /// into quarantine.
-    fn is_cause(&self, print: RequestPrint) -> bool {
-        let explained: Vec<&ServerEnd> = self
-            .ends
+    /// Returns whether the request alone explains enough crashes, including one since it was
+    /// last put into quarantine.
+    fn is_cause(&self, fingerprint: RequestFingerprint) -> bool {
+        let explained_crashes: Vec<&ServerCrash> = self
+            .crashes
             .iter()
-            .filter(|end| end.suspects.contains(&print) && self.explains(print, end))
+            .filter(|crash| {
+                crash.suspects.contains(&fingerprint) && self.explains(fingerprint, crash)
+            })
             .collect();
-        let since = self.quarantined_at.get(&print);
-        let is_new = explained
+        let since = self.quarantined_at.get(&fingerprint);
+        let is_new = explained_crashes
             .iter()
-            .any(|end| since.is_none_or(|at| end.at > *at));
-        explained.len() >= FREE_ENDS && is_new
+            .any(|crash| since.is_none_or(|at| crash.at > *at));
+        explained_crashes.len() >= QUARANTINE_CRASHES && is_new
     }
 
-    /// Whether no other request that was there has been at as many ends.
-    fn explains(&self, print: RequestPrint, end: &ServerEnd) -> bool {
-        let total = self.total(print);
-        let most = if total >= INSEPARABLE_ENDS {
+    /// Returns whether no other suspect of this crash has been present at as many crashes.
+    fn explains(&self, fingerprint: RequestFingerprint, crash: &ServerCrash) -> bool {
+        let total = self.total(fingerprint);
+        let max_total = if total >= INSEPARABLE_CRASHES {
             total
         } else {
             total - 1
         };
-        let mut others = end.suspects.iter().filter(|other| **other != print);
-        others.all(|other| self.total(*other) <= most)
+        let mut others = crash.suspects.iter().filter(|other| **other != fingerprint);
+        others.all(|other| self.total(*other) <= max_total)
     }
 
-    fn total(&self, print: RequestPrint) -> usize {
-        self.totals.get(&print).copied().unwrap_or(0)
+    fn total(&self, fingerprint: RequestFingerprint) -> usize {
+        self.totals.get(&fingerprint).copied().unwrap_or(0)
     }
 
-    fn forget(&mut self, now: Instant) {
-        while let Some(oldest) = self.ends.front() {
+    fn drop_expired(&mut self, now: Instant) {
+        while let Some(oldest) = self.crashes.front() {
             let age = now.saturating_duration_since(oldest.at);
-            if age < EVIDENCE_TIME && self.ends.len() <= ENDS_KEPT {
+            if age < CRASH_TTL && self.crashes.len() <= MAX_CRASHES {
                 return;
             }
-            let Some(oldest) = self.ends.pop_front() else {
+            let Some(oldest) = self.crashes.pop_front() else {
                 return;
             };
-            for print in oldest.suspects {
-                if let Some(total) = self.totals.get_mut(&print) {
+            for fingerprint in oldest.suspects {
+                if let Some(total) = self.totals.get_mut(&fingerprint) {
                     *total -= 1;
                     if *total == 0 {
-                        self.totals.remove(&print);
-                        self.quarantined_at.remove(&print);
+                        self.totals.remove(&fingerprint);
+                        self.quarantined_at.remove(&fingerprint);
                     }
                 }
             }
--- a/crates/place/src/crash/outbox.rs
+++ b/crates/place/src/crash/outbox.rs
@@ -1,101 +1,109 @@
-//! What an entry saw itself and tells its leads: held for a moment, then told a few times,
-//! since datagrams are lost.
+//! Queue of the crash reports and clearings that an entry sends to its leads. Reports are
+//! delayed briefly, and everything is sent several times because datagrams get lost.
 
 use std::time::{Duration, Instant};
 
-use crate::crash::print::RequestPrint;
-use crate::crash::word::{ClearWord, CrashReport, CrashWord};
-use crate::fleet::known::millis;
+use crate::crash::print::RequestFingerprint;
+use crate::crash::word::{ClearedRequest, CrashMessage, CrashReport};
+use crate::fleet::store_progress::millis;
 
-/// A report is held for this long: most requests that were caught beside the cause are
-/// answered by another server meanwhile, and need not be told.
-const HOLD_TIME: Duration = Duration::from_millis(200);
-/// Time between two tellings of the same.
-const RETELL_EVERY: Duration = Duration::from_millis(400);
-/// How often the same is told: for longer than a region without leads takes to find new
-/// ones.
-const TELLINGS: u32 = 8;
-/// Reports and clearings that wait at most; 48 bytes each. A datagram holds as many.
-const WAITING_MOST: usize = 256;
+/// How long a report is delayed: most requests that were in flight beside the cause are
+/// answered by another server in the meantime and need no report.
+const REPORT_DELAY: Duration = Duration::from_millis(200);
+/// Interval between two sends of the same item.
+const RESEND_INTERVAL: Duration = Duration::from_millis(400);
+/// How often an item is sent: for longer than a region without leads takes to find new ones.
+const MAX_SENDS: u32 = 8;
+/// Maximum number of queued items, 48 bytes each. A datagram holds as many.
+const MAX_QUEUED: usize = 256;
 
-/// Something to be told.
+/// A queued item.
 #[derive(Debug, Clone, Copy)]
 struct OutboxItem {
-    news: OutboxNews,
+    payload: OutboxPayload,
     due: Instant,
-    told: u32,
+    send_count: u32,
 }
 
 #[derive(Debug, Clone, Copy)]
-enum OutboxNews {
+enum OutboxPayload {
     Report(CrashReport),
-    Cleared(RequestPrint, Instant),
+    Cleared(RequestFingerprint, Instant),
 }
 
-/// What waits to be told.
+/// The queue of items to send.
 #[derive(Debug, Default)]
 pub struct CrashOutbox {
     items: Vec<OutboxItem>,
 }
 
 impl CrashOutbox {
-    /// A request was at a server when it ended.
+    /// Queues a report that a request was in flight at a server when it crashed.
     pub fn on_report(&mut self, now: Instant, report: CrashReport) {
         self.push(OutboxItem {
-            news: OutboxNews::Report(report),
-            due: now + HOLD_TIME,
-            told: 0,
+            payload: OutboxPayload::Report(report),
+            due: now + REPORT_DELAY,
+            send_count: 0,
         });
     }
 
-    /// A request was answered well: what wasn't told of it yet need not be.
-    pub fn on_cleared(&mut self, now: Instant, print: RequestPrint, was_told: bool) {
-        let is_of = |item: &OutboxItem| match item.news {
-            OutboxNews::Report(report) => report.print == print,
-            OutboxNews::Cleared(cleared, _) => cleared == print,
+    /// Handles a successful answer to a request: drops its queued reports, and queues a
+    /// clearing if the request was reported already.
+    pub fn on_cleared(
+        &mut self,
+        now: Instant,
+        fingerprint: RequestFingerprint,
+        was_reported: bool,
+    ) {
+        let is_of = |item: &OutboxItem| match item.payload {
+            OutboxPayload::Report(report) => report.print == fingerprint,
+            OutboxPayload::Cleared(cleared, _) => cleared == fingerprint,
         };
-        let told = self.items.iter().any(|item| is_of(item) && item.told > 0);
+        let was_sent = self
+            .items
+            .iter()
+            .any(|item| is_of(item) && item.send_count > 0);
         self.items.retain(|item| !is_of(item));
-        if told || was_told {
+        if was_sent || was_reported {
             self.push(OutboxItem {
-                news: OutboxNews::Cleared(print, now),
+                payload: OutboxPayload::Cleared(fingerprint, now),
                 due: now,
-                told: 0,
+                send_count: 0,
             });
         }
     }
 
-    /// When something is to be told next.
+    /// Returns when the next item is due.
     pub fn due(&self) -> Option<Instant> {
         self.items.iter().map(|item| item.due).min()
     }
 
-    /// What is to be told now.
-    pub fn take(&mut self, now: Instant) -> CrashWord {
-        let mut word = CrashWord::default();
+    /// Returns the items that are due, as one message.
+    pub fn take_due(&mut self, now: Instant) -> CrashMessage {
+        let mut message = CrashMessage::default();
         for item in &mut self.items {
             if item.due > now {
                 continue;
             }
-            item.due = now + RETELL_EVERY;
-            item.told += 1;
-            match item.news {
-                OutboxNews::Report(report) => word.reports.push(report),
-                OutboxNews::Cleared(print, at) => word.cleared.push(ClearWord {
-                    print,
+            item.due = now + RESEND_INTERVAL;
+            item.send_count += 1;
+            match item.payload {
+                OutboxPayload::Report(report) => message.reports.push(report),
+                OutboxPayload::Cleared(fingerprint, at) => message.cleared.push(ClearedRequest {
+                    print: fingerprint,
                     age: millis(now.saturating_duration_since(at)),
                 }),
             }
         }
-        self.items.retain(|item| item.told < TELLINGS);
-        word
+        self.items.retain(|item| item.send_count < MAX_SENDS);
+        message
     }
 
-    /// Adds `item`, if there is room; a clearing takes the place of the oldest report, since
-    /// a request that isn't cleared would be refused.
+    /// Adds `item` if there is room. A clearing replaces the oldest report, because a request
+    /// that isn't cleared would be refused.
     fn push(&mut self, item: OutboxItem) {
-        if self.items.len() >= WAITING_MOST {
-            let is_report = |item: &OutboxItem| matches!(item.news, OutboxNews::Report(_));
+        if self.items.len() >= MAX_QUEUED {
+            let is_report = |item: &OutboxItem| matches!(item.payload, OutboxPayload::Report(_));
             let oldest = self.items.iter().position(is_report);
             let Some(oldest) = oldest.filter(|_| !is_report(&item)) else {
                 return;
--- a/crates/place/src/crash/quarantine.rs
+++ b/crates/place/src/crash/quarantine.rs
@@ -1,165 +1,181 @@
-//! Which requests are suspects, in quarantine or cleared, as an entry knows it.
+//! The status of requests as known to an entry: suspect, quarantined or cleared.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use crate::crash::print::RequestPrint;
-use crate::crash::word::{ClearWord, PrintStatus, StatusWord};
-use crate::fleet::known::millis;
-
-/// How long a request stays in quarantine: time to mend the service, at the price of a few
-/// servers each time that it is tried again.
-const QUARANTINE_TIME: Duration = Duration::from_secs(900);
-/// How long all entries look out for a good answer to a suspect.
-const SUSPECT_TIME: Duration = Duration::from_secs(60);
-/// How long a cleared request is safe from what was found before.
-const CLEARED_TIME: Duration = Duration::from_secs(60);
-/// How long others are told that a request is cleared: several tellings.
-const CLEARED_TOLD: Duration = Duration::from_secs(3);
-/// Words of the same status whose times differ by less are the same one: each entry that
-/// tells it on adds the time of the trip.
-const SAME_STATUS: Duration = Duration::from_secs(5);
-/// Requests kept at most: a datagram of 3 kB holds them all. Those in quarantine stay
-/// where suspects make room.
-const STATUSES_MOST: usize = 128;
-/// Clearings kept at most; the oldest make room.
-const CLEARED_MOST: usize = 256;
+use crate::crash::print::RequestFingerprint;
+use crate::crash::word::{ClearedRequest, RequestStatus, RequestStatusMessage};
+use crate::fleet::store_progress::millis;
+
+/// How long a request stays in quarantine: time to fix the service, at the cost of a few
+/// servers each time the request is tried again.
+const QUARANTINE_TTL: Duration = Duration::from_secs(900);
+/// How long all entries watch for a successful answer to a suspect.
+const SUSPECT_TTL: Duration = Duration::from_secs(60);
+/// How long after a clearing older findings against the request are ignored.
+const CLEARED_TTL: Duration = Duration::from_secs(60);
+/// How long clearings are sent to other entries: long enough for several messages.
+const CLEARED_SEND_TIME: Duration = Duration::from_secs(3);
+/// Two messages with the same status whose times differ by less than this describe the same
+/// event: each entry that forwards one adds the network latency to its age.
+const SAME_STATUS_TOLERANCE: Duration = Duration::from_secs(5);
+/// Maximum number of tracked requests: a datagram of 3 kB holds them all. Suspects are evicted
+/// in favor of quarantined requests.
+const MAX_STATUSES: usize = 128;
+/// Maximum number of recorded clearings; the oldest are evicted.
+const MAX_CLEARED: usize = 256;
 
 #[derive(Debug, Clone, Copy)]
 struct StatusRecord {
-    status: PrintStatus,
+    status: RequestStatus,
     since: Instant,
 }
 
 impl StatusRecord {
-    fn ends(&self) -> Instant {
+    fn expires_at(&self) -> Instant {
         self.since
             + match self.status {
-                PrintStatus::Suspect => SUSPECT_TIME,
-                PrintStatus::Quarantined => QUARANTINE_TIME,
+                RequestStatus::Suspect => SUSPECT_TTL,
+                RequestStatus::Quarantined => QUARANTINE_TTL,
             }
     }
 }
 
-/// What is known of requests.
+/// The status of requests and recent clearings.
 #[derive(Debug, Default)]
-pub struct QuarantineBook {
-    records: HashMap<RequestPrint, StatusRecord>,
-    cleared: HashMap<RequestPrint, Instant>,
+pub struct QuarantineTable {
+    records: HashMap<RequestFingerprint, StatusRecord>,
+    cleared: HashMap<RequestFingerprint, Instant>,
 }
 
-impl QuarantineBook {
-    /// Whether nothing is known of any request.
+impl QuarantineTable {
+    /// Returns whether no request has a status.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Whether something is known of the request.
-    pub fn contains(&self, print: RequestPrint) -> bool {
-        self.records.contains_key(&print)
+    /// Returns whether the request has a status.
+    pub fn contains(&self, fingerprint: RequestFingerprint) -> bool {
+        self.records.contains_key(&fingerprint)
     }
 
-    /// How much longer the request stays in quarantine; `None` where it isn't.
-    pub fn quarantine_left(&self, now: Instant, print: RequestPrint) -> Option<Duration> {
-        let record = self.records.get(&print)?;
-        let left = record.ends().saturating_duration_since(now);
-        (record.status == PrintStatus::Quarantined && !left.is_zero()).then_some(left)
+    /// Returns the remaining quarantine time, or `None` if the request isn't quarantined.
+    pub fn quarantine_left(
+        &self,
+        now: Instant,
+        fingerprint: RequestFingerprint,
+    ) -> Option<Duration> {
+        let record = self.records.get(&fingerprint)?;
+        let left = record.expires_at().saturating_duration_since(now);
+        (record.status == RequestStatus::Quarantined && !left.is_zero()).then_some(left)
     }
 
-    /// The requests in quarantine.
-    pub fn quarantined(&self) -> impl Iterator<Item = RequestPrint> {
-        self.quarantines().map(|(print, _)| print)
+    /// Returns the quarantined requests.
+    pub fn quarantined(&self) -> impl Iterator<Item = RequestFingerprint> {
+        self.quarantines().map(|(fingerprint, _)| fingerprint)
     }
 
-    /// The requests in quarantine, and since when.
-    pub fn quarantines(&self) -> impl Iterator<Item = (RequestPrint, Instant)> {
+    /// Returns the quarantined requests and when each quarantine began.
+    pub fn quarantines(&self) -> impl Iterator<Item = (RequestFingerprint, Instant)> {
         let records = self.records.iter();
         records
-            .filter(|(_, record)| record.status == PrintStatus::Quarantined)
-            .map(|(print, record)| (*print, record.since))
+            .filter(|(_, record)| record.status == RequestStatus::Quarantined)
+            .map(|(fingerprint, record)| (*fingerprint, record.since))
     }
 
-    /// The request has had this status since `since`; whether it is stricter than the one
-    /// known. What was found before the request was cleared is void.
-    pub fn raise(&mut self, print: RequestPrint, status: PrintStatus, since: Instant) -> bool {
-        let is_void = self.cleared.get(&print).is_some_and(|at| *at >= since);
-        let known = self.records.get(&print).copied();
+    /// Sets the status that a request has had since `since`. Returns whether it is stricter
+    /// than the known one. Findings from before the request was cleared are ignored.
+    pub fn raise(
+        &mut self,
+        fingerprint: RequestFingerprint,
+        status: RequestStatus,
+        since: Instant,
+    ) -> bool {
+        let is_void = self
+            .cleared
+            .get(&fingerprint)
+            .is_some_and(|at| *at >= since);
+        let known = self.records.get(&fingerprint).copied();
         let is_known = known.is_some_and(|known| {
-            let is_older = since < known.since + SAME_STATUS;
+            let is_older = since < known.since + SAME_STATUS_TOLERANCE;
             known.status > status || (known.status == status && is_older)
         });
-        if is_void || is_known || !self.has_room(print, status) {
+        if is_void || is_known || !self.has_room(fingerprint, status) {
             return false;
         }
         let is_stricter = known.is_none_or(|known| known.status < status);
-        self.records.insert(print, StatusRecord { status, since });
+        self.records
+            .insert(fingerprint, StatusRecord { status, since });
         is_stricter
     }
 
-    /// The request was answered well at `at`; whether that is news. The same answer told
-    /// again isn't, though it seems later by the time of the trip: leads would tell each
-    /// other of it without end.
-    pub fn clear(&mut self, print: RequestPrint, at: Instant) -> bool {
-        let known = self.cleared.get(&print).copied();
-        if known.is_none() && self.cleared.len() >= CLEARED_MOST {
-            self.forget_oldest_cleared();
+    /// Clears a request that was answered successfully at `at`. Returns whether this is new.
+    /// The same answer received again isn't, although network latency makes it look later:
+    /// otherwise leads would forward it to each other forever.
+    pub fn clear(&mut self, fingerprint: RequestFingerprint, at: Instant) -> bool {
+        let known = self.cleared.get(&fingerprint).copied();
+        if known.is_none() && self.cleared.len() >= MAX_CLEARED {
+            self.drop_oldest_cleared();
         }
         let latest = known.map_or(at, |known| known.max(at));
-        self.cleared.insert(print, latest);
-        let held = self.records.get(&print);
+        self.cleared.insert(fingerprint, latest);
+        let held = self.records.get(&fingerprint);
         let is_held = held.is_some_and(|held| held.since <= at);
         if is_held {
-            self.records.remove(&print);
+            self.records.remove(&fingerprint);
         }
         is_held || known.is_none()
     }
 
-    /// Drops what no longer counts.
-    pub fn forget(&mut self, now: Instant) {
-        self.records.retain(|_, record| record.ends() > now);
+    /// Drops expired statuses and clearings.
+    pub fn drop_expired(&mut self, now: Instant) {
+        self.records.retain(|_, record| record.expires_at() > now);
         self.cleared
-            .retain(|_, at| now.saturating_duration_since(*at) < CLEARED_TIME);
+            .retain(|_, at| now.saturating_duration_since(*at) < CLEARED_TTL);
     }
 
-    fn forget_oldest_cleared(&mut self) {
+    fn drop_oldest_cleared(&mut self) {
         let oldest = self.cleared.iter().min_by_key(|(_, at)| **at);
-        if let Some(print) = oldest.map(|(print, _)| *print) {
-            self.cleared.remove(&print);
+        if let Some(fingerprint) = oldest.map(|(fingerprint, _)| *fingerprint) {
+            self.cleared.remove(&fingerprint);
         }
     }
 
-    /// All requests with their status, for others.
-    pub fn words(&self, now: Instant) -> Vec<StatusWord> {
-        let word = |(print, record): (&RequestPrint, &StatusRecord)| StatusWord {
-            print: *print,
-            status: record.status,
-            age: millis(now.saturating_duration_since(record.since)),
-        };
-        self.records.iter().map(word).collect()
+    /// Returns the status of all tracked requests, for other entries.
+    pub fn status_messages(&self, now: Instant) -> Vec<RequestStatusMessage> {
+        let message =
+            |(fingerprint, record): (&RequestFingerprint, &StatusRecord)| RequestStatusMessage {
+                print: *fingerprint,
+                status: record.status,
+                age: millis(now.saturating_duration_since(record.since)),
+            };
+        self.records.iter().map(message).collect()
     }
 
-    /// Requests cleared lately, for others.
-    pub fn cleared_words(&self, now: Instant) -> Vec<ClearWord> {
-        let words = self.cleared.iter().map(|(print, at)| ClearWord {
-            print: *print,
+    /// Returns the recent clearings, for other entries.
+    pub fn cleared_requests(&self, now: Instant) -> Vec<ClearedRequest> {
+        let requests = self.cleared.iter().map(|(fingerprint, at)| ClearedRequest {
+            print: *fingerprint,
             age: millis(now.saturating_duration_since(*at)),
         });
-        let told = CLEARED_TOLD.as_millis();
-        words.filter(|word| u128::from(word.age) < told).collect()
+        let send_time = CLEARED_SEND_TIME.as_millis();
+        requests
+            .filter(|request| u128::from(request.age) < send_time)
+            .collect()
     }
 
-    /// Whether there is room for the request, made by a suspect where need be.
-    fn has_room(&mut self, print: RequestPrint, status: PrintStatus) -> bool {
-        if self.records.len() < STATUSES_MOST || self.records.contains_key(&print) {
+    /// Returns whether there is room for the request, evicting a suspect if necessary.
+    fn has_room(&mut self, fingerprint: RequestFingerprint, status: RequestStatus) -> bool {
+        if self.records.len() < MAX_STATUSES || self.records.contains_key(&fingerprint) {
             return true;
         }
         let records = self.records.iter();
         let oldest = records
-            .filter(|(_, record)| record.status == PrintStatus::Suspect)
+            .filter(|(_, record)| record.status == RequestStatus::Suspect)
             .min_by_key(|(_, record)| record.since)
-            .map(|(print, _)| *print);
+            .map(|(fingerprint, _)| *fingerprint);
         match oldest {
-            Some(oldest) if status == PrintStatus::Quarantined => {
+            Some(oldest) if status == RequestStatus::Quarantined => {
                 self.records.remove(&oldest);
                 true
             }
--- a/crates/place/src/crash/word.rs
+++ b/crates/place/src/crash/word.rs
@@ -1,73 +1,73 @@
-//! What entries tell each other of requests under which servers ended.
+//! Messages between entries about requests that were in flight when servers crashed.
 
 use std::time::Duration;
 
-use crate::crash::print::RequestPrint;
+use crate::crash::print::RequestFingerprint;
 
-/// What the store keeps of a request.
+/// The quarantine of a request as stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct KeptQuarantine {
+pub struct StoredQuarantine {
     /// The request.
-    pub print: RequestPrint,
-    /// How long ago its quarantine began, or was lifted.
+    pub print: RequestFingerprint,
+    /// How long ago the quarantine began or was lifted.
     pub age: Duration,
     /// Whether an operator has lifted it.
     pub lifted: bool,
 }
 
 base::common! {
-    /// A request that was at a run of a server when it ended.
+    /// Reports that a request was in flight at a server run when it crashed.
     #[derive(Copy, Eq, Hash, PartialOrd, Ord)]
     pub struct CrashReport {
         /// Hash of the server's run.
         pub run: u64,
         /// The request.
-        pub print: RequestPrint,
+        pub print: RequestFingerprint,
     }
 
     /// How a request is treated.
     #[derive(Copy, Eq, PartialOrd, Ord)]
-    pub enum PrintStatus {
-        /// Served as any other; one good answer clears it.
+    pub enum RequestStatus {
+        /// Served like any other; one successful answer clears it.
         Suspect,
-        /// Refused at once.
+        /// Refused immediately.
         Quarantined,
     }
 
-    /// The status of a request as entries tell it.
+    /// The status of a request, as sent between entries.
     #[derive(Copy, Eq)]
-    pub struct StatusWord {
+    pub struct RequestStatusMessage {
         /// The request.
-        pub print: RequestPrint,
-        /// How it is treated.
-        pub status: PrintStatus,
-        /// Milliseconds since it got this status.
+        pub print: RequestFingerprint,
+        /// The status.
+        pub status: RequestStatus,
+        /// Milliseconds since the request got this status.
         pub age: u32,
     }
 
-    /// A request that a server has answered well.
+    /// A request that a server answered successfully.
     #[derive(Copy, Eq)]
-    pub struct ClearWord {
+    pub struct ClearedRequest {
         /// The request.
-        pub print: RequestPrint,
+        pub print: RequestFingerprint,
         /// Milliseconds since the answer.
         pub age: u32,
     }
 
-    /// One datagram about such requests.
+    /// A datagram about requests that may crash servers.
     #[derive(Eq, Default)]
-    pub struct CrashWord {
-        /// Requests that were at servers when these ended.
+    pub struct CrashMessage {
+        /// Requests that were in flight at servers when these crashed.
         pub reports: Vec<CrashReport>,
-        /// Requests that were answered well all the same.
-        pub cleared: Vec<ClearWord>,
-        /// What the sender knows of requests.
-        pub statuses: Vec<StatusWord>,
+        /// Requests that were answered successfully since.
+        pub cleared: Vec<ClearedRequest>,
+        /// The status of all requests known to the sender.
+        pub statuses: Vec<RequestStatusMessage>,
     }
 }
 
-impl CrashWord {
-    /// Whether it says nothing.
+impl CrashMessage {
+    /// Returns whether the message is empty.
     pub fn is_empty(&self) -> bool {
         self.reports.is_empty() && self.cleared.is_empty() && self.statuses.is_empty()
     }
--- a/crates/place/src/fleet/log.rs
+++ b/crates/place/src/fleet/log.rs
@@ -1,226 +1,229 @@
-//! The servers' registry as it is told from entry to entry: what changed since a
-//! version of the store.
+//! Change log of the server registry, from which entries send each other what changed since a
+//! version.
 //!
-//! Versions are made of the store's own, so that an entry may ask any other for what it
-//! lacks, whichever of them read it. What is told twice does no harm.
+//! Versions are derived from the store's, so that an entry can ask any other for the changes
+//! that it lacks, whichever of them read the store. Applying the same change twice is harmless.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
 use crate::departure::Departure;
-use crate::fleet::mark::ContentMark;
+use crate::fleet::content_hash::ContentHash;
 use crate::server::{EntryState, ServerEntry};
 use crate::snapshot::{CatalogSnapshot, DroppedRow};
 
-/// Servers that are gone stay in the log for this many changes: a third of the largest
-/// fleet may be replaced while an entry hears nothing.
-const GONE_KEPT: usize = 1024;
-/// Steps of an entry's own between two versions of the store: it may notice something that
-/// is no change there, as that a server is not back in time. Without room for them such a
-/// step took the number of the store's next change, which others then took as known.
-const OWN_STEPS: u64 = 1024;
+/// Maximum number of departures in the log: a third of the largest fleet may be replaced while
+/// an entry receives nothing.
+const MAX_DEPARTURES: usize = 1024;
+/// Local log versions between two versions of the store. An entry may detect changes on its own
+/// that the store has no version for, such as a server that didn't come back in time. Without
+/// this gap, such a change took the number of the store's next change, which other entries then
+/// treated as known.
+const LOCAL_VERSIONS: u64 = 1024;
 
 base::common! {
-    /// What changed in the registry.
+    /// Changes of the registry.
     #[derive(Eq, Default)]
     pub struct RegistryDelta {
-        /// The log's version up to which this tells all.
+        /// The log version up to which this is complete.
         pub version: u64,
-        /// Whether `entries` are all there are.
+        /// Whether `entries` are all entries.
         pub whole: bool,
         /// Entries that changed.
         pub entries: Vec<ServerEntry>,
-        /// Servers that are gone, and what of them is older than that.
-        pub gone: Vec<Departure>,
-        /// Keys of rows that are no server's own word; always all of them.
+        /// Servers that left, each with its last known registration.
+        pub departures: Vec<Departure>,
+        /// Keys of rows that weren't written by their server; always all of them.
         pub foreign: Vec<String>,
-        /// Servers whose rows vanished but may have lapsed; always all of them.
+        /// Servers whose rows disappeared but may merely have expired; always all of them.
         pub missing: Vec<String>,
     }
 }
 
-/// What a reading of the registry covers.
+/// What a read of the registry covers.
 #[derive(Debug, Clone, Default)]
 pub struct ReadScope {
-    /// Whether it was made from all rows; else from those that changed since the reading
-    /// before it.
+    /// Whether all rows were read, rather than only those that changed since the previous read.
     pub whole: bool,
-    /// Rows that were dropped since the reading before it.
+    /// Rows that were dropped since the previous read.
     pub dropped: Vec<DroppedRow>,
-    /// Servers that aren't in it, but may still be there.
+    /// Servers that the read lacks but that may still exist.
     pub missing: Vec<String>,
 }
 
-/// The log's version of a reading as of the store's version `store`.
+/// Returns the log version of a read as of the store's version `store`.
 pub fn log_version(store: u64) -> u64 {
-    store.saturating_mul(OWN_STEPS)
+    store.saturating_mul(LOCAL_VERSIONS)
 }
 
-/// The store's version at the log's version `version`.
+/// Returns the store's version at the log version `version`.
 pub fn store_version(version: u64) -> u64 {
-    version / OWN_STEPS
+    version / LOCAL_VERSIONS
 }
 
-/// One server's row.
+/// A server's row.
 #[derive(Debug)]
-struct LogRecord {
-    /// The version at which it changed.
+struct LogEntry {
+    /// The log version at which it changed.
     changed: u64,
-    mark: ContentMark,
+    hash: ContentHash,
     entry: ServerEntry,
 }
 
-/// The registry with the versions at which its entries changed.
+/// The registry, with the version at which each entry changed.
 #[derive(Debug, Default)]
 pub struct RegistryLog {
-    /// The version of the newest change; 0 before the first reading.
+    /// The version of the latest change; 0 before the first read.
     version: u64,
-    /// Changes after this version are all known.
-    oldest: u64,
-    entries: BTreeMap<String, LogRecord>,
-    content: ContentMark,
-    gone: VecDeque<(u64, Departure)>,
+    /// All changes after this version are known.
+    history_start: u64,
+    entries: BTreeMap<String, LogEntry>,
+    content: ContentHash,
+    departures: VecDeque<(u64, Departure)>,
     foreign: Vec<String>,
     missing: Vec<String>,
 }
 
 impl RegistryLog {
-    /// The version of the newest change; 0 where nothing is known.
+    /// Returns the version of the latest change; 0 if nothing is known.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The servers whose rows stand in the registry.
+    /// Returns the servers that have a row in the registry.
     pub fn entries(&self) -> impl Iterator<Item = &ServerEntry> {
         let entries = self.entries.values().map(|record| &record.entry);
         entries.filter(|entry| !self.missing.contains(&entry.id))
     }
 
-    /// Keys of rows that are no server's own word.
+    /// Returns the keys of rows that weren't written by their server.
     pub fn foreign(&self) -> &[String] {
         &self.foreign
     }
 
-    /// Takes in a reading of the registry.
+    /// Applies a read of the registry.
     pub fn on_read(&mut self, snapshot: &CatalogSnapshot, scope: ReadScope) {
         if self.version >= log_version(snapshot.version.saturating_add(1)) {
-            // No reading gave that, as after a damaged message.
+            // No read produced this version; a corrupted message may have.
             *self = Self::default();
         }
         let is_first = self.version == 0;
-        let stamp = log_version(snapshot.version).max(self.version.saturating_add(1));
-        self.note_last_words(&scope);
+        let new_version = log_version(snapshot.version).max(self.version.saturating_add(1));
+        self.update_missing_entries(&scope);
         let mut is_changed = self.foreign != snapshot.foreign || self.missing != scope.missing;
         let was_out = |id: &String| self.foreign.contains(id) || self.missing.contains(id);
-        let mut ended = self.ended(&scope);
-        let mut left = std::mem::take(&mut self.entries);
+        let mut dropped_departures = self.dropped_departures(&scope);
+        let mut remaining = std::mem::take(&mut self.entries);
         for entry in &snapshot.entries {
-            let is_back = was_out(&entry.id) || ended.contains_key(&entry.id);
-            let known = left.remove(&entry.id);
-            let entry = self.newest(known.as_ref(), entry);
+            let is_back = was_out(&entry.id) || dropped_departures.contains_key(&entry.id);
+            let known = remaining.remove(&entry.id);
+            let entry = self.newest_entry(known.as_ref(), entry);
             let record = match known {
-                Some(known) if !is_back && is_same(&known.entry, &entry) => {
-                    LogRecord { entry, ..known }
+                Some(known) if !is_back && is_unchanged(&known.entry, &entry) => {
+                    LogEntry { entry, ..known }
                 }
                 _ => {
                     is_changed = true;
-                    LogRecord::new(stamp, entry)
+                    LogEntry::new(new_version, entry)
                 }
             };
             self.entries.insert(record.entry.id.clone(), record);
         }
-        for (id, record) in left {
+        for (id, record) in remaining {
             if scope.missing.contains(&id) || snapshot.foreign.contains(&id) {
                 self.entries.insert(id, record);
                 continue;
             }
-            let departure = ended.entry(id).or_default();
+            let departure = dropped_departures.entry(id).or_default();
             departure.merge(&Departure::of(&record.entry));
         }
-        for departure in ended.into_values() {
+        for departure in dropped_departures.into_values() {
             is_changed = true;
-            self.forget(stamp, departure);
+            self.record_departure(new_version, departure);
         }
         self.foreign.clone_from(&snapshot.foreign);
         self.missing = scope.missing;
         if is_changed || is_first {
-            self.version = stamp;
-            self.sum_up();
+            self.version = new_version;
+            self.update_content_hash();
         }
         if is_first || scope.whole {
-            // What was dropped since the reading before it isn't known.
-            self.oldest = self.version;
+            // Rows dropped since the previous read are unknown.
+            self.history_start = self.version;
         }
     }
 
-    /// What changed since `version`; everything where that isn't known any more.
+    /// Returns the changes since `version`, or everything if that is no longer known.
     pub fn since(&self, version: u64) -> RegistryDelta {
-        let whole = version < self.oldest || version == 0;
-        let is_news = |changed: u64| whole || changed > version;
+        let whole = version < self.history_start || version == 0;
+        let is_newer = |changed: u64| whole || changed > version;
         let records = self.entries.values();
-        let changed = records.filter(|record| is_news(record.changed));
-        // A word from before its server's end is told with that end only.
-        let is_older_news = |departure: &Departure| {
+        let changed = records.filter(|record| is_newer(record.changed));
+        // A registration from before its server's end is only sent together with that end.
+        let is_obsolete_entry = |departure: &Departure| {
             let listed = self.entries.get(&departure.id);
-            listed.is_some_and(|record| is_news(record.changed) && departure.refuses(&record.entry))
+            listed.is_some_and(|record| {
+                is_newer(record.changed) && departure.supersedes(&record.entry)
+            })
         };
-        let gone = self.gone.iter().filter(|(at, departure)| {
+        let departures = self.departures.iter().filter(|(at, departure)| {
             if whole {
                 self.has_ended(departure)
             } else {
-                is_news(*at) || is_older_news(departure)
+                is_newer(*at) || is_obsolete_entry(departure)
             }
         });
         RegistryDelta {
             version: self.version,
             whole,
             entries: changed.map(|record| record.entry.clone()).collect(),
-            gone: gone.map(|(_, departure)| departure.clone()).collect(),
+            departures: departures.map(|(_, departure)| departure.clone()).collect(),
             foreign: self.foreign.clone(),
             missing: self.missing.clone(),
         }
     }
 
-    /// Which servers have left, as far as it is known.
-    pub fn ends(&self) -> Vec<Departure> {
-        let ends = self.gone.iter().map(|(_, departure)| departure);
-        let ended = ends.filter(|departure| self.has_ended(departure));
+    /// Returns the servers that are known to have left.
+    pub fn departures(&self) -> Vec<Departure> {
+        let departures = self.departures.iter().map(|(_, departure)| departure);
+        let ended = departures.filter(|departure| self.has_ended(departure));
         ended.cloned().collect()
     }
 
-    /// Takes in which servers have left, as another entry knows. Who follows this one is told
-    /// of those that are listed by an older word.
-    pub fn on_ends(&mut self, ends: &[Departure]) {
-        for departure in ends {
-            let mut known = self.gone.iter().map(|(_, known)| known);
+    /// Records servers that left, as known to another entry. Entries listed by an obsolete
+    /// registration get a new version, so that followers receive the departure too.
+    pub fn on_departures(&mut self, departures: &[Departure]) {
+        for departure in departures {
+            let mut known = self.departures.iter().map(|(_, known)| known);
             if known.any(|known| known == departure) {
                 continue;
             }
             let listed = self.entries.get_mut(&departure.id);
-            if let Some(record) = listed.filter(|record| departure.refuses(&record.entry)) {
+            if let Some(record) = listed.filter(|record| departure.supersedes(&record.entry)) {
                 self.version += 1;
                 record.changed = self.version;
             }
-            self.forget(self.version, departure.clone());
+            self.record_departure(self.version, departure.clone());
         }
     }
 
-    /// Takes in what another entry told.
+    /// Applies changes received from another entry.
     pub fn on_told(&mut self, delta: &RegistryDelta) {
         let mut before = BTreeMap::new();
         if delta.whole {
             before = std::mem::take(&mut self.entries);
-            self.oldest = delta.version;
+            self.history_start = delta.version;
             if delta.version >= self.version {
-                self.forget_others(delta, &before);
+                self.record_omitted(delta, &before);
             }
         }
-        // Rows of other writers hide what stood before them, so that only all rows tell the sum.
-        let is_plain = !delta.whole && self.foreign.is_empty() && delta.foreign.is_empty();
-        for departure in &delta.gone {
+        // Rows of other writers hide the entries they replaced, so the hash can't be updated
+        // incrementally.
+        let is_incremental = !delta.whole && self.foreign.is_empty() && delta.foreign.is_empty();
+        for departure in &delta.departures {
             let mut departure = departure.clone();
             if let Some(record) = self.entries.remove(&departure.id) {
-                self.content = self.content.without(record.mark);
-                // The other may not have known the run's last word.
+                self.content = self.content.without(record.hash);
+                // The sender may not have known the run's last registration.
                 let mut listed = delta.entries.iter();
                 let is_listed =
                     listed.any(|entry| entry.id == departure.id && entry.seq >= record.entry.seq);
@@ -228,152 +231,159 @@
                     departure.merge(&Departure::of(&record.entry));
                 }
             }
-            self.forget(delta.version, departure);
+            self.record_departure(delta.version, departure);
         }
         for entry in &delta.entries {
             let known = before.get(&entry.id).or(self.entries.get(&entry.id));
-            let record = LogRecord::new(delta.version, self.newest(known, entry));
-            self.content = self.content.with(record.mark);
+            let record = LogEntry::new(delta.version, self.newest_entry(known, entry));
+            self.content = self.content.with(record.hash);
             if let Some(before) = self.entries.insert(entry.id.clone(), record) {
-                self.content = self.content.without(before.mark);
+                self.content = self.content.without(before.hash);
             }
         }
         self.foreign.clone_from(&delta.foreign);
         self.missing.clone_from(&delta.missing);
         self.version = delta.version;
-        if !is_plain {
-            self.sum_up();
+        if !is_incremental {
+            self.update_content_hash();
         }
     }
 
-    /// The mark of which servers there are, and which rows aren't their server's own word. A
-    /// row that may have lapsed counts until it is given up: entries differ in when they
-    /// miss it.
-    pub fn content(&self) -> ContentMark {
+    /// Hash of all servers and of the rows that weren't written by their server. A row that may
+    /// have expired counts until it is given up, because entries notice its absence at
+    /// different times.
+    pub fn content(&self) -> ContentHash {
         self.content
     }
 
-    fn sum_up(&mut self) {
-        let none = ContentMark::default();
+    fn update_content_hash(&mut self) {
+        let none = ContentHash::default();
         let own = self.entries.values().filter(|record| {
-            // What stood before somebody else's row is known to some entries only.
+            // Only some entries know what stood in a row before another writer replaced it.
             !self.foreign.contains(&record.entry.id)
         });
-        let own = own.fold(none, |sum, record| sum.with(record.mark));
-        let foreign = self.foreign.iter().map(|id| ContentMark::of_foreign(id));
-        self.content = foreign.fold(own, ContentMark::with);
+        let own = own.fold(none, |sum, record| sum.with(record.hash));
+        let foreign = self.foreign.iter().map(|id| ContentHash::of_foreign(id));
+        self.content = foreign.fold(own, ContentHash::with);
     }
 
-    /// Takes in what stood last in rows that were dropped and may only have lapsed.
-    fn note_last_words(&mut self, scope: &ReadScope) {
+    /// Updates entries whose rows were dropped but may merely have expired to the last known
+    /// content of the row.
+    fn update_missing_entries(&mut self, scope: &ReadScope) {
         let kept = scope.dropped.iter();
         for row in kept.filter(|row| scope.missing.contains(&row.id)) {
             let known = self.entries.get_mut(&row.id);
-            if let (Some(record), Some(word)) = (known, &row.word) {
-                *record = LogRecord::new(record.changed, newer(&record.entry, word));
+            if let (Some(record), Some(last_entry)) = (known, &row.last_entry) {
+                *record = LogEntry::new(record.changed, newer_entry(&record.entry, last_entry));
             }
         }
     }
 
-    /// The servers whose rows were dropped, also those that aren't known here: others may have
-    /// heard of them from another reader.
-    fn ended(&self, scope: &ReadScope) -> BTreeMap<String, Departure> {
-        let mut ended = BTreeMap::new();
+    /// Returns the departures of servers whose rows were dropped, including servers unknown
+    /// here: other entries may know them from another reader.
+    fn dropped_departures(&self, scope: &ReadScope) -> BTreeMap<String, Departure> {
+        let mut dropped_departures = BTreeMap::new();
         for row in &scope.dropped {
             if scope.missing.contains(&row.id) {
                 continue;
             }
-            let departure: &mut Departure = ended
+            let departure: &mut Departure = dropped_departures
                 .entry(row.id.clone())
                 .or_insert_with(|| Departure::unknown(&row.id));
             if row.version <= store_version(self.version) {
-                // What is known now is newer.
+                // The entry known here is newer.
                 continue;
             }
             let known = self.entries.get(&row.id).map(|record| &record.entry);
-            for word in known.into_iter().chain(&row.word) {
-                departure.merge(&Departure::of(word));
+            for entry in known.into_iter().chain(&row.last_entry) {
+                departure.merge(&Departure::of(entry));
             }
         }
-        ended
+        dropped_departures
     }
 
-    /// The newest that is known of the server of `entry`, also where the store performed an
-    /// older heartbeat late or an entry that is behind told it: a run that leaves doesn't come
-    /// back, whether its row was dropped meanwhile or not.
-    fn newest(&self, known: Option<&LogRecord>, entry: &ServerEntry) -> ServerEntry {
+    /// Returns the newest known registration of the server of `entry`. The store may have
+    /// applied an older heartbeat late, or a lagging entry may have sent it: a run that
+    /// announced its departure doesn't come back, whether or not its row was dropped in the
+    /// meantime.
+    fn newest_entry(&self, known: Option<&LogEntry>, entry: &ServerEntry) -> ServerEntry {
         if let Some(known) = known {
-            return newer(&known.entry, entry);
+            return newer_entry(&known.entry, entry);
         }
-        let mut ends = self.gone.iter().rev().map(|(_, departure)| departure);
-        let has_left = ends.any(|departure| departure.announced && departure.refuses(entry));
-        let mut word = entry.clone();
+        let mut departures = self.departures.iter().rev().map(|(_, departure)| departure);
+        let has_left =
+            departures.any(|departure| departure.announced && departure.supersedes(entry));
+        let mut merged = entry.clone();
         if has_left {
-            word.state = EntryState::Draining;
+            merged.state = EntryState::Draining;
         }
-        word
+        merged
     }
 
-    /// Remembers the ends of servers that a copy lacks which is as new as what was known `before`.
-    fn forget_others(&mut self, delta: &RegistryDelta, before: &BTreeMap<String, LogRecord>) {
+    /// Records the departure of servers that were known `before` but are missing from a full
+    /// copy that is at least as new.
+    fn record_omitted(&mut self, delta: &RegistryDelta, before: &BTreeMap<String, LogEntry>) {
         let listed = delta.entries.iter().map(|entry| &entry.id);
         let kept: HashSet<&String> = listed.chain(&delta.foreign).chain(&delta.missing).collect();
         let others = before
             .values()
             .filter(|record| !kept.contains(&record.entry.id));
-        let ends: Vec<Departure> = others.map(|record| Departure::of(&record.entry)).collect();
-        for departure in ends {
-            self.forget(delta.version, departure);
+        let departures: Vec<Departure> =
+            others.map(|record| Departure::of(&record.entry)).collect();
+        for departure in departures {
+            self.record_departure(delta.version, departure);
         }
     }
 
-    /// Whether the run that ended is not listed again by a newer word.
+    /// Returns whether the run ended and isn't listed again by a newer registration.
     fn has_ended(&self, departure: &Departure) -> bool {
         let listed = self.entries.get(&departure.id);
-        departure.is_known() && listed.is_none_or(|record| departure.refuses(&record.entry))
+        departure.is_known() && listed.is_none_or(|record| departure.supersedes(&record.entry))
     }
 
-    fn forget(&mut self, stamp: u64, departure: Departure) {
-        self.gone.push_back((stamp, departure));
-        while self.gone.len() > GONE_KEPT {
-            if let Some((stamp, _)) = self.gone.pop_front() {
-                self.oldest = stamp;
+    fn record_departure(&mut self, new_version: u64, departure: Departure) {
+        self.departures.push_back((new_version, departure));
+        while self.departures.len() > MAX_DEPARTURES {
+            if let Some((new_version, _)) = self.departures.pop_front() {
+                self.history_start = new_version;
             }
         }
     }
 }
 
-impl LogRecord {
+impl LogEntry {
     fn new(changed: u64, entry: ServerEntry) -> Self {
         Self {
             changed,
-            mark: ContentMark::of_entry(&entry),
+            hash: ContentHash::of_entry(&entry),
             entry,
         }
     }
 }
 
-/// The newer one of two words of a server. A run that leaves says nothing else later.
-fn newer(known: &ServerEntry, entry: &ServerEntry) -> ServerEntry {
+/// Returns the newer of two registrations of a server. A run that announced its departure stays
+/// draining.
+fn newer_entry(known: &ServerEntry, entry: &ServerEntry) -> ServerEntry {
     if entry.is_of_earlier_run(known) {
         return known.clone();
     }
     if !entry.is_same_run(known) {
         return entry.clone();
     }
-    let mut word = if entry.seq < known.seq {
+    let mut merged = if entry.seq < known.seq {
         known.clone()
     } else {
         entry.clone()
     };
     if known.state == EntryState::Draining {
-        word.state = EntryState::Draining;
+        merged.state = EntryState::Draining;
     }
-    word
+    merged
 }
 
-/// Whether nothing differs but the heartbeat and the rest of a warm-up that was told.
-fn is_same(known: &ServerEntry, entry: &ServerEntry) -> bool {
+/// Returns whether the entries differ only in the heartbeat, and in a warm-up time that has
+/// merely elapsed.
+fn is_unchanged(known: &ServerEntry, entry: &ServerEntry) -> bool {
     let is_warming =
         !entry.cold_remaining.is_zero() && entry.cold_remaining <= known.cold_remaining;
     let mut known = known.clone();
--- a/crates/place/src/fleet/member/mod.rs
+++ b/crates/place/src/fleet/member/mod.rs
@@ -15,22 +15,22 @@
 
 use crate::crash::ledger::CrashLedger;
 use crate::crash::outbox::CrashOutbox;
-use crate::crash::print::RequestPrint;
-use crate::crash::quarantine::QuarantineBook;
-use crate::crash::word::{CrashReport, KeptQuarantine};
+use crate::crash::print::RequestFingerprint;
+use crate::crash::quarantine::QuarantineTable;
+use crate::crash::word::{CrashReport, StoredQuarantine};
 use crate::fleet::clock::{StoreClock, StoreTime};
 use crate::fleet::doubt::ContentDoubt;
 use crate::fleet::follow::{PullState, PullTarget};
-use crate::fleet::known::KnownStore;
 use crate::fleet::leads::LeadTable;
 use crate::fleet::list::EntryList;
 use crate::fleet::message::PeerMessage;
-use crate::fleet::pace::ReadPace;
-use crate::fleet::reading::{ReadOutcome, ReadingPlan, RegistryCall};
+use crate::fleet::pace::ReadIntervals;
+use crate::fleet::reading::{ReadOutcome, ReadScheduler, RegistryRead};
 use crate::fleet::regions::RegionBook;
 use crate::fleet::roster::EntryRoster;
 use crate::fleet::seat::LeadSeat;
 use crate::fleet::seek::LeadSearch;
+use crate::fleet::store_progress::StoreProgress;
 use crate::rank::stable_hash;
 
 /// Time between beats, and between digests of a lead: four in the time after which a
@@ -86,7 +86,7 @@
     /// Something of its own changed.
     Own(OwnState),
     /// It knows more of the store, by whatever way.
-    Known(KnownStore),
+    Known(StoreProgress),
     /// The store answered a call that began then with its own time; or another entry told
     /// the latest time that the store's clock can show.
     StoreTime(Instant, StoreTime),
@@ -105,11 +105,11 @@
     /// The store's rows of leads: regions and addresses.
     Rows(Vec<(String, SocketAddr)>),
     /// The store's rows of requests in quarantine.
-    Kept(Vec<KeptQuarantine>),
+    Kept(Vec<StoredQuarantine>),
     /// Requests of this entry that were at a server when it ended.
     Crashed(Vec<CrashReport>),
     /// A server answered a request well that had been at one that ended.
-    Cleared(RequestPrint),
+    Cleared(RequestFingerprint),
 }
 
 /// What the entry is to do.
@@ -120,7 +120,7 @@
     /// Ask a lead for what it knows more.
     Pull(PullTarget),
     /// Read the registry, and tell the outcome.
-    ReadRegistry(RegistryCall),
+    ReadRegistry(RegistryRead),
     /// Watch the operator's rows from now on, or no longer.
     WatchOperator(bool),
     /// Look at the store's rows of leads.
@@ -128,9 +128,9 @@
     /// Write the region's row of leads.
     WriteRow(Vec<SocketAddr>),
     /// Write rows of requests in quarantine, and how long ago they were put there.
-    KeepQuarantines(Vec<(RequestPrint, Duration)>),
+    KeepQuarantines(Vec<(RequestFingerprint, Duration)>),
     /// Delete the rows of requests that are in quarantine no longer.
-    DropQuarantines(Vec<RequestPrint>),
+    DropQuarantines(Vec<RequestFingerprint>),
     /// What is known of the registry is as fresh as of this time.
     Confirm(Instant),
     /// The entries that get requests have changed.
@@ -147,11 +147,11 @@
     /// It leads no longer, for the entry that is named.
     Follows(String),
     /// A request was at two servers when they ended.
-    Suspected(RequestPrint),
+    Suspected(RequestFingerprint),
     /// A request has ended servers and is refused from now on.
-    Quarantined(RequestPrint),
+    Quarantined(RequestFingerprint),
     /// A request that something was held of was answered well.
-    Cleared(RequestPrint),
+    Cleared(RequestFingerprint),
     /// Its region's reader and deputy.
     Leaders(Vec<String>),
     /// The region's leads are silent.
@@ -176,7 +176,7 @@
     reviewed_at: Instant,
     own: OwnState,
     reads: bool,
-    known: KnownStore,
+    known: StoreProgress,
     clock: StoreClock,
     roster: EntryRoster,
     leads: LeadTable,
@@ -184,7 +184,7 @@
     search: LeadSearch,
     pulls: PullState,
     doubt: ContentDoubt,
-    readings: ReadingPlan,
+    readings: ReadScheduler,
     /// Since when it leads its region.
     leading: Option<Instant>,
     /// Leads and substitutes of the region as known now.
@@ -201,7 +201,7 @@
     row: Vec<SocketAddr>,
     /// Which requests were at servers when these ended.
     ledger: CrashLedger,
-    quarantine: QuarantineBook,
+    quarantine: QuarantineTable,
     outbox: CrashOutbox,
     statuses_due: Instant,
 }
@@ -216,7 +216,7 @@
             reviewed_at: now,
             own: OwnState::default(),
             reads: true,
-            known: KnownStore::default(),
+            known: StoreProgress::default(),
             clock: StoreClock::default(),
             roster: EntryRoster::default(),
             leads: LeadTable::default(),
@@ -224,7 +224,7 @@
             search: LeadSearch::new(&config.seeds, hash),
             pulls: PullState::default(),
             doubt: ContentDoubt::default(),
-            readings: ReadingPlan::new(now, ReadPace::new(config.drain), hash),
+            readings: ReadScheduler::new(now, ReadIntervals::new(config.drain), hash),
             leading: None,
             seats: Vec::new(),
             counted: Vec::new(),
@@ -238,7 +238,7 @@
             rows_due: now,
             row: Vec::new(),
             ledger: CrashLedger::default(),
-            quarantine: QuarantineBook::default(),
+            quarantine: QuarantineTable::default(),
             outbox: CrashOutbox::default(),
             statuses_due: now,
             config,
@@ -307,7 +307,7 @@
     }
 
     /// What this entry knows of the store.
-    pub fn known(&self) -> &KnownStore {
+    pub fn known(&self) -> &StoreProgress {
         &self.known
     }
 
@@ -348,7 +348,7 @@
         }
     }
 
-    fn on_known(&mut self, now: Instant, known: KnownStore) {
+    fn on_known(&mut self, now: Instant, known: StoreProgress) {
         let is_news = (known.registry, known.operator, known.desired)
             != (self.known.registry, self.known.operator, self.known.desired);
         let is_read = known.registry_at > self.known.registry_at;
--- a/crates/place/src/fleet/message.rs
+++ b/crates/place/src/fleet/message.rs
@@ -2,14 +2,15 @@
 
 use std::net::SocketAddr;
 
-use crate::crash::word::CrashWord;
+use rollout::word::RolloutWord;
+use team::quota::QuotaWord;
+
+use crate::crash::word::CrashMessage;
 use crate::fleet::front::FrontEntry;
-use crate::fleet::known::StoreWord;
 use crate::fleet::list::ListVersion;
 use crate::fleet::seat::LeadSeat;
+use crate::fleet::store_progress::StoreProgressMessage;
 use crate::placing::load::LoadUpdate;
-use rollout::word::RolloutWord;
-use team::quota::QuotaWord;
 
 base::common! {
     /// One datagram between entries.
@@ -25,7 +26,7 @@
         Load(LoadBeat),
         /// Requests under which servers ended; from an entry to its leads, among leads,
         /// and from leads to the entries of their region.
-        Crash(CrashWord),
+        Crash(CrashMessage),
         /// How requests fare in rollouts; among the entries that get requests, and to leads.
         Rollout(RolloutBeat),
     }
@@ -85,7 +86,7 @@
         /// Whether its process is about to end.
         pub leaving: bool,
         /// What it knows of the store.
-        pub store: StoreWord,
+        pub store: StoreProgressMessage,
         /// What it knows of all regions, its own among them.
         pub regions: Vec<RegionWord>,
     }
--- a/crates/place/src/placing/choice.rs
+++ b/crates/place/src/placing/choice.rs
@@ -123,7 +123,7 @@
         reason: PlacementReason,
     ) {
         let slots = f64::from(record.entry.slots.max(1));
-        let away = record.region != self.context.region;
+        let is_remote = record.region != self.context.region;
         let limiter = self.context.limiter;
         if limiter.is_some_and(|limiter| !limiter.permits(&record.region)) {
             self.note_blocked(RefusalReason::ShiftCap, None);
@@ -154,7 +154,7 @@
         let cost = expected + self.penalty(candidate, record);
         let reason = PlacementReason {
             expected,
-            away,
+            is_remote,
             free: reason.occupancy < slots,
             work: estimate.work,
             ..reason
--- a/crates/place/src/placing/placer.rs
+++ b/crates/place/src/placing/placer.rs
@@ -286,7 +286,7 @@
         if self.shift_limiter.permits(&record.region) {
             return unbounded;
         }
-        let may_stay = !reason.away && self.shift_limiter.permits_own_region(&record.region);
+        let may_stay = !reason.is_remote && self.shift_limiter.permits_own_region(&record.region);
         let within_shift_cap =
             self.choose(now, request, service, ranked, Some(&self.shift_limiter));
         if may_stay {
@@ -386,7 +386,7 @@
             ServerOutcome::Unreachable => {
                 record.on_unreachable(now);
                 // It may have crashed, in which case it comes back cold.
-                record.chill(now, warmup);
+                record.mark_cold(now, warmup);
             }
             ServerOutcome::Broken => record.on_outcome(now, false),
             ServerOutcome::OutOfTime => {
@@ -394,7 +394,7 @@
                 let elapsed = millis(now.saturating_duration_since(placement.started));
                 let ratio = elapsed / placement.reason.expected.max(1.0);
                 if placement.reason.free && ratio > 1.0 {
-                    record.on_speed(now, ratio * record.speed(now));
+                    record.on_latency_ratio(now, ratio * record.speed(now));
                 }
             }
             ServerOutcome::Withdrawn | ServerOutcome::Abandoned => {}
@@ -431,7 +431,7 @@
                 .on_answer(work, reason.belief);
         }
         if let Some(record) = self.catalog.get_mut(placement.handle) {
-            record.on_speed(now, work / reason.work.max(1.0) * record.speed(now));
+            record.on_latency_ratio(now, work / reason.work.max(1.0) * record.speed(now));
         }
     }
 
--- a/crates/place/tests/crash_load.rs
+++ b/crates/place/tests/crash_load.rs
@@ -1,5 +1,5 @@
-//! A service under load while one request ends its servers: callers whose requests are
-//! caught beside it, repeats, servers that end by themselves, datagrams that are lost.
+//! Simulates a service under load while one request crashes its servers, with retries,
+//! bystanders in flight at the same servers, spontaneous crashes and lost datagrams.
 
 mod fleet_world;
 
@@ -7,36 +7,37 @@
 use std::time::{Duration, Instant};
 
 use fleet_world::{FleetWorld, ms};
-use place::crash::print::RequestPrint;
+use place::crash::print::RequestFingerprint;
 use place::crash::word::CrashReport;
 use place::prelude::*;
 use place::rank::pair_weight;
 
 const STEP: Duration = Duration::from_millis(10);
-/// The request that ends servers, and how long it runs before.
-const FATAL: RequestPrint = RequestPrint(1);
+/// The request that crashes servers, and how long it runs before it does.
+const FATAL: RequestFingerprint = RequestFingerprint(1);
 const FATAL_TIME: Duration = Duration::from_millis(80);
-/// Servers of the service, and requests at each of them at most.
+/// Number of servers, and maximum number of requests at each.
 const SERVERS: usize = 22;
 const SERVER_JOBS: usize = 6;
-/// Time until a server is back, and until its end is known to the entries that had
-/// requests there.
-const BACK_AFTER: Duration = Duration::from_millis(2500);
-const LOOK_TIME: Duration = Duration::from_millis(60);
-/// Arrivals a second: of all requests, of the fatal one, and ends without a cause.
+/// Time until a crashed server is back, and until the entries that had requests there know of
+/// the crash.
+const RESTART_TIME: Duration = Duration::from_millis(2500);
+const REPORT_DELAY: Duration = Duration::from_millis(60);
+/// Rates per second: all requests, fatal requests, and spontaneous crashes.
 const ARRIVALS: f64 = 128.0;
 const FATAL_ARRIVALS: f64 = 4.0;
-const OWN_ENDS: f64 = 0.3;
-/// A request is sent so often at most: twice by its entry, and by its caller once more.
-const SENDS_MOST: u32 = 4;
-/// The time after the third end within which all entries must know of it, and sends of the
-/// fatal request allowed later.
+const SPONTANEOUS_CRASHES: f64 = 0.3;
+/// Maximum number of sends of a request: two by its entry, and as many again for the caller's
+/// retry.
+const MAX_SENDS: u32 = 4;
+/// Time after the third crash within which all entries must know the cause, and the number of
+/// fatal requests that may still be sent later.
 const SPREAD_TIME: Duration = Duration::from_secs(3);
 const LATE_SENDS: usize = 3;
 
 #[derive(Clone)]
 struct Job {
-    print: RequestPrint,
+    fingerprint: RequestFingerprint,
     entry: usize,
     ends: Instant,
     repeats: bool,
@@ -49,30 +50,30 @@
     back_at: Option<Instant>,
 }
 
-/// What came of a play.
+/// Counters of a simulation.
 #[derive(Debug, Default)]
-struct Tally {
+struct Counters {
     refused: usize,
     answered: usize,
-    ended: usize,
+    crashed: usize,
     fatal_sends: usize,
     late_sends: usize,
 }
 
-struct Play {
+struct Simulation {
     world: FleetWorld,
     servers: Vec<Server>,
     seed: u64,
     drawn: u64,
-    prints: u128,
+    next_fingerprint: u128,
     runs: u64,
-    third_at: Option<Instant>,
-    fatal_ends: BTreeSet<u64>,
+    third_crash_at: Option<Instant>,
+    fatal_crashes: BTreeSet<u64>,
     reports: Vec<(Instant, usize, CrashReport)>,
-    tally: Tally,
+    counters: Counters,
 }
 
-impl Play {
+impl Simulation {
     fn new(entries: usize, seed: u64) -> Self {
         let mut world = FleetWorld::new(entries);
         world.run(ms(8000));
@@ -87,16 +88,16 @@
             servers: servers.collect(),
             seed,
             drawn: 0,
-            prints: 100,
+            next_fingerprint: 100,
             runs: SERVERS as u64,
-            third_at: None,
-            fatal_ends: BTreeSet::new(),
+            third_crash_at: None,
+            fatal_crashes: BTreeSet::new(),
             reports: Vec::new(),
-            tally: Tally::default(),
+            counters: Counters::default(),
         }
     }
 
-    /// A number from 0 to 1.
+    /// Returns a random number from 0 to 1.
     fn draw(&mut self) -> f64 {
         self.drawn += 1;
         (pair_weight(self.seed, self.drawn) >> 11) as f64 / (1_u64 << 53) as f64
@@ -110,7 +111,7 @@
         self.draw() < rate * STEP.as_secs_f64()
     }
 
-    fn run(mut self, span: Duration) -> Tally {
+    fn run(mut self, span: Duration) -> Counters {
         let until = self.world.now + span;
         while self.world.now < until {
             self.world.run(STEP);
@@ -118,37 +119,43 @@
             self.finish();
             self.report();
         }
-        self.tally
+        self.counters
     }
 
     fn arrive(&mut self) {
         for _ in 0..4 {
             if self.happens(ARRIVALS / 4.0) {
-                self.prints += 1;
-                let print = RequestPrint(self.prints);
+                self.next_fingerprint += 1;
+                let fingerprint = RequestFingerprint(self.next_fingerprint);
                 let repeats = self.draw() < 0.7;
-                self.send(print, repeats, 0);
+                self.send(fingerprint, repeats, 0);
             }
         }
         if self.happens(FATAL_ARRIVALS) {
             self.send(FATAL, true, 0);
         }
-        if self.happens(OWN_ENDS) {
+        if self.happens(SPONTANEOUS_CRASHES) {
             let server = self.pick(SERVERS);
             self.end(server);
         }
     }
 
-    fn send(&mut self, print: RequestPrint, repeats: bool, sends: u32) {
+    fn send(&mut self, fingerprint: RequestFingerprint, repeats: bool, sends: u32) {
         let entry = self.pick(self.world.entries.len());
-        self.send_from(entry, print, repeats, sends);
+        self.send_from(entry, fingerprint, repeats, sends);
     }
 
-    fn send_from(&mut self, entry: usize, print: RequestPrint, repeats: bool, sends: u32) {
+    fn send_from(
+        &mut self,
+        entry: usize,
+        fingerprint: RequestFingerprint,
+        repeats: bool,
+        sends: u32,
+    ) {
         let now = self.world.now;
         let member = &self.world.entries[entry].member;
-        if member.quarantine_left(now, print).is_some() {
-            self.tally.refused += usize::from(print != FATAL);
+        if member.quarantine_left(now, fingerprint).is_some() {
+            self.counters.refused += usize::from(fingerprint != FATAL);
             return;
         }
         let first = self.pick(SERVERS);
@@ -160,16 +167,16 @@
         let Some(server) = open else {
             return;
         };
-        let takes = if print == FATAL {
-            self.tally.fatal_sends += 1;
-            let is_late = self.third_at.is_some_and(|at| now > at + SPREAD_TIME);
-            self.tally.late_sends += usize::from(is_late);
+        let takes = if fingerprint == FATAL {
+            self.counters.fatal_sends += 1;
+            let is_late = self.third_crash_at.is_some_and(|at| now > at + SPREAD_TIME);
+            self.counters.late_sends += usize::from(is_late);
             FATAL_TIME
         } else {
             Duration::from_secs_f64(0.1 + 0.8 * self.draw())
         };
         self.servers[server].jobs.push(Job {
-            print,
+            fingerprint,
             entry,
             ends: now + takes,
             repeats,
@@ -189,7 +196,7 @@
             let (done, left): (Vec<Job>, Vec<Job>) =
                 server.jobs.drain(..).partition(|job| job.ends <= now);
             server.jobs = left;
-            if done.iter().any(|job| job.print == FATAL) {
+            if done.iter().any(|job| job.fingerprint == FATAL) {
                 self.servers[index].jobs.extend(done);
                 self.end(index);
                 continue;
@@ -201,40 +208,44 @@
     }
 
     fn answer(&mut self, job: &Job) {
-        self.tally.answered += 1;
+        self.counters.answered += 1;
         let member = &self.world.entries[job.entry].member;
-        if member.has_suspects(self.world.now) && member.suspects(job.print) {
-            self.world.tell(job.entry, FleetEvent::Cleared(job.print));
+        if member.has_suspects(self.world.now) && member.suspects(job.fingerprint) {
+            self.world
+                .tell(job.entry, FleetEvent::Cleared(job.fingerprint));
         }
     }
 
-    /// The server ends; what was at it is sent again where it may be.
+    /// Crashes the server and resends its requests as far as allowed.
     fn end(&mut self, index: usize) {
         let now = self.world.now;
         let server = &mut self.servers[index];
         if server.back_at.is_some() {
             return;
         }
-        server.back_at = Some(now + BACK_AFTER);
+        server.back_at = Some(now + RESTART_TIME);
         let (run, jobs) = (server.run, std::mem::take(&mut server.jobs));
-        self.tally.ended += 1;
-        if jobs.iter().any(|job| job.print == FATAL) {
-            self.fatal_ends.insert(run);
-            if self.fatal_ends.len() >= 3 {
-                self.third_at.get_or_insert(now);
+        self.counters.crashed += 1;
+        if jobs.iter().any(|job| job.fingerprint == FATAL) {
+            self.fatal_crashes.insert(run);
+            if self.fatal_crashes.len() >= 3 {
+                self.third_crash_at.get_or_insert(now);
             }
         }
         for job in jobs {
-            let print = job.print;
-            let report = CrashReport { run, print };
-            self.reports.push((now + LOOK_TIME, job.entry, report));
-            if !job.repeats || job.sends >= SENDS_MOST {
+            let fingerprint = job.fingerprint;
+            let report = CrashReport {
+                run,
+                print: fingerprint,
+            };
+            self.reports.push((now + REPORT_DELAY, job.entry, report));
+            if !job.repeats || job.sends >= MAX_SENDS {
                 continue;
             }
             if job.sends % 2 == 1 {
-                self.send_from(job.entry, print, true, job.sends);
+                self.send_from(job.entry, fingerprint, true, job.sends);
             } else {
-                self.send(print, true, job.sends);
+                self.send(fingerprint, true, job.sends);
             }
         }
     }
@@ -250,25 +261,25 @@
     }
 }
 
-/// Promise: under load, with servers that end by themselves and one datagram in twenty
-/// lost, no caller but that of the fatal request is refused, and that one reaches at most
-/// three servers later than three seconds after it ended the third.
+/// Under load, with spontaneous crashes and one in twenty datagrams lost, no request but the
+/// fatal one may be refused. The fatal request may reach at most three servers later than three
+/// seconds after it crashed the third.
 #[test]
 fn only_the_cause_is_refused_under_load() {
-    let plays = (0..40).map(|seed| (12, seed)).chain([(300, 40), (300, 41)]);
-    for (entries, seed) in plays {
-        let tally = Play::new(entries, seed).run(Duration::from_secs(20));
+    let simulations = (0..40).map(|seed| (12, seed)).chain([(300, 40), (300, 41)]);
+    for (entries, seed) in simulations {
+        let counters = Simulation::new(entries, seed).run(Duration::from_secs(20));
         assert_eq!(
-            tally.refused, 0,
-            "{entries} entries, seed {seed}: {tally:?}"
+            counters.refused, 0,
+            "{entries} entries, seed {seed}: {counters:?}"
         );
         assert!(
-            tally.late_sends <= LATE_SENDS,
-            "{entries} entries, seed {seed}: {tally:?}"
+            counters.late_sends <= LATE_SENDS,
+            "{entries} entries, seed {seed}: {counters:?}"
         );
         assert!(
-            tally.answered > 1500,
-            "{entries} entries, seed {seed}: {tally:?}"
+            counters.answered > 1500,
+            "{entries} entries, seed {seed}: {counters:?}"
         );
     }
 }
--- a/crates/place/tests/crashes.rs
+++ b/crates/place/tests/crashes.rs
@@ -1,4 +1,5 @@
-//! Requests that end servers: which is the cause, who hears of it, and what it costs.
+//! Tests of the detection of requests that crash servers: finding the cause, propagating it,
+//! and the traffic for it.
 
 mod fleet_world;
 
@@ -8,26 +9,29 @@
 use fleet_world::{FleetWorld, ms};
 use place::crash::ledger::CrashLedger;
 use place::crash::outbox::CrashOutbox;
-use place::crash::print::RequestPrint;
-use place::crash::quarantine::QuarantineBook;
-use place::crash::word::{CrashReport, PrintStatus};
+use place::crash::print::RequestFingerprint;
+use place::crash::quarantine::QuarantineTable;
+use place::crash::word::{CrashReport, RequestStatus};
 use place::prelude::*;
 use proptest::prelude::*;
 
-const FATAL: RequestPrint = RequestPrint(1);
+const FATAL: RequestFingerprint = RequestFingerprint(1);
 
-fn report(run: u64, print: RequestPrint) -> CrashReport {
-    CrashReport { run, print }
+fn report(run: u64, fingerprint: RequestFingerprint) -> CrashReport {
+    CrashReport {
+        run,
+        print: fingerprint,
+    }
 }
 
-/// A fleet of `count` that has run for a while.
+/// A fleet of `count` entries that has run for a while.
 fn settled(count: usize) -> FleetWorld {
     let mut world = FleetWorld::new(count);
     world.run(ms(8000));
     world
 }
 
-/// Lets the request end a server for each of `entries`.
+/// Lets the request crash a different server for each of `entries`.
 fn crash(world: &mut FleetWorld, entries: &[usize], first_run: u64) {
     for (run, entry) in (first_run..).zip(entries) {
         world.tell(*entry, FleetEvent::Crashed(vec![report(run, FATAL)]));
@@ -42,8 +46,8 @@
         .count()
 }
 
-/// Promise: a request that ended three servers, each seen by another entry of another
-/// region, is refused by all entries within 1.5 s, whatever their number.
+/// A request that crashed three servers, each seen by an entry of a different region, must be
+/// refused by all entries within 1.5 s at any fleet size.
 #[test]
 fn what_each_entry_saw_once_all_know_soon() {
     for count in [12, 300, 1000] {
@@ -54,11 +58,10 @@
     }
 }
 
-/// Promise: what an entry that doesn't lead sends and hears for it doesn't grow with the
-/// fleet.
+/// The datagrams of an entry that doesn't lead must not increase with the fleet size.
 #[test]
 fn it_costs_the_same_in_a_large_fleet() {
-    let mut heard = Vec::new();
+    let mut datagrams_per_size = Vec::new();
     for count in [100, 1000] {
         let mut world = settled(count);
         let follower = (0..count).find(|entry| !world.entries[*entry].member.leads());
@@ -66,14 +69,20 @@
         assert_eq!(world.entries[follower].crash_datagrams, 0);
         crash(&mut world, &[0, 4, 11], 100);
         world.run(ms(10_000));
-        heard.push(world.entries[follower].crash_datagrams);
+        datagrams_per_size.push(world.entries[follower].crash_datagrams);
     }
-    // Both leads tell their statuses with each beat.
-    assert!(heard.iter().all(|datagrams| *datagrams <= 40), "{heard:?}");
-    assert!(heard[0].abs_diff(heard[1]) <= 4, "{heard:?}");
+    // Both leads send their statuses with each beat.
+    assert!(
+        datagrams_per_size.iter().all(|datagrams| *datagrams <= 40),
+        "{datagrams_per_size:?}"
+    );
+    assert!(
+        datagrams_per_size[0].abs_diff(datagrams_per_size[1]) <= 4,
+        "{datagrams_per_size:?}"
+    );
 }
 
-/// Promise: a quarantine outlives the leads that found the cause.
+/// A quarantine must survive the leads that detected the cause.
 #[test]
 fn a_quarantine_outlives_the_leads() {
     let mut world = settled(60);
@@ -94,7 +103,7 @@
     assert_eq!(refusing(&world), 60);
 }
 
-/// Promise: a quarantine outlives a loss of all entries, at one row in the store.
+/// A quarantine must survive the loss of all entries, with a single row in the store.
 #[test]
 fn a_quarantine_outlives_all_entries() {
     let mut world = settled(60);
@@ -107,12 +116,12 @@
     for entry in 0..60 {
         world.restart(entry);
     }
-    // Before they count as settled.
+    // Before the entries count as settled.
     world.run(ms(3000));
     assert_eq!(refusing(&world), 60);
 }
 
-/// Promise: what is cleared leaves the store as well, also where it was away meanwhile.
+/// A cleared request must be removed from the store, even if the store was down at that time.
 #[test]
 fn a_cleared_request_leaves_the_store() {
     let mut world = settled(60);
@@ -128,7 +137,7 @@
     assert_eq!(refusing(&world), 0);
 }
 
-/// Promise: a good answer anywhere lifts what all entries hold of a request.
+/// A successful answer at any entry must clear the request at all entries.
 #[test]
 fn a_good_answer_clears_a_request_everywhere() {
     let mut world = settled(60);
@@ -142,7 +151,8 @@
     assert_eq!(refusing(&world), 0);
 }
 
-/// Promise: an operator lifts a quarantine by a row, everywhere, and the row goes.
+/// An operator must be able to lift a quarantine everywhere by changing its row, which is then
+/// removed.
 #[test]
 fn an_operator_lifts_a_quarantine() {
     let mut world = settled(60);
@@ -156,7 +166,7 @@
     assert_eq!(refusing(&world), 0);
 }
 
-/// Promise: once a request is cleared nobody speaks of it for long.
+/// Messages about a cleared request must stop soon.
 #[test]
 fn a_cleared_request_is_soon_forgotten() {
     let mut world = settled(60);
@@ -164,19 +174,20 @@
     world.run(ms(1500));
     world.tell(20, FleetEvent::Cleared(FATAL));
     world.run(ms(5000));
-    let told = |world: &FleetWorld| -> u64 {
+    let datagrams_sent = |world: &FleetWorld| -> u64 {
         world
             .entries
             .iter()
             .map(|entry| entry.crash_datagrams)
             .sum()
     };
-    let before = told(&world);
+    let before = datagrams_sent(&world);
     world.run(ms(5000));
-    assert_eq!(told(&world), before);
+    assert_eq!(datagrams_sent(&world), before);
 }
 
-/// Promise: two ends are not enough, and one server that several entries saw is one end.
+/// Two crashes must not be enough for a quarantine. A crash seen by several entries counts
+/// once.
 #[test]
 fn two_ends_may_be_chance() {
     let mut world = settled(60);
@@ -187,98 +198,98 @@
     assert_eq!(refusing(&world), 0);
 }
 
-/// Promise: after a quarantine one further end is enough for the next, and without one a
-/// request is served.
+/// After a quarantine, one further crash must be enough for the next one; without a crash the
+/// request must be served.
 #[test]
 fn a_quarantine_ends_and_returns() {
-    let (mut ledger, mut book) = (CrashLedger::default(), QuarantineBook::default());
+    let (mut ledger, mut statuses) = (CrashLedger::default(), QuarantineTable::default());
     let mut now = Instant::now();
     for run in 0..3 {
         ledger.on_report(now, report(run, FATAL));
     }
-    ledger.review(now, &mut book);
-    let left = book.quarantine_left(now, FATAL).unwrap();
+    ledger.review(now, &mut statuses);
+    let left = statuses.quarantine_left(now, FATAL).unwrap();
     now += left + ms(1);
-    book.forget(now);
-    ledger.on_report(now, report(50, RequestPrint(7)));
-    ledger.review(now, &mut book);
-    assert_eq!(book.quarantine_left(now, FATAL), None);
+    statuses.drop_expired(now);
+    ledger.on_report(now, report(50, RequestFingerprint(7)));
+    ledger.review(now, &mut statuses);
+    assert_eq!(statuses.quarantine_left(now, FATAL), None);
     now += ms(1);
     ledger.on_report(now, report(51, FATAL));
-    ledger.review(now, &mut book);
-    assert!(book.quarantine_left(now, FATAL).is_some());
+    ledger.review(now, &mut statuses);
+    assert!(statuses.quarantine_left(now, FATAL).is_some());
 }
 
-/// Promise: requests that never part are both refused in the end, not served for good.
+/// Requests that always occur together must both be quarantined eventually.
 #[test]
-fn inseparable_requests_are_found_out() {
-    let (mut ledger, mut book) = (CrashLedger::default(), QuarantineBook::default());
+fn inseparable_requests_are_quarantined() {
+    let (mut ledger, mut statuses) = (CrashLedger::default(), QuarantineTable::default());
     let now = Instant::now();
     for run in 0..5 {
         ledger.on_report(now, report(run, FATAL));
-        ledger.on_report(now, report(run, RequestPrint(2)));
+        ledger.on_report(now, report(run, RequestFingerprint(2)));
     }
-    ledger.review(now, &mut book);
-    assert_eq!(book.quarantined().count(), 2);
+    ledger.review(now, &mut statuses);
+    assert_eq!(statuses.quarantined().count(), 2);
 }
 
-/// Promise: a request is cleared however many others were before.
+/// A request must be clearable after any number of other clearings.
 #[test]
 fn one_among_many_is_cleared() {
-    let mut book = QuarantineBook::default();
+    let mut statuses = QuarantineTable::default();
     let now = Instant::now();
-    for print in 100..1000 {
-        book.clear(RequestPrint(print), now);
+    for fingerprint in 100..1000 {
+        statuses.clear(RequestFingerprint(fingerprint), now);
     }
-    book.raise(FATAL, PrintStatus::Quarantined, now);
-    assert!(book.clear(FATAL, now + ms(1)));
-    assert_eq!(book.quarantined().count(), 0);
-    assert!(!book.raise(FATAL, PrintStatus::Quarantined, now));
+    statuses.raise(FATAL, RequestStatus::Quarantined, now);
+    assert!(statuses.clear(FATAL, now + ms(1)));
+    assert_eq!(statuses.quarantined().count(), 0);
+    assert!(!statuses.raise(FATAL, RequestStatus::Quarantined, now));
 }
 
-/// Promise: what is cleared is told also where many reports wait.
+/// A clearing must be sent even if the queue is full of reports.
 #[test]
 fn a_clearing_is_told_among_many_reports() {
     let mut outbox = CrashOutbox::default();
     let now = Instant::now();
-    for print in 100..1000 {
-        outbox.on_report(now, report(1, RequestPrint(print)));
+    for fingerprint in 100..1000 {
+        outbox.on_report(now, report(1, RequestFingerprint(fingerprint)));
     }
     outbox.on_cleared(now, FATAL, true);
-    let word = outbox.take(now + ms(1));
-    assert_eq!(word.cleared.len(), 1);
-    assert_eq!(word.cleared[0].print, FATAL);
+    let message = outbox.take_due(now + ms(1));
+    assert_eq!(message.cleared.len(), 1);
+    assert_eq!(message.cleared[0].print, FATAL);
 }
 
-/// Promise: a request that was caught often beside the cause is not taken for it.
+/// A request that is often in flight beside the cause must not be mistaken for it.
 #[test]
 fn a_constant_companion_is_not_refused() {
-    let (mut ledger, mut book) = (CrashLedger::default(), QuarantineBook::default());
+    let (mut ledger, mut statuses) = (CrashLedger::default(), QuarantineTable::default());
     let now = Instant::now();
     for run in 0..8 {
         ledger.on_report(now, report(run, FATAL));
         if run < 6 {
-            ledger.on_report(now, report(run, RequestPrint(2)));
+            ledger.on_report(now, report(run, RequestFingerprint(2)));
         }
     }
-    ledger.review(now, &mut book);
-    assert_eq!(book.quarantined().collect::<Vec<_>>(), [FATAL]);
+    ledger.review(now, &mut statuses);
+    assert_eq!(statuses.quarantined().collect::<Vec<_>>(), [FATAL]);
 }
 
-/// Promise: where servers end whatever they run, few callers are refused for it.
+/// If servers crash regardless of what they run, only a few requests may be refused for it.
 #[test]
 fn a_service_that_ends_by_itself_refuses_few() {
-    let (mut ledger, mut book) = (CrashLedger::default(), QuarantineBook::default());
+    let (mut ledger, mut statuses) = (CrashLedger::default(), QuarantineTable::default());
     let now = Instant::now();
     for run in 0..400 {
-        ledger.on_report(now, report(run, RequestPrint(u128::from(run % 50))));
-        ledger.review(now, &mut book);
+        ledger.on_report(now, report(run, RequestFingerprint(u128::from(run % 50))));
+        ledger.review(now, &mut statuses);
     }
-    assert!(book.quarantined().count() <= 8);
+    assert!(statuses.quarantined().count() <= 8);
 }
 
-/// One server's end: which of the bystanders were there, and whether the request was.
-fn ends() -> impl Strategy<Value = Vec<(BTreeSet<u128>, bool)>> {
+/// A crash: the bystanders that were in flight, and whether the fatal request was.
+fn crashes() -> impl Strategy<Value = Vec<(BTreeSet<u128>, bool)>> {
     let bystanders = proptest::collection::btree_set(2_u128..40, 0..6);
     proptest::collection::vec((bystanders, proptest::bool::weighted(0.8)), 1..40)
 }
@@ -286,39 +297,39 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(24), ..ProptestConfig::default() })]
 
-    /// Promise: bystanders, which other servers answer, are never refused, though servers
-    /// end by themselves as well; the cause is refused once it ended enough servers.
+    /// Bystanders, which other servers answer, must never be quarantined, although servers also
+    /// crash by themselves. The cause must be quarantined once it has crashed enough servers.
     #[test]
-    fn bystanders_are_never_refused(ends in ends()) {
-        let (mut ledger, mut book) = (CrashLedger::default(), QuarantineBook::default());
+    fn bystanders_are_never_refused(crashes in crashes()) {
+        let (mut ledger, mut statuses) = (CrashLedger::default(), QuarantineTable::default());
         let mut now = Instant::now();
-        let mut fatal_ends = 0;
-        for (run, (bystanders, is_fatal)) in ends.into_iter().enumerate() {
+        let mut fatal_crashes = 0;
+        for (run, (bystanders, is_fatal)) in crashes.into_iter().enumerate() {
             let run = run as u64;
-            for print in &bystanders {
-                ledger.on_report(now, report(run, RequestPrint(*print)));
+            for fingerprint in &bystanders {
+                ledger.on_report(now, report(run, RequestFingerprint(*fingerprint)));
             }
             if is_fatal {
                 ledger.on_report(now, report(run, FATAL));
-                fatal_ends += 1;
+                fatal_crashes += 1;
             }
-            let news = ledger.review(now, &mut book);
-            let refused = |print: &RequestPrint| {
-                news.contains(&(*print, PrintStatus::Quarantined)) && *print != FATAL
+            let raised = ledger.review(now, &mut statuses);
+            let refused = |fingerprint: &RequestFingerprint| {
+                raised.contains(&(*fingerprint, RequestStatus::Quarantined)) && *fingerprint != FATAL
             };
-            prop_assert!(!bystanders.iter().any(|print| refused(&RequestPrint(*print))));
-            // They run again on another server, and are answered.
+            prop_assert!(!bystanders.iter().any(|fingerprint| refused(&RequestFingerprint(*fingerprint))));
+            // The bystanders run again on another server, which answers them.
             now += ms(200);
-            for print in &bystanders {
-                ledger.clear(RequestPrint(*print));
-                book.clear(RequestPrint(*print), now);
+            for fingerprint in &bystanders {
+                ledger.clear(RequestFingerprint(*fingerprint));
+                statuses.clear(RequestFingerprint(*fingerprint), now);
             }
             now += Duration::from_millis(50);
-            if book.quarantine_left(now, FATAL).is_some() {
+            if statuses.quarantine_left(now, FATAL).is_some() {
                 break;
             }
         }
-        prop_assert!(fatal_ends <= 3);
-        prop_assert_eq!(book.quarantine_left(now, FATAL).is_some(), fatal_ends == 3);
+        prop_assert!(fatal_crashes <= 3);
+        prop_assert_eq!(statuses.quarantine_left(now, FATAL).is_some(), fatal_crashes == 3);
     }
 }
--- a/crates/place/tests/departed.rs
+++ b/crates/place/tests/departed.rs
@@ -1,5 +1,5 @@
-//! Servers that have left and what could bring them back: older words, copies of entries that
-//! are behind, a grace without end.
+//! Tests of servers that have left, and of what could bring them back by mistake: obsolete
+//! registrations, copies from lagging entries, and endless grace periods.
 
 mod common;
 
@@ -8,32 +8,32 @@
 use common::{changes, domains, ms, reading, server};
 use place::catalog::DroppedRow;
 use place::departure::Departure;
-use place::fleet::known::KnownStore;
 use place::fleet::log::{ReadScope, RegistryDelta, RegistryLog};
-use place::fleet::pace::ReadPace;
-use place::fleet::reading::{ReadOutcome, ReadRole, ReadingPlan};
+use place::fleet::pace::ReadIntervals;
+use place::fleet::reading::{ReadOutcome, ReadRole, ReadScheduler};
+use place::fleet::store_progress::StoreProgress;
 use place::prelude::*;
 
 const DRAIN: Duration = Duration::from_millis(3000);
-/// What is left of it for the other entries to hear.
-const TELLING: Duration = Duration::from_millis(600);
+/// Part of it that remains for the propagation to other entries.
+const PROPAGATION_TIME: Duration = Duration::from_millis(600);
 
 fn catalog() -> ServerCatalog {
     ServerCatalog::new(domains()).with_drain(DRAIN)
 }
 
-fn word(id: &str, seq: u64, state: EntryState) -> ServerEntry {
+fn registration(id: &str, seq: u64, state: EntryState) -> ServerEntry {
     let mut entry = server(id, "a1");
     (entry.started, entry.seq, entry.state) = (Some(5), seq, state);
     entry
 }
 
 fn ready(id: &str, seq: u64) -> ServerEntry {
-    word(id, seq, EntryState::Ready)
+    registration(id, seq, EntryState::Ready)
 }
 
 fn leaving(id: &str, seq: u64) -> ServerEntry {
-    word(id, seq, EntryState::Draining)
+    registration(id, seq, EntryState::Draining)
 }
 
 fn is_open(catalog: &ServerCatalog, id: &str) -> bool {
@@ -41,31 +41,46 @@
     servers.any(|(_, record)| record.entry.id == id)
 }
 
-/// Takes in a reading of `rows` at `at`.
+/// Applies a read of `rows` at `at`.
 fn read(catalog: &mut ServerCatalog, at: Instant, rows: &[ServerEntry]) {
     catalog.on_read(at, &reading(at, rows));
 }
 
-/// Promise: a word that is no newer than the last one of a server that is gone brings it back
-/// nowhere, and no word does where it said that it leaves.
+/// A registration that is no newer than the last one of a departed server must not bring it
+/// back. If the server had announced its departure, no registration of that run may.
 #[test]
 fn a_heartbeat_that_the_store_performs_late_brings_no_server_back() {
     let cases = [
         (
-            "said so, older word",
+            "announced, older registration",
             leaving("x", 11),
             ready("x", 10),
             false,
         ),
         (
-            "said so, newer word",
+            "announced, newer registration",
             leaving("x", 11),
             ready("x", 12),
             false,
         ),
-        ("silent, older word", ready("x", 11), ready("x", 10), false),
-        ("silent, same word", ready("x", 11), ready("x", 11), false),
-        ("silent, newer word", ready("x", 11), ready("x", 12), true),
+        (
+            "unannounced, older registration",
+            ready("x", 11),
+            ready("x", 10),
+            false,
+        ),
+        (
+            "unannounced, same registration",
+            ready("x", 11),
+            ready("x", 11),
+            false,
+        ),
+        (
+            "unannounced, newer registration",
+            ready("x", 11),
+            ready("x", 12),
+            true,
+        ),
     ];
     for (what, last, late, is_back) in cases {
         let start = Instant::now();
@@ -85,7 +100,7 @@
     }
 }
 
-/// Promise: a later run of a server is another server, whatever its number.
+/// A later run of a departed server must be accepted, whatever its sequence number.
 #[test]
 fn a_later_run_of_a_server_that_left_is_taken_in() {
     let start = Instant::now();
@@ -98,8 +113,7 @@
     assert!(is_open(&catalog, "x"));
 }
 
-/// Promise: an entry that is behind tells everything that it knows, and brings no server back
-/// that its hearer has seen leave.
+/// A full copy from a lagging entry must not bring back a server that the receiver saw leave.
 #[test]
 fn a_copy_of_an_entry_that_is_behind_brings_no_server_back() {
     for last in [leaving("x", 11), ready("x", 11)] {
@@ -120,8 +134,8 @@
     }
 }
 
-/// Promise: a live server that a copy from behind lacks is known again with the next reading,
-/// though its word hasn't changed.
+/// A live server that is missing from a lagging entry's copy must be known again after the next
+/// read, although its registration hasn't changed.
 #[test]
 fn a_copy_that_lacks_a_live_server_keeps_it_out_no_longer_than_until_the_next_reading() {
     let start = Instant::now();
@@ -136,8 +150,8 @@
     assert!(is_open(&catalog, "x"));
 }
 
-/// Promise: what an entry tells of a leaving server isn't taken back by an older word, neither
-/// of the store nor of another entry.
+/// The log must not replace the news that a server is leaving with an older registration,
+/// whether that comes from the store or from another entry.
 #[test]
 fn an_older_word_is_not_told_on() {
     let start = Instant::now();
@@ -157,8 +171,8 @@
     assert_eq!(all(&log), [EntryState::Draining]);
 }
 
-/// Promise: an entry that starts is told of servers that left, so that an older word in its
-/// own reading brings none back.
+/// An entry that starts must be told which servers have left, so that an obsolete registration
+/// in its first own read doesn't bring one back.
 #[test]
 fn an_entry_that_starts_hears_which_servers_have_left() {
     let start = Instant::now();
@@ -180,8 +194,8 @@
     assert!(is_open(&catalog, "y"));
 }
 
-/// Promise: a row that vanished while calls fail now and then is kept no longer than a leaving
-/// server may get requests: the registry answers between, so that nothing lapses.
+/// A row that disappeared while some calls fail must not be kept for longer than a leaving
+/// server may get requests: the registry answers in between, so nothing has expired.
 #[test]
 fn calls_that_fail_now_and_then_keep_no_server_that_is_gone() {
     for gap in [300, 700, 1100, 1500, 1900, 2300, 2700, 3100, 4100] {
@@ -203,16 +217,16 @@
                 break;
             }
         }
-        let is_in_time = gone_after.is_some_and(|after| after <= DRAIN - TELLING);
+        let is_in_time = gone_after.is_some_and(|after| after <= DRAIN - PROPAGATION_TIME);
         assert!(is_in_time, "a failed call each {gap} ms: {gone_after:?}");
     }
 }
 
-/// Promise: the same where the registry answers seldom: each failure begins a new wait for
-/// live servers, but no wait is begun twice for one row.
+/// The same for a registry that rarely answers: each failure starts a new grace period for live
+/// servers, but must not restart it for a row that is already missing.
 #[test]
 fn a_registry_that_answers_seldom_keeps_no_server_without_end() {
-    const MOST: Duration = Duration::from_millis(8000);
+    const MAX_TIME: Duration = Duration::from_millis(8000);
     let start = Instant::now();
     let mut catalog = catalog();
     let both = [ready("x", 1), ready("y", 1)];
@@ -232,13 +246,13 @@
         }
     }
     assert!(
-        gone_after.is_some_and(|after| after <= MOST),
+        gone_after.is_some_and(|after| after <= MAX_TIME),
         "{gone_after:?}"
     );
 }
 
-/// Promise: rows that lapsed in a real outage are kept until live servers had time to be
-/// listed again, though calls fail once more meanwhile.
+/// Rows that expired during a real outage must be kept until live servers had time to register
+/// again, although another call fails in the meantime.
 #[test]
 fn a_row_that_lapsed_in_an_outage_is_kept_for_its_server() {
     let start = Instant::now();
@@ -256,12 +270,13 @@
     assert!(!is_open(&catalog, "y"), "not listed again in time");
 }
 
-/// Promise: an entry that read for itself in an outage, keeps what vanished and follows a lead
-/// again asks the registry once more when the wait is over; it asks again where that fails.
+/// An entry that read for itself during an outage, keeps missing servers and then follows a
+/// lead again must read the registry once more when the grace period ends, and retry if that
+/// fails.
 #[test]
 fn a_follower_ends_the_wait_that_it_began() {
     let start = Instant::now();
-    let mut plan = ReadingPlan::new(start, ReadPace::new(DRAIN), 1);
+    let mut scheduler = ReadScheduler::new(start, ReadIntervals::new(DRAIN), 1);
     let follower = ReadRole::Follower {
         substitute: false,
         stuck: false,
@@ -270,23 +285,37 @@
         used: true,
         first: start,
     };
-    assert!(plan.take(start, alone, None, false).is_some());
+    assert!(scheduler.begin_read(start, alone, None, false).is_some());
     let at = start + ms(2000);
-    plan.set_settles(Some(at));
-    plan.on_read(start + ms(10), ReadOutcome::Changed);
+    scheduler.set_settles(Some(at));
+    scheduler.on_read(start + ms(10), ReadOutcome::Changed);
     let before = at - ms(100);
-    assert_eq!(plan.take(before, follower, Some(before), false), None);
-    assert!(plan.take(at, follower, Some(at), false).is_some());
-    plan.on_read(at + ms(10), ReadOutcome::Failed);
+    assert_eq!(
+        scheduler.begin_read(before, follower, Some(before), false),
+        None
+    );
+    assert!(
+        scheduler
+            .begin_read(at, follower, Some(at), false)
+            .is_some()
+    );
+    scheduler.on_read(at + ms(10), ReadOutcome::Failed);
     let again = at + ms(500);
-    assert!(plan.take(again, follower, Some(again), false).is_some());
-    plan.on_read(again + ms(10), ReadOutcome::Same);
+    assert!(
+        scheduler
+            .begin_read(again, follower, Some(again), false)
+            .is_some()
+    );
+    scheduler.on_read(again + ms(10), ReadOutcome::Unchanged);
     let later = at + ms(1500);
-    assert_eq!(plan.take(later, follower, Some(later), false), None);
+    assert_eq!(
+        scheduler.begin_read(later, follower, Some(later), false),
+        None
+    );
 }
 
-/// Promise: a server that is told as gone and as listed again in one change keeps what is known
-/// of it: it is the same run.
+/// A server that leaves and is listed again within a single change must keep its state: it is
+/// the same run.
 #[test]
 fn a_server_that_is_back_in_the_same_change_is_not_forgotten() {
     let start = Instant::now();
@@ -307,11 +336,11 @@
     assert_eq!(changed, []);
 }
 
-/// Promise: a row that is dropped and listed again between two readings is of a live server only
-/// by a newer word than what stood there, also where nobody read that one; others are told.
+/// A row that is dropped and listed again between two reads belongs to a live server only if it
+/// is newer than the dropped one, even if nobody read that one. Followers must see the same.
 #[test]
 fn a_row_that_is_listed_again_between_two_readings_needs_a_newer_word() {
-    // What is known, what was dropped, what is listed now, and whether that is a live server's.
+    // The sequence numbers known, dropped and listed, and whether the server is alive.
     let cases = [
         (1, None, 1, false),
         (1, None, 2, true),
@@ -328,7 +357,7 @@
         let later = start + ms(1000);
         let second = reading(later, &[ready("x", listed)]);
         let row = DroppedRow {
-            word: dropped.map(|seq| ready("x", seq)),
+            last_entry: dropped.map(|seq| ready("x", seq)),
             ..DroppedRow::new("x", second.version)
         };
         let scope = ReadScope {
@@ -345,10 +374,10 @@
     }
 }
 
-/// Promise: a reading that tells late of a row's drop, which another entry has told since with
-/// the newer word, keeps no live server out.
+/// A read that reports a row's drop late, after another entry sent a newer registration, must
+/// not keep the live server out.
 #[test]
-fn a_drop_that_is_heard_late_keeps_no_live_server_out() {
+fn a_late_drop_keeps_no_live_server_out() {
     let start = Instant::now();
     let mut catalog = catalog();
     let mut lead = RegistryLog::default();
@@ -360,25 +389,25 @@
     assert!(is_open(&catalog, "x"));
 }
 
-/// Promise: a lead's word that waited unread while the process stood still is as old as the
-/// wait; one that never was stays so.
+/// A lead's message that waited unread while the process was suspended must age by that time. A
+/// read that never happened stays unset.
 #[test]
 fn a_word_that_waited_is_older_by_the_wait() {
     let now = Instant::now();
-    let known = KnownStore {
+    let known = StoreProgress {
         registry_at: Some(now - ms(100)),
-        ..KnownStore::default()
+        ..StoreProgress::default()
     };
-    let word = known.word(now).waited(ms(2500));
-    let heard = KnownStore::heard(now, &word);
-    assert_eq!(heard.registry_at, Some(now - ms(2600)));
-    assert_eq!(heard.operator_at, None);
+    let message = known.to_message(now).delayed_by(ms(2500));
+    let received = StoreProgress::from_message(now, &message);
+    assert_eq!(received.registry_at, Some(now - ms(2600)));
+    assert_eq!(received.operator_at, None);
 }
 
-/// Promise: a server that a whole copy lacks, which is as new as what was known, has ended: a
-/// word that is no newer brings it back nowhere.
+/// A server that is missing from a full copy at least as new as the receiver's knowledge has
+/// left: only a newer registration may bring it back.
 #[test]
-fn a_server_that_a_newer_copy_lacks_needs_a_newer_word() {
+fn a_server_that_a_newer_copy_lacks_needs_a_newer_registration() {
     for (seq, is_live) in [(10, false), (11, true)] {
         let start = Instant::now();
         let both = [ready("x", 10), ready("y", 3)];
@@ -391,15 +420,15 @@
         assert!(!is_open(&catalog, "x"));
         let late = [ready("x", seq), ready("y", 3)];
         read(&mut catalog, start + ms(2000), &late);
-        assert_eq!(is_open(&catalog, "x"), is_live, "word {seq}");
+        assert_eq!(is_open(&catalog, "x"), is_live, "registration {seq}");
     }
 }
 
-/// Promise: what kept the words of a server out that announced nothing ends by itself, so that
-/// no damaged message keeps a live server out for long.
+/// The departure of a server that didn't announce it must expire, so that a corrupted message
+/// can't keep a live server out for long.
 #[test]
-fn the_end_of_a_silent_server_is_forgotten_in_time() {
-    const MOST: Duration = Duration::from_secs(30);
+fn an_unannounced_departure_expires() {
+    const MAX_TIME: Duration = Duration::from_secs(30);
     let start = Instant::now();
     let both = [ready("x", 10), ready("y", 3)];
     let mut catalog = catalog();
@@ -407,14 +436,14 @@
     read(&mut catalog, start + ms(1000), &both[1..]);
     read(&mut catalog, start + ms(2000), &both);
     assert!(!is_open(&catalog, "x"));
-    read(&mut catalog, start + MOST, &both);
+    read(&mut catalog, start + MAX_TIME, &both);
     assert!(is_open(&catalog, "x"));
 }
 
-/// Promise: entries that have seen a server announce its end agree on an older word of it,
-/// whether they saw the row dropped or not.
+/// Entries that saw a server announce its departure must agree on an obsolete registration of
+/// it, whether or not they saw its row dropped.
 #[test]
-fn entries_agree_on_an_older_word_of_a_server_that_announced_its_end() {
+fn entries_agree_on_an_obsolete_registration() {
     let start = Instant::now();
     let other = ready("y", 3);
     let steps = [
@@ -434,13 +463,13 @@
     assert_eq!(log_of(&[0, 1, 2, 3]), log_of(&[0, 1, 3]));
 }
 
-/// Promise: a lead that has heard of a server's end tells no older word of it without that end,
-/// whether the word came before it heard or after.
+/// A lead that knows a server's departure must not send an obsolete registration without it,
+/// whichever of the two it learned first.
 #[test]
 fn an_older_word_is_told_with_the_servers_end() {
     let start = Instant::now();
     let told = [leaving("x", 11), ready("x", 11)];
-    for (last, hears_first) in told.iter().flat_map(|last| [(last, false), (last, true)]) {
+    for (last, knows_end_first) in told.iter().flat_map(|last| [(last, false), (last, true)]) {
         let ends = [Departure::of(last)];
         let mut lead = RegistryLog::default();
         lead.on_read(&reading(start, &[ready("y", 3)]), changes());
@@ -448,24 +477,27 @@
         follower.on_told(start, start, &lead.since(0));
         let mut known = lead.version();
         let late = reading(start + ms(1000), &[ready("x", 10), ready("y", 3)]);
-        if hears_first {
-            lead.on_ends(&ends);
+        if knows_end_first {
+            lead.on_departures(&ends);
         } else {
             lead.on_read(&late, changes());
             follower.on_told(start, start, &lead.since(known));
             known = lead.version();
-            lead.on_ends(&ends);
-            assert!(lead.version() > known, "its followers are told");
+            lead.on_departures(&ends);
+            assert!(lead.version() > known, "the followers must be told");
         }
         lead.on_read(&late, changes());
         follower.on_told(start, start, &lead.since(known));
-        assert!(!is_open(&follower, "x"), "hears first: {hears_first}");
+        assert!(
+            !is_open(&follower, "x"),
+            "knows the end first: {knows_end_first}"
+        );
         assert!(is_open(&follower, "y"));
     }
 }
 
-/// Promise: of a server's end that another entry tells, with an earlier word than is known here,
-/// the last word that is known here counts in what is told on.
+/// When another entry reports a departure with an older registration than the one known here,
+/// the log must pass on the newer one.
 #[test]
 fn an_end_that_is_told_on_has_the_last_word_that_is_known() {
     let start = Instant::now();
@@ -474,7 +506,7 @@
     lead.on_read(&reading(start, &[ready("x", 3), other.clone()]), changes());
     let told = RegistryDelta {
         version: lead.version() + 5000,
-        gone: vec![Departure::of(&ready("x", 2))],
+        departures: vec![Departure::of(&ready("x", 2))],
         ..RegistryDelta::default()
     };
     lead.on_told(&told);
@@ -482,7 +514,7 @@
     follower.on_told(start, start, &lead.since(0));
     read(&mut follower, start + ms(9000), &[ready("x", 3), other]);
     assert!(!is_open(&follower, "x"));
-    // The same where a whole copy, as new as what is known, lacks it.
+    // The same if a full copy, as new as the local knowledge, lacks the server.
     let mut lead = RegistryLog::default();
     lead.on_read(&reading(start, &[ready("x", 3), ready("y", 3)]), changes());
     let copy = RegistryDelta {
@@ -496,7 +528,8 @@
     let late = [ready("x", 3), ready("y", 3)];
     read(&mut follower, start + ms(9000), &late);
     assert!(!is_open(&follower, "x"), "a whole copy");
-    // A server that is told as gone and back is known by the word that is told.
+    // A server reported as departed and listed again is known by the registration that was
+    // sent.
     let mut lead = RegistryLog::default();
     lead.on_read(&reading(start, &[ready("x", 3)]), changes());
     let back = RegistryDelta {
@@ -509,11 +542,11 @@
     assert!(is_open(&follower, "x"));
 }
 
-/// Promise: however many servers leave at once, what is told of their ends is bounded, and the
-/// newest thousand are kept out.
+/// The number of departures sent must be bounded however many servers leave at once, and the
+/// latest thousand must stay out.
 #[test]
-fn what_is_told_of_ends_is_bounded() {
-    const TOLD_MOST: usize = 1024;
+fn the_number_of_departures_sent_is_bounded() {
+    const MAX_DEPARTURES: usize = 1024;
     for count in [100, 300, 1000, 3000] {
         let start = Instant::now();
         let other = ready("y", 3);
@@ -529,7 +562,11 @@
             changes(),
         );
         let told = lead.since(0);
-        assert!(told.gone.len() <= TOLD_MOST, "{count}: {}", told.gone.len());
+        assert!(
+            told.departures.len() <= MAX_DEPARTURES,
+            "{count}: {}",
+            told.departures.len()
+        );
         let mut follower = catalog();
         follower.on_told(start + ms(1000), start, &told);
         read(
@@ -543,8 +580,8 @@
     }
 }
 
-/// Promise: a row that vanished in an outage and is listed again while its server is waited for
-/// isn't the live server's by an older word.
+/// A row that disappeared during an outage and is listed again during the grace period must not
+/// count as the live server's if it is older than the last known registration.
 #[test]
 fn an_older_word_ends_no_wait() {
     for (seq, is_live) in [(9, false), (11, true)] {
@@ -560,13 +597,17 @@
         let again = [ready("x", seq), ready("y", 3)];
         for at in [9000, 10_000, 12_000] {
             read(&mut catalog, start + ms(at), &again);
-            assert_eq!(is_open(&catalog, "x"), is_live, "word {seq} at {at}");
+            assert_eq!(
+                is_open(&catalog, "x"),
+                is_live,
+                "registration {seq} at {at}"
+            );
         }
     }
 }
 
-/// Promise: the last word of a row that vanished in an outage counts in what is told of its end,
-/// though that word came in the same reading as the drop.
+/// The departure that is sent after the grace period must include the row's last registration,
+/// even if that was first seen in the read that reported the drop.
 #[test]
 fn the_end_after_a_wait_has_the_last_word() {
     let start = Instant::now();
@@ -576,7 +617,7 @@
     let at = |millis| reading(start + ms(millis), std::slice::from_ref(&other));
     let lapsed = at(1000);
     let row = DroppedRow {
-        word: Some(ready("x", 2)),
+        last_entry: Some(ready("x", 2)),
         ..DroppedRow::new("x", lapsed.version)
     };
     let scope = ReadScope {
--- a/crates/place/tests/fleet_world/mod.rs
+++ b/crates/place/tests/fleet_world/mod.rs
@@ -7,15 +7,15 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use place::crash::print::RequestPrint;
-use place::crash::word::KeptQuarantine;
+use place::crash::print::RequestFingerprint;
+use place::crash::word::StoredQuarantine;
 use place::fleet::clock::StoreTime;
+use place::fleet::content_hash::ContentHash;
 use place::fleet::follow::{PullScope, PullTarget};
 use place::fleet::log::log_version;
-use place::fleet::mark::ContentMark;
 use place::fleet::member::MemberConfig;
 use place::fleet::message::PeerMessage;
-use place::fleet::reading::{ReadOutcome, RegistryCall};
+use place::fleet::reading::{ReadOutcome, RegistryRead};
 use place::fleet::seat::LeadSeat;
 use place::prelude::*;
 
@@ -48,7 +48,7 @@
     Clock,
     ReadEnds {
         begun: Instant,
-        call: RegistryCall,
+        call: RegistryRead,
     },
     PullEnds {
         from: usize,
@@ -149,7 +149,7 @@
     sent: u64,
     row: Vec<(String, SocketAddr)>,
     /// The store's rows of requests in quarantine: since when, and whether lifted.
-    pub kept: BTreeMap<RequestPrint, (Instant, bool)>,
+    pub kept: BTreeMap<RequestFingerprint, (Instant, bool)>,
     queue: BinaryHeap<Reverse<Arrival>>,
     number: u64,
     seeds: Vec<usize>,
@@ -340,8 +340,8 @@
             Delivery::WatchTold { operator, time } => self.end_watch(to, Some((operator, time))),
             Delivery::Rows => {
                 let kept = self.kept.iter();
-                let kept = kept.map(|(print, (at, lifted))| KeptQuarantine {
-                    print: *print,
+                let kept = kept.map(|(fingerprint, (at, lifted))| StoredQuarantine {
+                    print: *fingerprint,
                     age: self.now - *at,
                     lifted: *lifted,
                 });
@@ -431,15 +431,16 @@
             FleetAction::KeepQuarantines(quarantines) => {
                 self.calls += 1;
                 if self.is_served(entry) {
-                    for (print, age) in quarantines {
-                        self.kept.insert(print, (self.now - age, false));
+                    for (fingerprint, age) in quarantines {
+                        self.kept.insert(fingerprint, (self.now - age, false));
                     }
                 }
             }
             FleetAction::DropQuarantines(prints) => {
                 self.calls += 1;
                 if self.is_served(entry) {
-                    self.kept.retain(|print, _| !prints.contains(print));
+                    self.kept
+                        .retain(|fingerprint, _| !prints.contains(fingerprint));
                 }
             }
             FleetAction::WriteRow(leads) => {
@@ -488,7 +489,7 @@
         !self.store_down && !self.entries[entry].refused && !self.entries[entry].silent
     }
 
-    fn end_read(&mut self, entry: usize, begun: Instant, call: RegistryCall) {
+    fn end_read(&mut self, entry: usize, begun: Instant, call: RegistryRead) {
         if !self.is_served(entry) {
             self.tell(entry, FleetEvent::Read(ReadOutcome::Failed));
             return;
@@ -522,7 +523,7 @@
         let outcome = if is_news {
             ReadOutcome::Changed
         } else {
-            ReadOutcome::Same
+            ReadOutcome::Unchanged
         };
         self.tell(entry, FleetEvent::Read(outcome));
     }
@@ -633,10 +634,10 @@
     }
 
     /// The mark of what `entry` knows of the registry.
-    fn content(&self, entry: usize) -> ContentMark {
+    fn content(&self, entry: usize) -> ContentHash {
         let marks = self.entries[entry].servers.keys();
-        let marks = marks.map(|change| ContentMark::of_foreign(&change.to_string()));
-        marks.fold(ContentMark::default(), ContentMark::with)
+        let marks = marks.map(|change| ContentHash::of_foreign(&change.to_string()));
+        marks.fold(ContentHash::default(), ContentHash::with)
     }
 
     /// The registry changes, and `entry` takes the version of the change without the change.
--- a/crates/place/tests/reading.rs
+++ b/crates/place/tests/reading.rs
@@ -1,17 +1,17 @@
-//! When an entry asks the store itself.
+//! Tests of when an entry reads the registry from the store.
 
 use std::time::{Duration, Instant};
 
-use place::fleet::pace::ReadPace;
-use place::fleet::reading::{ReadOutcome, ReadRole, ReadingPlan, answer_time};
+use place::fleet::pace::ReadIntervals;
+use place::fleet::reading::{ReadOutcome, ReadRole, ReadScheduler, answer_as_of};
 
-/// Promise: an entry that goes on doubting what it knows reads everything again no more often
+/// An entry that remains in doubt about its knowledge must not repeat full reads more often
 /// than a reader reads.
 #[test]
 fn a_reading_that_settles_nothing_is_not_repeated_at_once() {
     let start = Instant::now();
-    let pace = ReadPace::new(Duration::from_millis(2500));
-    let mut plan = ReadingPlan::new(start, pace, 1);
+    let intervals = ReadIntervals::new(Duration::from_millis(2500));
+    let mut scheduler = ReadScheduler::new(start, intervals, 1);
     let role = ReadRole::Follower {
         substitute: false,
         stuck: false,
@@ -21,24 +21,25 @@
     let mut now = start;
     while now < start + span {
         now += Duration::from_millis(10);
-        if plan.take(now, role, Some(start), true).is_some() {
+        if scheduler.begin_read(now, role, Some(start), true).is_some() {
             calls += 1;
-            plan.on_read(now, ReadOutcome::Same);
+            scheduler.on_read(now, ReadOutcome::Unchanged);
         }
     }
-    let most = span.as_millis() / pace.reader.as_millis() + 1;
-    assert!(calls <= most, "{calls} calls in {span:?}");
+    let max_calls = span.as_millis() / intervals.reader.as_millis() + 1;
+    assert!(calls <= max_calls, "{calls} calls in {span:?}");
 }
 
-/// Promise: an answer with news counts from its question, however late it is read, since it may
-/// have been given at once; one without news counts from the end of the wait.
+/// An answer with a change must count as of the call's start, however late it is processed,
+/// since the store may have answered immediately. An answer without a change counts as of the
+/// end of the wait.
 #[test]
 fn a_late_answer_with_news_counts_from_its_question() {
     let begun = Instant::now();
     let wait = Duration::from_millis(1080);
     let late = begun + Duration::from_millis(2500);
-    assert_eq!(answer_time(begun, wait, late, true), begun);
-    assert_eq!(answer_time(begun, wait, late, false), begun + wait);
+    assert_eq!(answer_as_of(begun, wait, late, true), begun);
+    assert_eq!(answer_as_of(begun, wait, late, false), begun + wait);
     let early = begun + Duration::from_millis(300);
-    assert_eq!(answer_time(begun, wait, early, false), begun);
+    assert_eq!(answer_as_of(begun, wait, early, false), begun);
 }
--- a/crates/place/tests/relisting.rs
+++ b/crates/place/tests/relisting.rs
@@ -1,5 +1,5 @@
-//! Servers whose rows vanish around an outage of the store: kept while they may only have
-//! lapsed, and no longer.
+//! Tests of servers whose rows disappear around an outage of the store: they must be kept while
+//! they may merely have expired, but no longer.
 
 mod common;
 
@@ -7,24 +7,24 @@
 
 use common::{ms, placer_config, reading, server};
 use place::catalog::ServerCatalog;
-use place::fleet::pace::ReadPace;
-use place::fleet::reading::{ReadOutcome, ReadRole, ReadingPlan, RegistryCall};
+use place::fleet::pace::ReadIntervals;
+use place::fleet::reading::{ReadOutcome, ReadRole, ReadScheduler, RegistryRead};
 
-/// Within this time a leaving server must get no more requests.
+/// Time within which a leaving server must get no more requests.
 const DRAIN: Duration = Duration::from_millis(3000);
-/// An answer of the store.
+/// Latency of the store's answers.
 const ANSWER: Duration = Duration::from_millis(5);
-/// The way to the entries that follow the reader.
-const TELLING: Duration = Duration::from_millis(150);
+/// Propagation time to the entries that follow the reader.
+const PROPAGATION_TIME: Duration = Duration::from_millis(150);
 
-/// Promise: a server whose row is dropped just after the store's return is used by nobody
-/// any more in time, whenever its reader happened to ask.
+/// A server whose row is dropped right after the store recovers must be out of use in time,
+/// whenever its reader happened to ask.
 #[test]
 fn a_row_dropped_after_an_outage_counts_in_time() {
     for offset in 0..20 {
         let start = Instant::now();
         let mut catalog = ServerCatalog::new(placer_config().domains).with_drain(DRAIN);
-        let mut plan = ReadingPlan::new(start, ReadPace::new(DRAIN), 1);
+        let mut scheduler = ReadScheduler::new(start, ReadIntervals::new(DRAIN), 1);
         let both = [server("x", "a1"), server("y", "a1")];
         catalog.on_read(start, &reading(start, &both));
         let back = start + ms(4000 + 55 * offset);
@@ -32,22 +32,22 @@
         let mut now = start;
         while catalog.iter().count() == 2 {
             assert!(
-                now <= dropped + DRAIN - TELLING,
-                "offset {offset}: used too long"
+                now <= dropped + DRAIN - PROPAGATION_TIME,
+                "offset {offset}: used for too long"
             );
             now += ms(10);
-            plan.set_settles(catalog.next_removal_at());
-            let call = plan.take(now, ReadRole::Reader, catalog.read_at(), false);
-            let Some(RegistryCall { wait, .. }) = call else {
+            scheduler.set_settles(catalog.next_removal_at());
+            let call = scheduler.begin_read(now, ReadRole::Reader, catalog.read_at(), false);
+            let Some(RegistryRead { wait, .. }) = call else {
                 continue;
             };
             if now < back {
                 catalog.on_read_failed(now);
-                plan.on_read(now, ReadOutcome::Failed);
+                scheduler.on_read(now, ReadOutcome::Failed);
                 continue;
             }
             let begun = now;
-            // The store answers at once what has changed, else after the wait.
+            // The store answers immediately if there is a change, otherwise after the wait.
             let is_news = catalog.missing().next().is_none() && dropped < begun + wait;
             now = if is_news {
                 dropped.max(begun)
@@ -59,21 +59,21 @@
             let outcome = if is_news {
                 ReadOutcome::Changed
             } else {
-                ReadOutcome::Same
+                ReadOutcome::Unchanged
             };
-            plan.on_read(now, outcome);
+            scheduler.on_read(now, outcome);
         }
         assert!(
             now >= back + ms(2000),
-            "offset {offset}: dropped before it could be back"
+            "offset {offset}: dropped before it could register again"
         );
     }
 }
 
-/// Promise: a server whose row vanishes is gone at once for an entry that the store alone
-/// turned away, as others' readings show: nothing has lapsed.
+/// If the store refuses only this entry, as other entries' reads show, nothing expires: a
+/// server whose row disappears must be gone immediately.
 #[test]
-fn a_store_that_turns_one_away_lapses_nothing() {
+fn refusing_one_entry_expires_no_rows() {
     let start = Instant::now();
     let mut catalog = ServerCatalog::new(placer_config().domains);
     let both = [server("x", "a1"), server("y", "a1")];
@@ -86,7 +86,7 @@
     let now = start + ms(6200);
     catalog.on_read(now, &reading(now, &both[..1]));
     assert_eq!(catalog.iter().count(), 1);
-    // Nobody was answered: it may only have lapsed.
+    // The store answered nobody, so the row may merely have expired.
     for turn in 1..=20 {
         catalog.on_read_failed(now + ms(300 * turn));
     }
