--- a/bin/lh-entry/src/fleet.rs
+++ b/bin/lh-entry/src/fleet.rs
@@ -8,7 +8,7 @@
 use place::crash::print::RequestPrint;
 use place::fleet::clock::StoreTime;
 use place::fleet::known::KnownStore;
-use place::fleet::member::{BEAT_EVERY, MemberConfig};
+use place::fleet::member::{HEARTBEAT_INTERVAL, MemberConfig};
 use place::fleet::message::PeerMessage;
 use place::fleet::regions::RegionBook;
 use place::prelude::*;
@@ -25,7 +25,7 @@
 /// Datagrams taken in at once before timers get their turn.
 const DATAGRAMS_AT_ONCE: usize = 64;
 
-/// The loop has a turn every [`BEAT_EVERY`] at least. A longer time without one is the process's:
+/// The loop has a turn every [`HEARTBEAT_INTERVAL`] at least. A longer time without one is the process's:
 /// it was stopped or had no processor, and datagrams waited meanwhile.
 const HELD_UP_LEAST: Duration = Duration::from_millis(800);
 
@@ -166,7 +166,7 @@
 
 /// Takes part in the fleet until the process ends.
 pub(crate) async fn run(state: Rc<InstanceState>, socket: Rc<UdpSocket>) {
-    let mut measure = tokio::time::interval(BEAT_EVERY);
+    let mut measure = tokio::time::interval(HEARTBEAT_INTERVAL);
     measure.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut buffer = vec![0; DATAGRAM_BYTES];
     let mut load_at = Instant::now();
@@ -187,7 +187,7 @@
             }
             () = state.fleet.wake.notified() => {}
             _ = measure.tick() => {
-                let rate = state.meter.borrow_mut().measure(BEAT_EVERY.as_secs_f64());
+                let rate = state.meter.borrow_mut().measure(HEARTBEAT_INTERVAL.as_secs_f64());
                 state.told_rate.set(rate.round() as u32);
             }
             received = socket.recv_from(&mut buffer) => match received {
--- a/bin/lh-entry/src/rollout.rs
+++ b/bin/lh-entry/src/rollout.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use place::fleet::clock::StoreTime;
-use place::fleet::message::{PeerMessage, RolloutBeat};
+use place::fleet::message::{PeerMessage, RolloutReport};
 use place::prelude::*;
 use place::rank::stable_hash;
 use platform::rollouts::status_write;
@@ -108,7 +108,7 @@
     }
 
     /// Another entry's counts.
-    pub(crate) fn on_beat(&self, beat: &RolloutBeat) {
+    pub(crate) fn on_beat(&self, beat: &RolloutReport) {
         self.change(|now, book| book.on_word(now, beat.entry, &beat.word));
     }
 
@@ -218,13 +218,13 @@
     state.fleet.with_regions(|now, regions| {
         for region in regions.counted(now) {
             let leads = regions.seats(region).iter().filter(|seat| seat.leads);
-            targets.extend(leads.map(|seat| seat.beat));
+            targets.extend(leads.map(|seat| seat.peer_address));
         }
     });
     targets.sort_unstable();
     targets.dedup();
     targets.retain(|target| *target != state.config.beat_address);
-    let beat = RolloutBeat {
+    let beat = RolloutReport {
         entry: stable_hash(state.config.instance.as_bytes()),
         word,
     };
--- a/bin/lh-entry/src/state.rs
+++ b/bin/lh-entry/src/state.rs
@@ -485,7 +485,7 @@
         seat: LeadSeat {
             node: config.instance.clone(),
             domain: config.domain.clone(),
-            beat: config.beat_address,
+            peer_address: config.beat_address,
             view: config.view_address,
             capacity: config.capacity,
             reads: true,
--- a/bin/lh-entry/src/words.rs
+++ b/bin/lh-entry/src/words.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use place::fleet::message::{LoadBeat, PeerMessage};
+use place::fleet::message::{LoadReport, PeerMessage};
 use place::placing::load::{LoadWord, is_told_far, load_pause};
 use place::rank::stable_hash;
 use team::quota::QuotaWord;
@@ -99,9 +99,9 @@
                 continue;
             }
             if region == state.config.region {
-                near.push(entry.beat);
+                near.push(entry.peer_address);
             } else {
-                far.push(entry.beat);
+                far.push(entry.peer_address);
             }
         }
     });
@@ -113,7 +113,7 @@
 }
 
 fn message(state: &InstanceState, word: LoadWord, quota: Option<QuotaWord>) -> PeerMessage {
-    PeerMessage::Load(LoadBeat {
+    PeerMessage::Load(LoadReport {
         entry: stable_hash(state.config.instance.as_bytes()),
         word,
         quota,
--- a/crates/emulate/benches/slopes.rs
+++ b/crates/emulate/benches/slopes.rs
@@ -12,7 +12,7 @@
 use place::fleet::known::KnownStore;
 use place::fleet::log::{ReadScope, RegistryDelta, RegistryLog};
 use place::fleet::member::MemberConfig;
-use place::fleet::message::{EntryBeat, PeerMessage};
+use place::fleet::message::{EntryHeartbeat, PeerMessage};
 use place::fleet::seat::LeadSeat;
 use place::limits::budget::BudgetBounds;
 use place::placing::choice::ByteCosts;
@@ -327,18 +327,21 @@
         let seat = |number: usize| LeadSeat {
             node: format!("edge-lhr-a-{number}"),
             domain: format!("d{}", number % 3),
-            beat: SocketAddr::from(([10, 0, (number / 250) as u8, (number % 250) as u8], 7)),
+            peer_address: SocketAddr::from((
+                [10, 0, (number / 250) as u8, (number % 250) as u8],
+                7,
+            )),
             view: SocketAddr::from(([10, 0, (number / 250) as u8, (number % 250) as u8], 8)),
             capacity: if number.is_multiple_of(11) { 1000 } else { 100 },
             reads: true,
             leads: false,
         };
         let beat = |number: usize| {
-            PeerMessage::Beat(Box::new(EntryBeat {
+            PeerMessage::Heartbeat(Box::new(EntryHeartbeat {
                 incarnation: 1,
                 seat: seat(number),
                 region: "r0".to_owned(),
-                front: seat(number).beat,
+                front: seat(number).peer_address,
                 rate: (number % 9) as u32,
                 ready: true,
                 leaving: false,
@@ -351,7 +354,7 @@
             incarnation: 1,
             seat: seat(0),
             region: "r0".to_owned(),
-            front: seat(0).beat,
+            front: seat(0).peer_address,
             regions: (0..REGIONS).map(|region| format!("r{region}")).collect(),
             seeds: Vec::new(),
             drain: Duration::from_millis(2500),
--- a/crates/place/src/fleet/list.rs
+++ b/crates/place/src/fleet/list.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use crate::fleet::front::{self, FrontEntry};
-use crate::fleet::message::EntryBeat;
+use crate::fleet::message::EntryHeartbeat;
 use crate::rank::stable_hash;
 
 base::common! {
@@ -29,7 +29,7 @@
         /// Where it takes callers.
         pub front: SocketAddr,
         /// Where it takes datagrams.
-        pub beat: SocketAddr,
+        pub peer_address: SocketAddr,
         /// Whether callers are told to use it.
         pub named: bool,
         /// Its stamp for tickets; empty where no caller uses tickets.
@@ -64,25 +64,25 @@
 
 /// Lists those of a region's live entries that get requests or are to get them. While
 /// tickets are in use all are listed: callers may come back to any.
-pub fn list_entries(beats: &[&EntryBeat]) -> Vec<ListedEntry> {
-    let staying = || beats.iter().filter(|beat| !beat.leaving);
-    let ready = staying().filter(|beat| beat.ready);
-    let fronts: Vec<FrontEntry<'_>> = ready.map(|beat| beat.as_front()).collect();
+pub fn list_entries(heartbeats: &[&EntryHeartbeat]) -> Vec<ListedEntry> {
+    let staying = || heartbeats.iter().filter(|heartbeat| !heartbeat.leaving);
+    let ready = staying().filter(|heartbeat| heartbeat.ready);
+    let fronts: Vec<FrontEntry<'_>> = ready.map(|heartbeat| heartbeat.as_front()).collect();
     let named = front::named(&fronts);
     let mut listed = Vec::new();
-    for beat in staying() {
-        let named = named.iter().any(|entry| entry.node == beat.seat.node);
-        if !named && !beat.as_front().is_used() && beat.stamp.is_empty() {
+    for heartbeat in staying() {
+        let named = named.iter().any(|entry| entry.node == heartbeat.seat.node);
+        if !named && !heartbeat.as_front().is_used() && heartbeat.stamp.is_empty() {
             continue;
         }
         listed.push(ListedEntry {
-            node: beat.seat.node.clone(),
-            incarnation: beat.incarnation,
-            domain: beat.seat.domain.clone(),
-            front: beat.front,
-            beat: beat.seat.beat,
+            node: heartbeat.seat.node.clone(),
+            incarnation: heartbeat.incarnation,
+            domain: heartbeat.seat.domain.clone(),
+            front: heartbeat.front,
+            peer_address: heartbeat.seat.peer_address,
             named,
-            stamp: beat.stamp.clone(),
+            stamp: heartbeat.stamp.clone(),
         });
     }
     listed.sort_unstable();
--- a/crates/place/src/fleet/member/crashes.rs
+++ b/crates/place/src/fleet/member/crashes.rs
@@ -4,7 +4,7 @@
 
 use crate::crash::print::RequestPrint;
 use crate::crash::word::{CrashReport, CrashWord, KeptQuarantine, PrintStatus};
-use crate::fleet::member::{BEAT_EVERY, FleetAction, FleetMember, FleetNote};
+use crate::fleet::member::{FleetAction, FleetMember, FleetNote, HEARTBEAT_INTERVAL};
 use crate::fleet::message::PeerMessage;
 
 impl FleetMember {
@@ -172,7 +172,7 @@
 
     /// Tells the entries of the region and the other leads what is held of requests.
     fn tell_statuses(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
-        self.statuses_due = now + BEAT_EVERY;
+        self.statuses_due = now + HEARTBEAT_INTERVAL;
         let word = CrashWord {
             reports: Vec::new(),
             cleared: self.quarantine.cleared_words(now),
--- a/crates/place/src/fleet/member/hearing.rs
+++ b/crates/place/src/fleet/member/hearing.rs
@@ -8,8 +8,8 @@
 use crate::fleet::known::KnownStore;
 use crate::fleet::member::telling::YOUNG_ROWS_EVERY;
 use crate::fleet::member::{FleetAction, FleetMember};
-use crate::fleet::message::{EntryBeat, LeadHint, PeerMessage, RegionDigest};
-use crate::fleet::roster::BeatNews;
+use crate::fleet::message::{EntryHeartbeat, LeadHint, PeerMessage, RegionDigest};
+use crate::fleet::roster::HeartbeatOutcome;
 use crate::fleet::seat::{LEADS, LeadSeat};
 
 /// Shortest time between two lists.
@@ -25,7 +25,7 @@
         actions: &mut Vec<FleetAction>,
     ) {
         match message {
-            PeerMessage::Beat(beat) => self.on_beat(now, *beat, actions),
+            PeerMessage::Heartbeat(heartbeat) => self.on_heartbeat(now, *heartbeat, actions),
             PeerMessage::Digest(digest) => self.on_digest(now, &digest, actions),
             PeerMessage::Hint(hint) => self.on_hint(now, &hint),
             PeerMessage::Crash(word) => self.on_crash_word(now, &word, actions),
@@ -33,19 +33,24 @@
         }
     }
 
-    fn on_beat(&mut self, now: Instant, beat: EntryBeat, actions: &mut Vec<FleetAction>) {
-        if beat.seat.node == self.config.seat.node {
+    fn on_heartbeat(
+        &mut self,
+        now: Instant,
+        heartbeat: EntryHeartbeat,
+        actions: &mut Vec<FleetAction>,
+    ) {
+        if heartbeat.seat.node == self.config.seat.node {
             return;
         }
-        let (seeks, sender) = (beat.seeks, beat.seat.beat);
-        let region = beat.region.clone();
+        let (seeks, sender) = (heartbeat.seeks, heartbeat.seat.peer_address);
+        let region = heartbeat.region.clone();
         let is_near = region == self.config.region;
-        let news = self.roster.on_beat(now, beat);
-        if news == BeatNews::Outdated {
+        let news = self.roster.on_heartbeat(now, heartbeat);
+        if news == HeartbeatOutcome::Outdated {
             return;
         }
         if is_near && self.leading.is_some() {
-            if news == BeatNews::Changed {
+            if news == HeartbeatOutcome::Changed {
                 self.list_due = self.list_due.min(now + LIST_PAUSE);
             }
             if seeks {
@@ -112,7 +117,7 @@
         }
         let is_near = digest.region == self.config.region;
         if self.leading.is_none() && !(is_near && self.is_followed(&digest.seat.node)) {
-            self.hint(now, &self.config.region, digest.seat.beat, actions);
+            self.hint(now, &self.config.region, digest.seat.peer_address, actions);
         }
         if is_near || self.leading.is_some() {
             self.seats_due = now;
@@ -133,7 +138,7 @@
                 .fresh_of(now, &self.config.region)
                 .any(|lead| lead.seat.node == seat.node);
             if !is_heard && seat.node != self.config.seat.node {
-                self.search.on_address(now, seat.beat);
+                self.search.on_address(now, seat.peer_address);
             }
         }
     }
@@ -143,7 +148,7 @@
             self.regions.on_hint(now, &hint.region, &hint.seats);
             if self.seats.is_empty() {
                 for seat in &hint.seats {
-                    self.search.on_address(now, seat.beat);
+                    self.search.on_address(now, seat.peer_address);
                 }
             }
             return;
@@ -154,12 +159,12 @@
         let own = self.own_seat(now);
         let is_new = self.search.on_hint(now, &hint.seats, &own);
         if is_new {
-            self.beat_due = now;
+            self.heartbeat_due = now;
         }
     }
 
     pub(super) fn on_rows(&mut self, now: Instant, rows: &[(String, SocketAddr)]) {
-        let own = self.config.seat.beat;
+        let own = self.config.seat.peer_address;
         for (region, address) in rows {
             let is_needed = *region == self.config.region || !self.regions.is_heard(now, region);
             if is_needed && *address != own {
@@ -173,7 +178,7 @@
         let mut others = self.row.iter().filter(|address| **address != own);
         let is_known = |address: &&SocketAddr| {
             let mut seats = self.seats.iter().take(LEADS);
-            seats.any(|seat| seat.beat == **address)
+            seats.any(|seat| seat.peer_address == **address)
         };
         if !others.all(|address| is_known(&address)) {
             // Somebody else leads the region as well.
--- a/crates/place/src/fleet/member/mod.rs
+++ b/crates/place/src/fleet/member/mod.rs
@@ -35,7 +35,7 @@
 
 /// Time between beats, and between digests of a lead: four in the time after which a
 /// silent entry is taken as gone.
-pub const BEAT_EVERY: Duration = Duration::from_millis(600);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(600);
 /// Time between two looks while something is waited for.
 const LOOK_EVERY: Duration = Duration::from_millis(100);
 /// The same for an entry that hears no lead: each part of a second without one costs
@@ -192,7 +192,7 @@
     counted: Vec<String>,
     is_lone: bool,
     watches: bool,
-    beat_due: Instant,
+    heartbeat_due: Instant,
     digest_due: Instant,
     digest_at: Option<Instant>,
     list_due: Instant,
@@ -230,7 +230,7 @@
             counted: Vec::new(),
             is_lone: true,
             watches: false,
-            beat_due: now,
+            heartbeat_due: now,
             digest_due: now,
             digest_at: None,
             list_due: now,
@@ -288,7 +288,7 @@
         let silent = self.leads.silent_at(&self.config.region);
         let waits = self.leading.is_some() || self.pulls.is_behind();
         let due = match silent.filter(|at| !waits && *at > now) {
-            Some(at) => self.beat_due.min(at).max(now),
+            Some(at) => self.heartbeat_due.min(at).max(now),
             None if self.leading.is_none() => self.reviewed_at + SEARCH_EVERY,
             None => self.reviewed_at + LOOK_EVERY,
         };
@@ -342,7 +342,7 @@
         let is_urgent = own.ready != self.own.ready || own.leaving != self.own.leaving;
         self.own = own;
         if is_urgent {
-            self.beat_due = now;
+            self.heartbeat_due = now;
             self.list_due = self.list_due.min(now);
             self.digest_due = self.digest_due.min(now);
         }
@@ -375,7 +375,7 @@
             self.review_regions(now, actions);
         }
         self.review_list(now, actions);
-        self.review_beat(now, actions);
+        self.send_due_heartbeat(now, actions);
         self.review_digest(now, actions);
         self.review_rows(now, actions);
         self.review_doubt(now, actions);
--- a/crates/place/src/fleet/member/role.rs
+++ b/crates/place/src/fleet/member/role.rs
@@ -57,7 +57,7 @@
         if names(&seats) != names(&self.seats) {
             actions.push(FleetAction::Note(FleetNote::Leaders(names(&seats))));
             // At once: new leads know nobody, and nobody knows them.
-            self.beat_due = self.beat_due.min(now);
+            self.heartbeat_due = self.heartbeat_due.min(now);
             self.digest_due = self.digest_due.min(now);
         }
         self.seats = seats;
--- a/crates/place/src/fleet/member/telling.rs
+++ b/crates/place/src/fleet/member/telling.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use crate::fleet::list::{EntryList, ListVersion, list_entries};
-use crate::fleet::member::{BEAT_EVERY, FleetAction, FleetMember, FleetNote};
-use crate::fleet::message::{EntryBeat, PeerMessage, RegionDigest};
+use crate::fleet::member::{FleetAction, FleetMember, FleetNote, HEARTBEAT_INTERVAL};
+use crate::fleet::message::{EntryHeartbeat, PeerMessage, RegionDigest};
 use crate::fleet::seat::LEADS;
 
 /// Shortest time between two digests: what changes at once is told at once.
@@ -34,7 +34,7 @@
         if now < self.list_due || !self.is_first(now) {
             return;
         }
-        self.list_due = now + BEAT_EVERY;
+        self.list_due = now + HEARTBEAT_INTERVAL;
         let region = &self.config.region;
         let version = self
             .regions
@@ -49,10 +49,10 @@
             self.list_due = since + wait;
             return;
         }
-        let own = self.own_beat(now);
-        let mut beats: Vec<&EntryBeat> = self.roster.live(now, region).collect();
-        beats.push(&own);
-        let entries = list_entries(&beats);
+        let own = self.own_heartbeat(now);
+        let mut heartbeats: Vec<&EntryHeartbeat> = self.roster.live(now, region).collect();
+        heartbeats.push(&own);
+        let entries = list_entries(&heartbeats);
         if self
             .regions
             .list(region)
@@ -74,8 +74,8 @@
         actions.push(FleetAction::ListsChanged);
     }
 
-    fn own_beat(&self, now: Instant) -> EntryBeat {
-        EntryBeat {
+    fn own_heartbeat(&self, now: Instant) -> EntryHeartbeat {
+        EntryHeartbeat {
             incarnation: self.config.incarnation,
             seat: self.own_seat(now),
             region: self.config.region.clone(),
@@ -88,37 +88,40 @@
         }
     }
 
-    pub(super) fn review_beat(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
-        if now < self.beat_due {
+    pub(super) fn send_due_heartbeat(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
+        if now < self.heartbeat_due {
             return;
         }
         let seeks = !self.hears_lead(now);
         let pause = if seeks && self.leading.is_none() {
-            self.search.pause(now, BEAT_EVERY)
+            self.search.pause(now, HEARTBEAT_INTERVAL)
         } else {
-            BEAT_EVERY
+            HEARTBEAT_INTERVAL
         };
-        self.beat_due = now + pause;
+        self.heartbeat_due = now + pause;
         let mut targets = self.near_leads(now);
         if seeks {
-            targets.extend(self.seats.iter().map(|seat| seat.beat));
+            targets.extend(self.seats.iter().map(|seat| seat.peer_address));
             targets.extend(self.search.seeds());
             targets.extend(self.search.hinted(now));
         }
         let targets = self.others(targets);
-        let beat = PeerMessage::Beat(Box::new(self.own_beat(now)));
+        let heartbeat = PeerMessage::Heartbeat(Box::new(self.own_heartbeat(now)));
         if self.own.leaving {
             // Whoever hears neither would send callers here for seconds.
-            actions.push(FleetAction::Send(targets.clone(), beat.clone()));
+            actions.push(FleetAction::Send(targets.clone(), heartbeat.clone()));
         }
-        actions.push(FleetAction::Send(targets, beat));
+        actions.push(FleetAction::Send(targets, heartbeat));
     }
 
     /// The leads of the own region, heard or appointed.
     pub(super) fn near_leads(&self, now: Instant) -> Vec<SocketAddr> {
         let region = &self.config.region;
-        let fresh = self.leads.fresh_of(now, region).map(|lead| lead.seat.beat);
-        let appointed = self.seats.iter().take(LEADS).map(|seat| seat.beat);
+        let fresh = self
+            .leads
+            .fresh_of(now, region)
+            .map(|lead| lead.seat.peer_address);
+        let appointed = self.seats.iter().take(LEADS).map(|seat| seat.peer_address);
         fresh.chain(appointed).collect()
     }
 
@@ -151,7 +154,7 @@
     }
 
     pub(super) fn send_digest(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
-        self.digest_due = now + BEAT_EVERY;
+        self.digest_due = now + HEARTBEAT_INTERVAL;
         self.digest_at = Some(now);
         let near = self.roster.addresses(now, &self.config.region);
         let leads: Vec<SocketAddr> = self.far_leads(now);
@@ -167,16 +170,16 @@
     pub(super) fn far_leads(&mut self, now: Instant) -> Vec<SocketAddr> {
         // All that are heard, not only those that their region names: where a region has
         // more than one pair, each learns of the other here.
-        let heard = self.leads.fresh(now).map(|lead| lead.seat.beat);
+        let heard = self.leads.fresh(now).map(|lead| lead.seat.peer_address);
         let mut addresses: Vec<SocketAddr> = heard.collect();
         let mut is_lost = !self.hears_lead(now);
         for region in self.regions.others() {
             let seats = self.regions.seats(region).iter();
             if self.regions.is_heard(now, region) {
-                addresses.extend(seats.take(LEADS).map(|seat| seat.beat));
+                addresses.extend(seats.take(LEADS).map(|seat| seat.peer_address));
             } else {
                 is_lost = true;
-                addresses.extend(seats.map(|seat| seat.beat));
+                addresses.extend(seats.map(|seat| seat.peer_address));
             }
         }
         if is_lost {
@@ -192,7 +195,7 @@
     pub(super) fn others(&self, mut addresses: Vec<SocketAddr>) -> Vec<SocketAddr> {
         addresses.sort_unstable();
         addresses.dedup();
-        addresses.retain(|address| *address != self.config.seat.beat);
+        addresses.retain(|address| *address != self.config.seat.peer_address);
         addresses
     }
 
@@ -219,7 +222,7 @@
         if is_first || self.regions.others().any(is_lost) {
             actions.push(FleetAction::ReadRows);
         }
-        let leads = self.seats.iter().take(LEADS).map(|seat| seat.beat);
+        let leads = self.seats.iter().take(LEADS).map(|seat| seat.peer_address);
         let row: Vec<SocketAddr> = leads.collect();
         let is_settled = now.saturating_duration_since(since) >= ROW_WAIT;
         if is_settled && is_first && row != self.row {
--- a/crates/place/src/fleet/message.rs
+++ b/crates/place/src/fleet/message.rs
@@ -16,23 +16,23 @@
     #[derive(Eq)]
     pub enum PeerMessage {
         /// That an entry is there; to the leads of its region.
-        Beat(Box<EntryBeat>),
+        Heartbeat(Box<EntryHeartbeat>),
         /// What a lead knows; to the entries of its region and to other leads.
         Digest(Box<RegionDigest>),
         /// Whom to send beats to; to an entry that looks for its leads.
         Hint(LeadHint),
         /// Where the sender's requests are; among the entries that get requests.
-        Load(LoadBeat),
+        Load(LoadReport),
         /// Requests under which servers ended; from an entry to its leads, among leads,
         /// and from leads to the entries of their region.
         Crash(CrashWord),
         /// How requests fare in rollouts; among the entries that get requests, and to leads.
-        Rollout(RolloutBeat),
+        Rollout(RolloutReport),
     }
 
     /// An entry's requests at servers.
     #[derive(Eq)]
-    pub struct LoadBeat {
+    pub struct LoadReport {
         /// Hash of the entry's name.
         pub entry: u64,
         /// What it has sent.
@@ -43,7 +43,7 @@
 
     /// An entry's counts in rollouts.
     #[derive(Eq)]
-    pub struct RolloutBeat {
+    pub struct RolloutReport {
         /// Hash of the entry's name.
         pub entry: u64,
         /// What it counted.
@@ -52,7 +52,7 @@
 
     /// What an entry says of itself.
     #[derive(Eq)]
-    pub struct EntryBeat {
+    pub struct EntryHeartbeat {
         /// One run of its process; a later run has a higher number.
         pub incarnation: u64,
         /// The entry as one that may lead its region.
@@ -116,7 +116,7 @@
     }
 }
 
-impl EntryBeat {
+impl EntryHeartbeat {
     /// The entry as one that takes callers.
     pub fn as_front(&self) -> FrontEntry<'_> {
         FrontEntry {
--- a/crates/place/src/fleet/roster.rs
+++ b/crates/place/src/fleet/roster.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use crate::fleet::message::EntryBeat;
+use crate::fleet::message::EntryHeartbeat;
 use crate::fleet::seat::LeadSeat;
 
 /// An entry counts as live for this long after its last beat: several beats, since
@@ -17,7 +17,7 @@
 
 #[derive(Debug)]
 struct HeardEntry {
-    beat: EntryBeat,
+    heartbeat: EntryHeartbeat,
     at: Instant,
 }
 
@@ -29,7 +29,7 @@
 
 /// What a beat changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BeatNews {
+pub enum HeartbeatOutcome {
     /// Nothing but that the entry is still there.
     Same,
     /// The entry is new, takes callers or no longer does, or is about to end.
@@ -40,27 +40,27 @@
 
 impl EntryRoster {
     /// Takes in a beat.
-    pub fn on_beat(&mut self, now: Instant, beat: EntryBeat) -> BeatNews {
-        let known = self.entries.get(&beat.seat.node);
-        if known.is_some_and(|known| known.beat.incarnation > beat.incarnation) {
-            return BeatNews::Outdated;
+    pub fn on_heartbeat(&mut self, now: Instant, heartbeat: EntryHeartbeat) -> HeartbeatOutcome {
+        let known = self.entries.get(&heartbeat.seat.node);
+        if known.is_some_and(|known| known.heartbeat.incarnation > heartbeat.incarnation) {
+            return HeartbeatOutcome::Outdated;
         }
         if known.is_none() && self.entries.len() >= KEPT {
-            return BeatNews::Outdated;
+            return HeartbeatOutcome::Outdated;
         }
         let is_same = known.is_some_and(|known| {
-            let before = &known.beat;
+            let before = &known.heartbeat;
             is_live(now, known)
-                && before.incarnation == beat.incarnation
-                && before.ready == beat.ready
-                && before.leaving == beat.leaving
+                && before.incarnation == heartbeat.incarnation
+                && before.ready == heartbeat.ready
+                && before.leaving == heartbeat.leaving
         });
-        let node = beat.seat.node.clone();
-        self.entries.insert(node, HeardEntry { beat, at: now });
+        let node = heartbeat.seat.node.clone();
+        self.entries.insert(node, HeardEntry { heartbeat, at: now });
         if is_same {
-            BeatNews::Same
+            HeartbeatOutcome::Same
         } else {
-            BeatNews::Changed
+            HeartbeatOutcome::Changed
         }
     }
 
@@ -74,25 +74,27 @@
         &'a self,
         now: Instant,
         region: &'a str,
-    ) -> impl Iterator<Item = &'a EntryBeat> {
+    ) -> impl Iterator<Item = &'a EntryHeartbeat> {
         let live = self
             .entries
             .values()
             .filter(move |known| is_live(now, known));
-        live.map(|known| &known.beat)
-            .filter(move |beat| beat.region == region)
+        live.map(|known| &known.heartbeat)
+            .filter(move |heartbeat| heartbeat.region == region)
     }
 
     /// Those of `region` that may lead it.
     pub fn seats(&self, now: Instant, region: &str) -> Vec<LeadSeat> {
-        let staying = self.live(now, region).filter(|beat| !beat.leaving);
-        staying.map(|beat| beat.seat.clone()).collect()
+        let staying = self
+            .live(now, region)
+            .filter(|heartbeat| !heartbeat.leaving);
+        staying.map(|heartbeat| heartbeat.seat.clone()).collect()
     }
 
     /// Where the live entries of `region` take datagrams.
     pub fn addresses(&self, now: Instant, region: &str) -> Vec<SocketAddr> {
         let live = self.live(now, region);
-        live.map(|beat| beat.seat.beat).collect()
+        live.map(|heartbeat| heartbeat.seat.peer_address).collect()
     }
 
     /// Forgets entries that were silent for long.
--- a/crates/place/src/fleet/seat.rs
+++ b/crates/place/src/fleet/seat.rs
@@ -27,7 +27,7 @@
         /// Its failure domain.
         pub domain: String,
         /// Where it takes datagrams.
-        pub beat: SocketAddr,
+        pub peer_address: SocketAddr,
         /// Where it tells what it knows.
         pub view: SocketAddr,
         /// Requests a second that it can carry.
--- a/crates/place/src/fleet/seek.rs
+++ b/crates/place/src/fleet/seek.rs
@@ -111,7 +111,7 @@
     pub fn on_hint(&mut self, now: Instant, seats: &[LeadSeat], own: &LeadSeat) -> bool {
         let mut is_new = false;
         for seat in seats.iter().filter(|seat| seat.node != own.node) {
-            is_new |= self.on_address(now, seat.beat) && seat.leads;
+            is_new |= self.on_address(now, seat.peer_address) && seat.leads;
             self.is_better_known |= seat.order() > own.order();
         }
         is_new
--- a/crates/place/tests/due.rs
+++ b/crates/place/tests/due.rs
@@ -17,7 +17,7 @@
     let seat = LeadSeat {
         node: "n1".to_owned(),
         domain: "a1".to_owned(),
-        beat: address,
+        peer_address: address,
         view: address,
         capacity: 100,
         reads: true,
@@ -104,7 +104,7 @@
         seat: LeadSeat {
             node: format!("lead-{port}"),
             domain: "a1".to_owned(),
-            beat: address,
+            peer_address: address,
             view: address,
             capacity: 1000,
             reads: true,
--- a/crates/place/tests/fleet_world/mod.rs
+++ b/crates/place/tests/fleet_world/mod.rs
@@ -239,7 +239,7 @@
             seat: LeadSeat {
                 node: format!("n{entry}"),
                 domain: domain_of(entry),
-                beat: address(entry),
+                peer_address: address(entry),
                 view: address(entry),
                 capacity: if is_able { 1000 } else { 100 },
                 reads: true,
--- a/crates/place/tests/roster.rs
+++ b/crates/place/tests/roster.rs
@@ -6,18 +6,18 @@
 use std::time::Instant;
 
 use common::ms;
-use place::fleet::message::EntryBeat;
-use place::fleet::roster::{BeatNews, EntryRoster};
+use place::fleet::message::EntryHeartbeat;
+use place::fleet::roster::{EntryRoster, HeartbeatOutcome};
 use place::fleet::seat::LeadSeat;
 
-fn beat(incarnation: u64) -> EntryBeat {
+fn heartbeat(incarnation: u64) -> EntryHeartbeat {
     let address = SocketAddr::from(([127, 0, 0, 1], 81));
-    EntryBeat {
+    EntryHeartbeat {
         incarnation,
         seat: LeadSeat {
             node: "n".to_owned(),
             domain: "a1".to_owned(),
-            beat: address,
+            peer_address: address,
             view: address,
             capacity: 800,
             reads: true,
@@ -38,7 +38,7 @@
 fn a_silent_entry_is_left_out() {
     let now = Instant::now();
     let mut roster = EntryRoster::default();
-    roster.on_beat(now, beat(1));
+    roster.on_heartbeat(now, heartbeat(1));
     assert_eq!(roster.live(now + ms(2000), "a").count(), 1);
     assert_eq!(roster.live(now + ms(3000), "a").count(), 0);
 }
@@ -49,12 +49,21 @@
 fn a_beat_of_an_earlier_run_changes_nothing() {
     let now = Instant::now();
     let mut roster = EntryRoster::default();
-    let mut stopping = beat(2);
+    let mut stopping = heartbeat(2);
     stopping.leaving = true;
-    roster.on_beat(now, stopping);
-    assert_eq!(roster.on_beat(now + ms(1), beat(1)), BeatNews::Outdated);
+    roster.on_heartbeat(now, stopping);
+    assert_eq!(
+        roster.on_heartbeat(now + ms(1), heartbeat(1)),
+        HeartbeatOutcome::Outdated
+    );
     assert!(roster.seats(now + ms(2), "a").is_empty());
-    assert_eq!(roster.on_beat(now + ms(3), beat(3)), BeatNews::Changed);
+    assert_eq!(
+        roster.on_heartbeat(now + ms(3), heartbeat(3)),
+        HeartbeatOutcome::Changed
+    );
     assert_eq!(roster.seats(now + ms(4), "a").len(), 1);
-    assert_eq!(roster.on_beat(now + ms(5), beat(3)), BeatNews::Same);
+    assert_eq!(
+        roster.on_heartbeat(now + ms(5), heartbeat(3)),
+        HeartbeatOutcome::Same
+    );
 }
