--- a/bin/lh-entry/src/rollout.rs
+++ b/bin/lh-entry/src/rollout.rs
@@ -217,8 +217,11 @@
     let mut targets = listeners.to_vec();
     state.fleet.with_regions(|now, regions| {
         for region in regions.counted(now) {
-            let leads = regions.seats(region).iter().filter(|seat| seat.leads);
-            targets.extend(leads.map(|seat| seat.peer_address));
+            let leads = regions
+                .candidates(region)
+                .iter()
+                .filter(|candidate| candidate.leads);
+            targets.extend(leads.map(|candidate| candidate.peer_address));
         }
     });
     targets.sort_unstable();
--- a/bin/lh-entry/src/state.rs
+++ b/bin/lh-entry/src/state.rs
@@ -9,12 +9,12 @@
 use base::prelude::{Incarnation, InstanceId, NodeId};
 use place::catalog::CatalogChange;
 use place::departure::Departure;
+use place::fleet::candidate::LeadCandidate;
 use place::fleet::copies::CopyDesk;
 use place::fleet::front::RateMeter;
 use place::fleet::known::KnownStore;
 use place::fleet::log::{ReadScope, RegistryDelta, RegistryLog};
 use place::fleet::member::MemberConfig;
-use place::fleet::seat::LeadSeat;
 use place::placing::load::load_pause;
 use place::prelude::*;
 use place::rank::stable_hash;
@@ -482,7 +482,7 @@
 fn member_config(config: &EntryConfig, incarnation: u64) -> MemberConfig {
     MemberConfig {
         incarnation,
-        seat: LeadSeat {
+        candidate: LeadCandidate {
             node: config.instance.clone(),
             domain: config.domain.clone(),
             peer_address: config.beat_address,
--- a/crates/emulate/benches/slopes.rs
+++ b/crates/emulate/benches/slopes.rs
@@ -9,11 +9,11 @@
 use place::blocks::BlockTableBuilder;
 use place::desired::{DesiredState, RequestKind, RouteSpec, ServiceSpec, SplitPart};
 use place::directory::in_order;
+use place::fleet::candidate::LeadCandidate;
 use place::fleet::known::KnownStore;
 use place::fleet::log::{ReadScope, RegistryDelta, RegistryLog};
 use place::fleet::member::MemberConfig;
 use place::fleet::message::{EntryHeartbeat, PeerMessage};
-use place::fleet::seat::LeadSeat;
 use place::limits::budget::BudgetBounds;
 use place::placing::choice::ByteCosts;
 use place::placing::load::{LoadWord, short_name};
@@ -324,7 +324,7 @@
 fn leads() {
     println!("\nentries of a region   a beat at the lead   a digest and a list");
     for entries in [33, 98, 370, 1000] {
-        let seat = |number: usize| LeadSeat {
+        let candidate = |number: usize| LeadCandidate {
             node: format!("edge-lhr-a-{number}"),
             domain: format!("d{}", number % 3),
             peer_address: SocketAddr::from((
@@ -339,9 +339,9 @@
         let beat = |number: usize| {
             PeerMessage::Heartbeat(Box::new(EntryHeartbeat {
                 incarnation: 1,
-                seat: seat(number),
+                candidate: candidate(number),
                 region: "r0".to_owned(),
-                front: seat(number).peer_address,
+                front: candidate(number).peer_address,
                 rate: (number % 9) as u32,
                 ready: true,
                 leaving: false,
@@ -352,9 +352,9 @@
         let start = Instant::now();
         let config = MemberConfig {
             incarnation: 1,
-            seat: seat(0),
+            candidate: candidate(0),
             region: "r0".to_owned(),
-            front: seat(0).peer_address,
+            front: candidate(0).peer_address,
             regions: (0..REGIONS).map(|region| format!("r{region}")).collect(),
             seeds: Vec::new(),
             drain: Duration::from_millis(2500),
--- a/crates/place/src/fleet/seat.rs
+++ b/crates/place/src/fleet/candidate.rs
@@ -13,15 +13,15 @@
 pub const LEADS: usize = 2;
 /// Entries that are named besides, one of a failure domain, to lead where both leads
 /// are lost or out of reach.
-const SUBSTITUTES: usize = 6;
+const MAX_SUBSTITUTES: usize = 6;
 /// An entry replaces a lead where it is abler by so many doublings of capacity: a lead
 /// of a tenth of the others' link holds up a whole region.
-const ABLER: u32 = 2;
+const REPLACEMENT_CLASS_MARGIN: u32 = 2;
 
 base::common! {
     /// An entry that leads its region or may come to lead it.
     #[derive(Eq)]
-    pub struct LeadSeat {
+    pub struct LeadCandidate {
         /// The instance's name.
         pub node: String,
         /// Its failure domain.
@@ -40,62 +40,66 @@
 }
 
 /// What an entry is worth as a lead; the largest comes first.
-pub type SeatOrder = (bool, u32, bool, u64);
+pub type CandidateRank = (bool, u32, bool, u64);
 
-impl LeadSeat {
+impl LeadCandidate {
     /// Its place among others: whether the store answers it, its capacity in doublings,
     /// whether it leads, and a hash. Callers are sent to entries of the same capacity
     /// by ascending hash, so that leads are seldom the busiest.
-    pub fn order(&self) -> SeatOrder {
+    pub fn rank(&self) -> CandidateRank {
         let hash = stable_hash(self.node.as_bytes());
-        (self.reads, self.class(), self.leads, hash)
+        (self.reads, self.capacity_class(), self.leads, hash)
     }
 
     /// The capacity in doublings.
-    pub fn class(&self) -> u32 {
+    pub fn capacity_class(&self) -> u32 {
         self.capacity.max(1).ilog2()
     }
 }
 
 /// The leads that a region should have, then substitutes: `leading` are those that lead
 /// now, `others` all other entries that may.
-pub fn choose(mut leading: Vec<LeadSeat>, mut others: Vec<LeadSeat>) -> Vec<LeadSeat> {
-    leading.sort_by_key(|seat| Reverse(seat.order()));
-    others.sort_by_key(|seat| Reverse(seat.order()));
-    others.retain(|seat| leading.iter().all(|known| known.node != seat.node));
+pub fn choose(
+    mut leading: Vec<LeadCandidate>,
+    mut others: Vec<LeadCandidate>,
+) -> Vec<LeadCandidate> {
+    leading.sort_by_key(|candidate| Reverse(candidate.rank()));
+    others.sort_by_key(|candidate| Reverse(candidate.rank()));
+    others.retain(|candidate| leading.iter().all(|known| known.node != candidate.node));
     leading.truncate(LEADS);
-    replace_by_abler(&mut leading, &mut others);
+    replace_weak_leads(&mut leading, &mut others);
     while leading.len() < LEADS && !others.is_empty() {
-        let apart = others
+        let other_domain = others
             .iter()
-            .position(|seat| leading.iter().all(|known| known.domain != seat.domain));
-        leading.push(others.remove(apart.unwrap_or(0)));
+            .position(|candidate| leading.iter().all(|known| known.domain != candidate.domain));
+        leading.push(others.remove(other_domain.unwrap_or(0)));
     }
     // Whether the store answered them doesn't count here: while it is down, entry after
     // entry would come to try it.
-    others.sort_by_key(|seat| {
-        let (_, class, _, hash) = seat.order();
-        Reverse((class, hash))
+    others.sort_by_key(|candidate| {
+        let (_, capacity_class, _, hash) = candidate.rank();
+        Reverse((capacity_class, hash))
     });
-    let mut seats = leading;
+    let mut candidates = leading;
     for other in others {
-        let substitutes = &seats[LEADS.min(seats.len())..];
-        if substitutes.len() >= SUBSTITUTES {
+        let substitutes = &candidates[LEADS.min(candidates.len())..];
+        if substitutes.len() >= MAX_SUBSTITUTES {
             break;
         }
         if substitutes.iter().all(|known| known.domain != other.domain) {
-            seats.push(other);
+            candidates.push(other);
         }
     }
-    seats
+    candidates
 }
 
-fn replace_by_abler(leading: &mut [LeadSeat], others: &mut Vec<LeadSeat>) {
+fn replace_weak_leads(leading: &mut [LeadCandidate], others: &mut Vec<LeadCandidate>) {
     for lead in leading.iter_mut().rev() {
-        let abler = others
-            .iter()
-            .position(|seat| seat.reads && seat.class() >= lead.class() + ABLER);
-        if let Some(index) = abler {
+        let stronger = others.iter().position(|candidate| {
+            candidate.reads
+                && candidate.capacity_class() >= lead.capacity_class() + REPLACEMENT_CLASS_MARGIN
+        });
+        if let Some(index) = stronger {
             *lead = others.remove(index);
         }
     }
--- a/crates/place/src/fleet/follow.rs
+++ b/crates/place/src/fleet/follow.rs
@@ -195,7 +195,7 @@
     leads: &'a LeadTable,
 ) -> Vec<&'a HeardLead> {
     let mut near: Vec<&HeardLead> = leads.fresh_of(now, place.region).collect();
-    near.sort_by_key(|lead| Reverse(lead.order()));
+    near.sort_by_key(|lead| Reverse(lead.rank()));
     if !place.leads && near.len() > 1 && !place.hash.is_multiple_of(2) {
         near.swap(0, 1);
     }
--- a/crates/place/src/fleet/leads.rs
+++ b/crates/place/src/fleet/leads.rs
@@ -4,10 +4,10 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
+use crate::fleet::candidate::{CandidateRank, LEADS, LeadCandidate};
 use crate::fleet::known::KnownStore;
 use crate::fleet::list::ListVersion;
 use crate::fleet::message::RegionDigest;
-use crate::fleet::seat::{LEADS, LeadSeat, SeatOrder};
 
 /// A lead that was silent for this long is done without: two digests may get lost.
 pub const LEAD_SILENT: Duration = Duration::from_millis(1500);
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone)]
 pub struct HeardLead {
     /// The lead.
-    pub seat: LeadSeat,
+    pub candidate: LeadCandidate,
     /// Its region.
     pub region: String,
     /// Whether its process is about to end.
@@ -28,7 +28,7 @@
     /// The lists of entries that it knows.
     pub lists: Vec<(String, ListVersion)>,
     /// Who leads its region by its word, and substitutes.
-    pub seats: Vec<LeadSeat>,
+    pub candidates: Vec<LeadCandidate>,
     incarnation: u64,
     at: Instant,
 }
@@ -41,13 +41,13 @@
 
 impl HeardLead {
     /// Its place among others.
-    pub fn order(&self) -> SeatOrder {
-        self.seat.order()
+    pub fn rank(&self) -> CandidateRank {
+        self.candidate.rank()
     }
 
     /// Where it tells what it knows.
     pub fn view(&self) -> SocketAddr {
-        self.seat.view
+        self.candidate.view
     }
 
     /// Its run: smaller the earlier it began.
@@ -57,15 +57,15 @@
 
     /// Whether `node` leads the region by this one's word.
     pub fn appoints(&self, node: &str) -> bool {
-        let mut leads = self.seats.iter().take(LEADS);
-        leads.any(|seat| seat.node == node)
+        let mut leads = self.candidates.iter().take(LEADS);
+        leads.any(|candidate| candidate.node == node)
     }
 }
 
 impl LeadTable {
     /// Takes in a digest; one of an earlier run changes nothing and gives `false`.
     pub fn on_digest(&mut self, now: Instant, digest: &RegionDigest) -> bool {
-        let known = self.leads.get(&digest.seat.node);
+        let known = self.leads.get(&digest.candidate.node);
         if known.is_some_and(|lead| lead.incarnation > digest.incarnation) {
             return false;
         }
@@ -74,20 +74,20 @@
             .iter()
             .find(|word| word.region == digest.region);
         let lead = HeardLead {
-            seat: digest.seat.clone(),
+            candidate: digest.candidate.clone(),
             region: digest.region.clone(),
-            leaving: digest.leaving || !digest.seat.leads,
+            leaving: digest.leaving || !digest.candidate.leads,
             known: KnownStore::heard(now, &digest.store),
             lists: digest
                 .regions
                 .iter()
                 .map(|word| (word.region.clone(), word.list))
                 .collect(),
-            seats: own.map(|word| word.seats.clone()).unwrap_or_default(),
+            candidates: own.map(|word| word.candidates.clone()).unwrap_or_default(),
             incarnation: digest.incarnation,
             at: now,
         };
-        self.leads.insert(lead.seat.node.clone(), lead);
+        self.leads.insert(lead.candidate.node.clone(), lead);
         true
     }
 
@@ -127,7 +127,7 @@
     /// The first of them.
     pub fn first_of(&self, now: Instant, region: &str) -> Option<&HeardLead> {
         let near = self.fresh(now).filter(|lead| lead.region == region);
-        near.max_by_key(|lead| lead.order())
+        near.max_by_key(|lead| lead.rank())
     }
 
     /// Forgets leads that were silent for long.
--- a/crates/place/src/fleet/list.rs
+++ b/crates/place/src/fleet/list.rs
@@ -71,16 +71,18 @@
     let named = front::named(&fronts);
     let mut listed = Vec::new();
     for heartbeat in staying() {
-        let named = named.iter().any(|entry| entry.node == heartbeat.seat.node);
+        let named = named
+            .iter()
+            .any(|entry| entry.node == heartbeat.candidate.node);
         if !named && !heartbeat.as_front().is_used() && heartbeat.stamp.is_empty() {
             continue;
         }
         listed.push(ListedEntry {
-            node: heartbeat.seat.node.clone(),
+            node: heartbeat.candidate.node.clone(),
             incarnation: heartbeat.incarnation,
-            domain: heartbeat.seat.domain.clone(),
+            domain: heartbeat.candidate.domain.clone(),
             front: heartbeat.front,
-            peer_address: heartbeat.seat.peer_address,
+            peer_address: heartbeat.candidate.peer_address,
             named,
             stamp: heartbeat.stamp.clone(),
         });
--- a/crates/place/src/fleet/member/asking.rs
+++ b/crates/place/src/fleet/member/asking.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
+use crate::fleet::candidate::LEADS;
 use crate::fleet::follow::{FollowerPlace, PullScope};
 use crate::fleet::leads::HeardLead;
 use crate::fleet::member::{FleetAction, FleetMember, FleetNote};
 use crate::fleet::reading::ReadRole;
-use crate::fleet::seat::LEADS;
 
 /// Time without a lead after which an entry asks for the operator's rows itself.
 const LONE_WAIT: Duration = Duration::from_millis(400);
@@ -37,7 +37,7 @@
             let near: Vec<&HeardLead> = near.collect();
             near.first().copied().filter(|_| near.len() == all)
         };
-        let lead = first.map(|lead| lead.seat.node.clone());
+        let lead = first.map(|lead| lead.candidate.node.clone());
         if self.doubt.on_review(now, lead.is_some())
             && let Some(lead) = lead
         {
@@ -74,7 +74,7 @@
         let is_asked =
             |lead: &&HeardLead| self.leading.is_some() || lead.region == self.config.region;
         let asked = contradicting.filter(is_asked);
-        let newest = asked.max_by_key(|lead| (lead.known.registry_at, lead.order()));
+        let newest = asked.max_by_key(|lead| (lead.known.registry_at, lead.rank()));
         newest.map(HeardLead::view)
     }
 
@@ -157,15 +157,16 @@
             };
         }
         if self.hears_lead(now) {
-            let mut substitutes = self.seats.iter().skip(LEADS);
+            let mut substitutes = self.candidates.iter().skip(LEADS);
             return ReadRole::Follower {
-                substitute: substitutes.any(|seat| seat.node == self.config.seat.node),
+                substitute: substitutes
+                    .any(|candidate| candidate.node == self.config.candidate.node),
                 stuck: self.pulls.is_stuck(now),
             };
         }
         ReadRole::Alone {
             used: self.is_listed(),
-            first: self.started + self.search.first_reading(&self.config.seat),
+            first: self.started + self.search.first_reading(&self.config.candidate),
         }
     }
 }
--- a/crates/place/src/fleet/member/hearing.rs
+++ b/crates/place/src/fleet/member/hearing.rs
@@ -4,13 +4,13 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
+use crate::fleet::candidate::{LEADS, LeadCandidate};
 use crate::fleet::clock::StoreTime;
 use crate::fleet::known::KnownStore;
 use crate::fleet::member::telling::YOUNG_ROWS_EVERY;
 use crate::fleet::member::{FleetAction, FleetMember};
 use crate::fleet::message::{EntryHeartbeat, LeadHint, PeerMessage, RegionDigest};
 use crate::fleet::roster::HeartbeatOutcome;
-use crate::fleet::seat::{LEADS, LeadSeat};
 
 /// Shortest time between two lists.
 const LIST_PAUSE: Duration = Duration::from_millis(50);
@@ -39,10 +39,10 @@
         heartbeat: EntryHeartbeat,
         actions: &mut Vec<FleetAction>,
     ) {
-        if heartbeat.seat.node == self.config.seat.node {
+        if heartbeat.candidate.node == self.config.candidate.node {
             return;
         }
-        let (seeks, sender) = (heartbeat.seeks, heartbeat.seat.peer_address);
+        let (seeks, sender) = (heartbeat.seeks, heartbeat.candidate.peer_address);
         let region = heartbeat.region.clone();
         let is_near = region == self.config.region;
         let news = self.roster.on_heartbeat(now, heartbeat);
@@ -67,26 +67,26 @@
     /// Tells the entry at `sender`, which looks for leads of `region`, what is known.
     fn hint(&self, now: Instant, region: &str, sender: SocketAddr, actions: &mut Vec<FleetAction>) {
         let is_heard = self.regions.is_heard(now, region);
-        let mut seats = if is_heard {
-            self.regions.seats(region).to_vec()
+        let mut candidates = if is_heard {
+            self.regions.candidates(region).to_vec()
         } else {
-            let mut seats = self.roster.seats(now, region);
+            let mut candidates = self.roster.candidates(now, region);
             if region == self.config.region {
-                seats.push(self.own_seat(now));
+                candidates.push(self.own_candidate(now));
             }
-            seats
+            candidates
         };
-        seats.sort_by_key(|seat| Reverse(seat.order()));
-        seats.truncate(HINTED);
+        candidates.sort_by_key(|candidate| Reverse(candidate.rank()));
+        candidates.truncate(HINTED);
         let mut hints = vec![LeadHint {
             region: region.to_owned(),
-            seats,
+            candidates,
         }];
         if !is_heard && region != self.config.region && self.hears_lead(now) {
             // The leads of this region hear those of all others.
             hints.push(LeadHint {
                 region: self.config.region.clone(),
-                seats: self.seats.iter().take(LEADS).cloned().collect(),
+                candidates: self.candidates.iter().take(LEADS).cloned().collect(),
             });
         }
         for hint in hints {
@@ -95,12 +95,13 @@
     }
 
     fn on_digest(&mut self, now: Instant, digest: &RegionDigest, actions: &mut Vec<FleetAction>) {
-        if digest.seat.node == self.config.seat.node || !self.leads.on_digest(now, digest) {
+        if digest.candidate.node == self.config.candidate.node || !self.leads.on_digest(now, digest)
+        {
             return;
         }
         for word in &digest.regions {
             if word.region == self.config.region && self.leading.is_some() {
-                self.find_co_leads(now, &word.seats);
+                self.find_co_leads(now, &word.candidates);
                 continue;
             }
             self.regions.on_word(now, word);
@@ -116,39 +117,44 @@
             actions.push(FleetAction::Confirm(at));
         }
         let is_near = digest.region == self.config.region;
-        if self.leading.is_none() && !(is_near && self.is_followed(&digest.seat.node)) {
-            self.hint(now, &self.config.region, digest.seat.peer_address, actions);
+        if self.leading.is_none() && !(is_near && self.is_followed(&digest.candidate.node)) {
+            self.hint(
+                now,
+                &self.config.region,
+                digest.candidate.peer_address,
+                actions,
+            );
         }
         if is_near || self.leading.is_some() {
-            self.seats_due = now;
+            self.role_check_due = now;
         }
     }
 
     /// Whether `node` leads the region as far as this entry knows, or nobody does.
     fn is_followed(&self, node: &str) -> bool {
-        let mut leads = self.seats.iter().take(LEADS);
-        self.seats.is_empty() || leads.any(|seat| seat.node == node)
+        let mut leads = self.candidates.iter().take(LEADS);
+        self.candidates.is_empty() || leads.any(|candidate| candidate.node == node)
     }
 
     /// Looks for leads of the own region that another region knows.
-    fn find_co_leads(&mut self, now: Instant, seats: &[LeadSeat]) {
-        for seat in seats.iter().take(LEADS) {
+    fn find_co_leads(&mut self, now: Instant, candidates: &[LeadCandidate]) {
+        for candidate in candidates.iter().take(LEADS) {
             let is_heard = self
                 .leads
                 .fresh_of(now, &self.config.region)
-                .any(|lead| lead.seat.node == seat.node);
-            if !is_heard && seat.node != self.config.seat.node {
-                self.search.on_address(now, seat.peer_address);
+                .any(|lead| lead.candidate.node == candidate.node);
+            if !is_heard && candidate.node != self.config.candidate.node {
+                self.search.on_address(now, candidate.peer_address);
             }
         }
     }
 
     fn on_hint(&mut self, now: Instant, hint: &LeadHint) {
         if hint.region != self.config.region {
-            self.regions.on_hint(now, &hint.region, &hint.seats);
-            if self.seats.is_empty() {
-                for seat in &hint.seats {
-                    self.search.on_address(now, seat.peer_address);
+            self.regions.on_hint(now, &hint.region, &hint.candidates);
+            if self.candidates.is_empty() {
+                for candidate in &hint.candidates {
+                    self.search.on_address(now, candidate.peer_address);
                 }
             }
             return;
@@ -156,15 +162,15 @@
         if self.hears_lead(now) && self.leading.is_none() {
             return;
         }
-        let own = self.own_seat(now);
-        let is_new = self.search.on_hint(now, &hint.seats, &own);
+        let own = self.own_candidate(now);
+        let is_new = self.search.on_hint(now, &hint.candidates, &own);
         if is_new {
             self.heartbeat_due = now;
         }
     }
 
     pub(super) fn on_rows(&mut self, now: Instant, rows: &[(String, SocketAddr)]) {
-        let own = self.config.seat.peer_address;
+        let own = self.config.candidate.peer_address;
         for (region, address) in rows {
             let is_needed = *region == self.config.region || !self.regions.is_heard(now, region);
             if is_needed && *address != own {
@@ -177,8 +183,8 @@
         self.row = listed.map(|(_, address)| *address).collect();
         let mut others = self.row.iter().filter(|address| **address != own);
         let is_known = |address: &&SocketAddr| {
-            let mut seats = self.seats.iter().take(LEADS);
-            seats.any(|seat| seat.peer_address == **address)
+            let mut candidates = self.candidates.iter().take(LEADS);
+            candidates.any(|candidate| candidate.peer_address == **address)
         };
         if !others.all(|address| is_known(&address)) {
             // Somebody else leads the region as well.
--- a/crates/place/src/fleet/member/mod.rs
+++ b/crates/place/src/fleet/member/mod.rs
@@ -18,6 +18,7 @@
 use crate::crash::print::RequestPrint;
 use crate::crash::quarantine::QuarantineBook;
 use crate::crash::word::{CrashReport, KeptQuarantine};
+use crate::fleet::candidate::LeadCandidate;
 use crate::fleet::clock::{StoreClock, StoreTime};
 use crate::fleet::doubt::ContentDoubt;
 use crate::fleet::follow::{PullState, PullTarget};
@@ -29,7 +30,6 @@
 use crate::fleet::reading::{ReadOutcome, ReadingPlan, RegistryCall};
 use crate::fleet::regions::RegionBook;
 use crate::fleet::roster::EntryRoster;
-use crate::fleet::seat::LeadSeat;
 use crate::fleet::seek::LeadSearch;
 use crate::rank::stable_hash;
 
@@ -47,7 +47,7 @@
     /// This run of its process.
     pub incarnation: u64,
     /// The entry as one that may lead.
-    pub seat: LeadSeat,
+    pub candidate: LeadCandidate,
     /// Its region.
     pub region: String,
     /// Where it takes callers.
@@ -188,7 +188,7 @@
     /// Since when it leads its region.
     leading: Option<Instant>,
     /// Leads and substitutes of the region as known now.
-    seats: Vec<LeadSeat>,
+    candidates: Vec<LeadCandidate>,
     counted: Vec<String>,
     is_lone: bool,
     watches: bool,
@@ -196,7 +196,7 @@
     digest_due: Instant,
     digest_at: Option<Instant>,
     list_due: Instant,
-    seats_due: Instant,
+    role_check_due: Instant,
     rows_due: Instant,
     row: Vec<SocketAddr>,
     /// Which requests were at servers when these ended.
@@ -209,7 +209,7 @@
 impl FleetMember {
     /// An entry that starts at `now` and knows nobody.
     pub fn new(now: Instant, config: MemberConfig) -> Self {
-        let hash = stable_hash(config.seat.node.as_bytes());
+        let hash = stable_hash(config.candidate.node.as_bytes());
         Self {
             hash,
             started: now,
@@ -226,7 +226,7 @@
             doubt: ContentDoubt::default(),
             readings: ReadingPlan::new(now, ReadPace::new(config.drain), hash),
             leading: None,
-            seats: Vec::new(),
+            candidates: Vec::new(),
             counted: Vec::new(),
             is_lone: true,
             watches: false,
@@ -234,7 +234,7 @@
             digest_due: now,
             digest_at: None,
             list_due: now,
-            seats_due: now,
+            role_check_due: now,
             rows_due: now,
             row: Vec::new(),
             ledger: CrashLedger::default(),
@@ -330,7 +330,7 @@
     /// Whether it is listed as one that gets requests.
     pub fn is_listed(&self) -> bool {
         let list = self.regions.list(&self.config.region);
-        list.is_some_and(|list| list.find(&self.config.seat.node).is_some())
+        list.is_some_and(|list| list.find(&self.config.candidate.node).is_some())
     }
 
     /// Whether it has heard of nobody since its start, so that callers are its own.
@@ -368,8 +368,8 @@
 
     fn review(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         self.reviewed_at = now;
-        if now >= self.seats_due {
-            self.seats_due = now + SEARCH_EVERY;
+        if now >= self.role_check_due {
+            self.role_check_due = now + SEARCH_EVERY;
             self.leads.forget(now);
             self.review_role(now, actions);
             self.review_regions(now, actions);
--- a/crates/place/src/fleet/member/role.rs
+++ b/crates/place/src/fleet/member/role.rs
@@ -2,20 +2,20 @@
 
 use std::time::Instant;
 
+use crate::fleet::candidate::{self, LEADS, LeadCandidate};
 use crate::fleet::member::telling::ROW_WAIT;
 use crate::fleet::member::{FleetAction, FleetMember, FleetNote};
-use crate::fleet::seat::{self, LEADS, LeadSeat};
 
 impl FleetMember {
     /// Begins or ends to lead.
     pub(super) fn review_role(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
-        let own = self.own_seat(now);
+        let own = self.own_candidate(now);
         let top = self.leads.first_of(now, &self.config.region);
-        let above = top.filter(|lead| self.leading.is_none() || lead.order() > own.order());
+        let above = top.filter(|lead| self.leading.is_none() || lead.rank() > own.rank());
         if let Some(lead) = above {
             let appointed = lead.appoints(&own.node) && !self.own.leaving;
-            let (seats, node) = (lead.seats.clone(), lead.seat.node.clone());
-            self.set_seats(now, seats, actions);
+            let (candidates, node) = (lead.candidates.clone(), lead.candidate.node.clone());
+            self.set_candidates(now, candidates, actions);
             match (self.leading, appointed) {
                 (None, true) => self.lead(now, "appointed by the reader", actions),
                 (None, false) if self.reads_alone(now) && !self.own.leaving => {
@@ -25,42 +25,47 @@
                 _ => {}
             }
         } else if self.leading.is_none() && !self.own.leaving {
-            let is_lost = !self.seats.is_empty() && top.is_none();
+            let is_lost = !self.candidates.is_empty() && top.is_none();
             let since = self.search.begin(now);
             if is_lost && since == now {
                 actions.push(FleetAction::Note(FleetNote::LeadsLost));
             }
-            if self.search.may_lead(now, &own, &self.seats) {
+            if self.search.may_lead(now, &own, &self.candidates) {
                 self.lead(now, "no lead heard", actions);
             }
         }
         if self.leading.is_some() && self.is_first(now) {
             let near = self.leads.fresh_of(now, &self.config.region);
-            let mut leading: Vec<LeadSeat> = near.map(|lead| lead.seat.clone()).collect();
+            let mut leading: Vec<LeadCandidate> = near.map(|lead| lead.candidate.clone()).collect();
             if !self.own.leaving {
-                leading.push(self.own_seat(now));
+                leading.push(self.own_candidate(now));
             }
-            let others = self.roster.seats(now, &self.config.region);
-            let seats = seat::choose(leading, others);
-            self.set_seats(now, seats, actions);
+            let others = self.roster.candidates(now, &self.config.region);
+            let candidates = candidate::choose(leading, others);
+            self.set_candidates(now, candidates, actions);
         }
         if self.hears_lead(now) {
             self.search.end();
         }
     }
 
-    fn set_seats(&mut self, now: Instant, seats: Vec<LeadSeat>, actions: &mut Vec<FleetAction>) {
-        let names = |seats: &[LeadSeat]| -> Vec<String> {
-            let leads = seats.iter().take(LEADS);
-            leads.map(|seat| seat.node.clone()).collect()
+    fn set_candidates(
+        &mut self,
+        now: Instant,
+        candidates: Vec<LeadCandidate>,
+        actions: &mut Vec<FleetAction>,
+    ) {
+        let names = |candidates: &[LeadCandidate]| -> Vec<String> {
+            let leads = candidates.iter().take(LEADS);
+            leads.map(|candidate| candidate.node.clone()).collect()
         };
-        if names(&seats) != names(&self.seats) {
-            actions.push(FleetAction::Note(FleetNote::Leaders(names(&seats))));
+        if names(&candidates) != names(&self.candidates) {
+            actions.push(FleetAction::Note(FleetNote::Leaders(names(&candidates))));
             // At once: new leads know nobody, and nobody knows them.
             self.heartbeat_due = self.heartbeat_due.min(now);
             self.digest_due = self.digest_due.min(now);
         }
-        self.seats = seats;
+        self.candidates = candidates;
     }
 
     fn lead(&mut self, now: Instant, reason: &'static str, actions: &mut Vec<FleetAction>) {
@@ -82,7 +87,7 @@
     pub(super) fn review_regions(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         if self.leading.is_some() {
             let live = self.roster.live(now, &self.config.region).count() as u32 + 1;
-            self.regions.on_own(now, live, self.seats.clone());
+            self.regions.on_own(now, live, self.candidates.clone());
         }
         let counted: Vec<String> = self.regions.counted(now).map(str::to_owned).collect();
         let has_met = self.roster.has_any() || self.search.has_hints() || counted.len() > 1;
@@ -97,7 +102,7 @@
     /// Whether no other lead of the region comes before this one.
     pub(super) fn is_first(&self, now: Instant) -> bool {
         let first = self.leads.first_of(now, &self.config.region);
-        first.is_none_or(|lead| !self.own.leaving && lead.order() < self.own_seat(now).order())
+        first.is_none_or(|lead| !self.own.leaving && lead.rank() < self.own_candidate(now).rank())
     }
 
     /// Whether this entry has read the store itself just now, though no lead of its
@@ -107,15 +112,15 @@
         let reads = read_at
             .is_some_and(|at| now.saturating_duration_since(at) < self.readings.pace().reader);
         let mut leads = self.leads.fresh_of(now, &self.config.region);
-        reads && self.reads && leads.all(|lead| !lead.seat.reads)
+        reads && self.reads && leads.all(|lead| !lead.candidate.reads)
     }
 
     /// This entry as one that leads or may lead.
-    pub(super) fn own_seat(&self, now: Instant) -> LeadSeat {
-        LeadSeat {
+    pub(super) fn own_candidate(&self, now: Instant) -> LeadCandidate {
+        LeadCandidate {
             reads: self.reads && !self.readings.is_overdue(now),
             leads: self.leading.is_some(),
-            ..self.config.seat.clone()
+            ..self.config.candidate.clone()
         }
     }
 
--- a/crates/place/src/fleet/member/telling.rs
+++ b/crates/place/src/fleet/member/telling.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
+use crate::fleet::candidate::LEADS;
 use crate::fleet::list::{EntryList, ListVersion, list_entries};
 use crate::fleet::member::{FleetAction, FleetMember, FleetNote, HEARTBEAT_INTERVAL};
 use crate::fleet::message::{EntryHeartbeat, PeerMessage, RegionDigest};
-use crate::fleet::seat::LEADS;
 
 /// Shortest time between two digests: what changes at once is told at once.
 const DIGEST_PAUSE: Duration = Duration::from_millis(50);
@@ -77,7 +77,7 @@
     fn own_heartbeat(&self, now: Instant) -> EntryHeartbeat {
         EntryHeartbeat {
             incarnation: self.config.incarnation,
-            seat: self.own_seat(now),
+            candidate: self.own_candidate(now),
             region: self.config.region.clone(),
             front: self.config.front,
             rate: self.own.rate,
@@ -101,7 +101,11 @@
         self.heartbeat_due = now + pause;
         let mut targets = self.near_leads(now);
         if seeks {
-            targets.extend(self.seats.iter().map(|seat| seat.peer_address));
+            targets.extend(
+                self.candidates
+                    .iter()
+                    .map(|candidate| candidate.peer_address),
+            );
             targets.extend(self.search.seeds());
             targets.extend(self.search.hinted(now));
         }
@@ -120,15 +124,19 @@
         let fresh = self
             .leads
             .fresh_of(now, region)
-            .map(|lead| lead.seat.peer_address);
-        let appointed = self.seats.iter().take(LEADS).map(|seat| seat.peer_address);
+            .map(|lead| lead.candidate.peer_address);
+        let appointed = self
+            .candidates
+            .iter()
+            .take(LEADS)
+            .map(|candidate| candidate.peer_address);
         fresh.chain(appointed).collect()
     }
 
     pub(super) fn digest(&self, now: Instant, to_leads: bool) -> PeerMessage {
         PeerMessage::Digest(Box::new(RegionDigest {
             incarnation: self.config.incarnation,
-            seat: self.own_seat(now),
+            candidate: self.own_candidate(now),
             region: self.config.region.clone(),
             leaving: self.own.leaving,
             store: self.known.word(now),
@@ -170,16 +178,23 @@
     pub(super) fn far_leads(&mut self, now: Instant) -> Vec<SocketAddr> {
         // All that are heard, not only those that their region names: where a region has
         // more than one pair, each learns of the other here.
-        let heard = self.leads.fresh(now).map(|lead| lead.seat.peer_address);
+        let heard = self
+            .leads
+            .fresh(now)
+            .map(|lead| lead.candidate.peer_address);
         let mut addresses: Vec<SocketAddr> = heard.collect();
         let mut is_lost = !self.hears_lead(now);
         for region in self.regions.others() {
-            let seats = self.regions.seats(region).iter();
+            let candidates = self.regions.candidates(region).iter();
             if self.regions.is_heard(now, region) {
-                addresses.extend(seats.take(LEADS).map(|seat| seat.peer_address));
+                addresses.extend(
+                    candidates
+                        .take(LEADS)
+                        .map(|candidate| candidate.peer_address),
+                );
             } else {
                 is_lost = true;
-                addresses.extend(seats.map(|seat| seat.peer_address));
+                addresses.extend(candidates.map(|candidate| candidate.peer_address));
             }
         }
         if is_lost {
@@ -195,7 +210,7 @@
     pub(super) fn others(&self, mut addresses: Vec<SocketAddr>) -> Vec<SocketAddr> {
         addresses.sort_unstable();
         addresses.dedup();
-        addresses.retain(|address| *address != self.config.seat.peer_address);
+        addresses.retain(|address| *address != self.config.candidate.peer_address);
         addresses
     }
 
@@ -222,7 +237,11 @@
         if is_first || self.regions.others().any(is_lost) {
             actions.push(FleetAction::ReadRows);
         }
-        let leads = self.seats.iter().take(LEADS).map(|seat| seat.peer_address);
+        let leads = self
+            .candidates
+            .iter()
+            .take(LEADS)
+            .map(|candidate| candidate.peer_address);
         let row: Vec<SocketAddr> = leads.collect();
         let is_settled = now.saturating_duration_since(since) >= ROW_WAIT;
         if is_settled && is_first && row != self.row {
--- a/crates/place/src/fleet/message.rs
+++ b/crates/place/src/fleet/message.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 
 use crate::crash::word::CrashWord;
+use crate::fleet::candidate::LeadCandidate;
 use crate::fleet::front::FrontEntry;
 use crate::fleet::known::StoreWord;
 use crate::fleet::list::ListVersion;
-use crate::fleet::seat::LeadSeat;
 use crate::placing::load::LoadWord;
 use rollout::word::RolloutWord;
 use team::quota::QuotaWord;
@@ -56,7 +56,7 @@
         /// One run of its process; a later run has a higher number.
         pub incarnation: u64,
         /// The entry as one that may lead its region.
-        pub seat: LeadSeat,
+        pub candidate: LeadCandidate,
         /// Its region.
         pub region: String,
         /// Where it takes callers.
@@ -79,7 +79,7 @@
         /// One run of the sender's process.
         pub incarnation: u64,
         /// The sender.
-        pub seat: LeadSeat,
+        pub candidate: LeadCandidate,
         /// Its region.
         pub region: String,
         /// Whether its process is about to end.
@@ -103,7 +103,7 @@
         pub list: ListVersion,
         /// Its leads, for the own region its substitutes as well; empty for other
         /// regions where the digest goes to entries that don't lead.
-        pub seats: Vec<LeadSeat>,
+        pub candidates: Vec<LeadCandidate>,
     }
 
     /// Entries of a region that lead it or would be the first to.
@@ -112,7 +112,7 @@
         /// The region.
         pub region: String,
         /// The entries, best first.
-        pub seats: Vec<LeadSeat>,
+        pub candidates: Vec<LeadCandidate>,
     }
 }
 
@@ -120,10 +120,10 @@
     /// The entry as one that takes callers.
     pub fn as_front(&self) -> FrontEntry<'_> {
         FrontEntry {
-            node: &self.seat.node,
-            domain: &self.seat.domain,
+            node: &self.candidate.node,
+            domain: &self.candidate.domain,
             region: &self.region,
-            capacity: self.seat.capacity,
+            capacity: self.candidate.capacity,
             rate: f64::from(self.rate),
         }
     }
--- a/crates/place/src/fleet/mod.rs
+++ b/crates/place/src/fleet/mod.rs
@@ -10,6 +10,7 @@
 //! [`member::FleetMember`] decides all of this; the rest of this area are its parts and
 //! the messages.
 
+pub mod candidate;
 pub mod clock;
 pub mod copies;
 pub mod doubt;
@@ -26,5 +27,4 @@
 pub mod reading;
 pub mod regions;
 pub mod roster;
-pub mod seat;
 pub mod seek;
--- a/crates/place/src/fleet/regions.rs
+++ b/crates/place/src/fleet/regions.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
+use crate::fleet::candidate::LeadCandidate;
 use crate::fleet::known::millis;
 use crate::fleet::list::{EntryList, ListVersion, ListedEntry};
 use crate::fleet::message::RegionWord;
-use crate::fleet::seat::LeadSeat;
 
 /// A region whose leads were silent for this long counts as lost: its entries are told
 /// to no caller and take no part in shared rates. Longer than a region without leads
@@ -16,7 +16,7 @@
 /// damaged message, and would bar all that follow.
 const STEP_MOST: u64 = 1 << 20;
 /// Leads of a region that are remembered, silent ones among them.
-const SEATS_KEPT: usize = 8;
+const MAX_CANDIDATES: usize = 8;
 
 /// What is known of one region.
 #[derive(Debug, Default)]
@@ -24,7 +24,7 @@
     list: EntryList,
     heard: Option<Instant>,
     live: u32,
-    seats: Vec<LeadSeat>,
+    candidates: Vec<LeadCandidate>,
 }
 
 /// What is known of all regions.
@@ -60,33 +60,35 @@
         }
         record.heard = heard;
         record.live = word.live;
-        if !word.seats.is_empty() {
-            record.seats.clone_from(&word.seats);
-            record.seats.truncate(SEATS_KEPT);
+        if !word.candidates.is_empty() {
+            record.candidates.clone_from(&word.candidates);
+            record.candidates.truncate(MAX_CANDIDATES);
         }
     }
 
     /// Takes in who may lead a region that isn't heard.
-    pub fn on_hint(&mut self, now: Instant, region: &str, seats: &[LeadSeat]) {
+    pub fn on_hint(&mut self, now: Instant, region: &str, candidates: &[LeadCandidate]) {
         if self.is_heard(now, region) {
             return;
         }
         let Some(record) = self.regions.get_mut(region) else {
             return;
         };
-        for seat in seats {
-            record.seats.retain(|known| known.node != seat.node);
-            record.seats.insert(0, seat.clone());
+        for candidate in candidates {
+            record
+                .candidates
+                .retain(|known| known.node != candidate.node);
+            record.candidates.insert(0, candidate.clone());
         }
-        record.seats.truncate(SEATS_KEPT);
+        record.candidates.truncate(MAX_CANDIDATES);
     }
 
-    /// This entry leads its region, with `live` entries and `seats`.
-    pub fn on_own(&mut self, now: Instant, live: u32, seats: Vec<LeadSeat>) {
+    /// This entry leads its region, with `live` entries and `candidates`.
+    pub fn on_own(&mut self, now: Instant, live: u32, candidates: Vec<LeadCandidate>) {
         if let Some(record) = self.regions.get_mut(&self.own) {
             record.heard = Some(now);
             record.live = live;
-            record.seats = seats;
+            record.candidates = candidates;
         }
     }
 
@@ -166,10 +168,10 @@
     }
 
     /// Leads and substitutes of a region, as heard or hinted last.
-    pub fn seats(&self, region: &str) -> &[LeadSeat] {
+    pub fn candidates(&self, region: &str) -> &[LeadCandidate] {
         self.regions
             .get(region)
-            .map_or(&[][..], |record| &record.seats)
+            .map_or(&[][..], |record| &record.candidates)
     }
 
     /// The other regions.
@@ -187,8 +189,8 @@
                 .map_or(u32::MAX, |at| millis(now.saturating_duration_since(at))),
             live: record.live,
             list: record.list.version,
-            seats: if to_leads || *name == self.own {
-                record.seats.clone()
+            candidates: if to_leads || *name == self.own {
+                record.candidates.clone()
             } else {
                 Vec::new()
             },
--- a/crates/place/src/fleet/roster.rs
+++ b/crates/place/src/fleet/roster.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
+use crate::fleet::candidate::LeadCandidate;
 use crate::fleet::message::EntryHeartbeat;
-use crate::fleet::seat::LeadSeat;
 
 /// An entry counts as live for this long after its last beat: several beats, since
 /// datagrams get lost.
@@ -41,7 +41,7 @@
 impl EntryRoster {
     /// Takes in a beat.
     pub fn on_heartbeat(&mut self, now: Instant, heartbeat: EntryHeartbeat) -> HeartbeatOutcome {
-        let known = self.entries.get(&heartbeat.seat.node);
+        let known = self.entries.get(&heartbeat.candidate.node);
         if known.is_some_and(|known| known.heartbeat.incarnation > heartbeat.incarnation) {
             return HeartbeatOutcome::Outdated;
         }
@@ -55,7 +55,7 @@
                 && before.ready == heartbeat.ready
                 && before.leaving == heartbeat.leaving
         });
-        let node = heartbeat.seat.node.clone();
+        let node = heartbeat.candidate.node.clone();
         self.entries.insert(node, HeardEntry { heartbeat, at: now });
         if is_same {
             HeartbeatOutcome::Same
@@ -84,17 +84,20 @@
     }
 
     /// Those of `region` that may lead it.
-    pub fn seats(&self, now: Instant, region: &str) -> Vec<LeadSeat> {
+    pub fn candidates(&self, now: Instant, region: &str) -> Vec<LeadCandidate> {
         let staying = self
             .live(now, region)
             .filter(|heartbeat| !heartbeat.leaving);
-        staying.map(|heartbeat| heartbeat.seat.clone()).collect()
+        staying
+            .map(|heartbeat| heartbeat.candidate.clone())
+            .collect()
     }
 
     /// Where the live entries of `region` take datagrams.
     pub fn addresses(&self, now: Instant, region: &str) -> Vec<SocketAddr> {
         let live = self.live(now, region);
-        live.map(|heartbeat| heartbeat.seat.peer_address).collect()
+        live.map(|heartbeat| heartbeat.candidate.peer_address)
+            .collect()
     }
 
     /// Forgets entries that were silent for long.
--- a/crates/place/src/fleet/seek.rs
+++ b/crates/place/src/fleet/seek.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use crate::fleet::seat::{LEADS, LeadSeat};
+use crate::fleet::candidate::{LEADS, LeadCandidate};
 
 /// Time between beats of an entry that looks for its leads, for the first seconds.
 const ASK_EVERY: Duration = Duration::from_millis(100);
@@ -108,11 +108,19 @@
 
     /// Others were hinted; the search of the entry with the seat `own` waits for abler
     /// ones. Whether one of them leads and wasn't known.
-    pub fn on_hint(&mut self, now: Instant, seats: &[LeadSeat], own: &LeadSeat) -> bool {
+    pub fn on_hint(
+        &mut self,
+        now: Instant,
+        candidates: &[LeadCandidate],
+        own: &LeadCandidate,
+    ) -> bool {
         let mut is_new = false;
-        for seat in seats.iter().filter(|seat| seat.node != own.node) {
-            is_new |= self.on_address(now, seat.peer_address) && seat.leads;
-            self.is_better_known |= seat.order() > own.order();
+        for candidate in candidates
+            .iter()
+            .filter(|candidate| candidate.node != own.node)
+        {
+            is_new |= self.on_address(now, candidate.peer_address) && candidate.leads;
+            self.is_better_known |= candidate.rank() > own.rank();
         }
         is_new
     }
@@ -142,17 +150,24 @@
         if fast { ASK_EVERY } else { usual }
     }
 
-    /// Whether the entry with the seat `own` is to lead now; `seats` are the leads and
+    /// Whether the entry with the seat `own` is to lead now; `candidates` are the leads and
     /// substitutes that it knew last.
-    pub fn may_lead(&self, now: Instant, own: &LeadSeat, seats: &[LeadSeat]) -> bool {
+    pub fn may_lead(
+        &self,
+        now: Instant,
+        own: &LeadCandidate,
+        candidates: &[LeadCandidate],
+    ) -> bool {
         let Some(since) = self.since else {
             return false;
         };
-        now.saturating_duration_since(since) >= self.wait(own, seats)
+        now.saturating_duration_since(since) >= self.wait(own, candidates)
     }
 
-    fn wait(&self, own: &LeadSeat, seats: &[LeadSeat]) -> Duration {
-        let place = seats.iter().position(|seat| seat.node == own.node);
+    fn wait(&self, own: &LeadCandidate, candidates: &[LeadCandidate]) -> Duration {
+        let place = candidates
+            .iter()
+            .position(|candidate| candidate.node == own.node);
         if let (true, Some(place)) = (self.has_lost, place) {
             return SUBSTITUTE_WAIT * place.saturating_sub(LEADS) as u32;
         }
@@ -171,7 +186,7 @@
 
     /// Time after its start at which the entry with the seat `own` reads the store if
     /// nobody has told it anything: able ones at once, since callers are sent there.
-    pub fn first_reading(&self, own: &LeadSeat) -> Duration {
+    pub fn first_reading(&self, own: &LeadCandidate) -> Duration {
         let wait = class_wait(own);
         if wait.is_zero() {
             return Duration::ZERO;
@@ -190,7 +205,7 @@
     }
 }
 
-fn class_wait(own: &LeadSeat) -> Duration {
-    let lacking = ABLE_CLASS.saturating_sub(own.class());
+fn class_wait(own: &LeadCandidate) -> Duration {
+    let lacking = ABLE_CLASS.saturating_sub(own.capacity_class());
     (CLASS_WAIT * lacking).min(CLASS_WAIT_MOST)
 }
--- a/crates/place/tests/due.rs
+++ b/crates/place/tests/due.rs
@@ -3,18 +3,18 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
+use place::fleet::candidate::LeadCandidate;
 use place::fleet::follow::PullScope;
 use place::fleet::known::KnownStore;
 use place::fleet::member::MemberConfig;
 use place::fleet::message::{PeerMessage, RegionDigest};
-use place::fleet::seat::LeadSeat;
 use place::prelude::*;
 
 const DRAIN: Duration = Duration::from_millis(3000);
 
 fn member(now: Instant) -> FleetMember {
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
-    let seat = LeadSeat {
+    let candidate = LeadCandidate {
         node: "n1".to_owned(),
         domain: "a1".to_owned(),
         peer_address: address,
@@ -25,7 +25,7 @@
     };
     let config = MemberConfig {
         incarnation: 1,
-        seat,
+        candidate,
         region: "a".to_owned(),
         front: address,
         regions: vec!["a".to_owned()],
@@ -101,7 +101,7 @@
     let address = SocketAddr::from(([127, 0, 0, 1], port));
     PeerMessage::Digest(Box::new(RegionDigest {
         incarnation,
-        seat: LeadSeat {
+        candidate: LeadCandidate {
             node: format!("lead-{port}"),
             domain: "a1".to_owned(),
             peer_address: address,
--- a/crates/place/tests/fleet.rs
+++ b/crates/place/tests/fleet.rs
@@ -440,7 +440,7 @@
             age: 0,
             live: 9,
             list: Default::default(),
-            seats: Vec::new(),
+            candidates: Vec::new(),
         },
         RegionWord {
             region: "r1".to_owned(),
@@ -450,15 +450,15 @@
                 number: u64::MAX,
                 author: 3,
             },
-            seats: Vec::new(),
+            candidates: Vec::new(),
         },
     ];
     let regions = world.entries[sender].member.regions();
-    let mut seat = regions.seats("r2")[0].clone();
-    seat.node = "stranger".to_owned();
+    let mut candidate = regions.candidates("r2")[0].clone();
+    candidate.node = "stranger".to_owned();
     let digest = RegionDigest {
         incarnation: 1,
-        seat,
+        candidate,
         region: "r1".to_owned(),
         leaving: false,
         store: StoreWord::default(),
--- a/crates/place/tests/fleet_world/mod.rs
+++ b/crates/place/tests/fleet_world/mod.rs
@@ -9,6 +9,7 @@
 
 use place::crash::print::RequestPrint;
 use place::crash::word::KeptQuarantine;
+use place::fleet::candidate::LeadCandidate;
 use place::fleet::clock::StoreTime;
 use place::fleet::follow::{PullScope, PullTarget};
 use place::fleet::log::log_version;
@@ -16,7 +17,6 @@
 use place::fleet::member::MemberConfig;
 use place::fleet::message::PeerMessage;
 use place::fleet::reading::{ReadOutcome, RegistryCall};
-use place::fleet::seat::LeadSeat;
 use place::prelude::*;
 
 /// One way within a region, and between two.
@@ -236,7 +236,7 @@
         let is_able = (entry / REGIONS).is_multiple_of(ABLE_EACH);
         MemberConfig {
             incarnation: run,
-            seat: LeadSeat {
+            candidate: LeadCandidate {
                 node: format!("n{entry}"),
                 domain: domain_of(entry),
                 peer_address: address(entry),
@@ -254,8 +254,8 @@
     }
 
     /// `entry` as one that may lead.
-    pub fn seat(&self, entry: usize) -> LeadSeat {
-        self.config(entry, 1).seat
+    pub fn candidate(&self, entry: usize) -> LeadCandidate {
+        self.config(entry, 1).candidate
     }
 
     fn push(&mut self, at: Instant, to: usize, delivery: Delivery) {
--- a/crates/place/tests/proofs.rs
+++ b/crates/place/tests/proofs.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use fleet_world::{FleetWorld, REGIONS, ms, region_of};
+use place::fleet::candidate::LeadCandidate;
 use place::fleet::clock::{StoreClock, StoreTime};
 use place::fleet::known::{KnownStore, StoreWord};
 use place::fleet::message::{PeerMessage, RegionDigest};
-use place::fleet::seat::LeadSeat;
 use place::prelude::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -194,9 +194,9 @@
         let known = world.entries[lead].member.known();
         PeerMessage::Digest(Box::new(RegionDigest {
             incarnation: 1,
-            seat: LeadSeat {
+            candidate: LeadCandidate {
                 leads: true,
-                ..world.seat(lead)
+                ..world.candidate(lead)
             },
             region: "r0".to_owned(),
             leaving: false,
--- a/crates/place/tests/roster.rs
+++ b/crates/place/tests/roster.rs
@@ -6,15 +6,15 @@
 use std::time::Instant;
 
 use common::ms;
+use place::fleet::candidate::LeadCandidate;
 use place::fleet::message::EntryHeartbeat;
 use place::fleet::roster::{EntryRoster, HeartbeatOutcome};
-use place::fleet::seat::LeadSeat;
 
 fn heartbeat(incarnation: u64) -> EntryHeartbeat {
     let address = SocketAddr::from(([127, 0, 0, 1], 81));
     EntryHeartbeat {
         incarnation,
-        seat: LeadSeat {
+        candidate: LeadCandidate {
             node: "n".to_owned(),
             domain: "a1".to_owned(),
             peer_address: address,
@@ -56,12 +56,12 @@
         roster.on_heartbeat(now + ms(1), heartbeat(1)),
         HeartbeatOutcome::Outdated
     );
-    assert!(roster.seats(now + ms(2), "a").is_empty());
+    assert!(roster.candidates(now + ms(2), "a").is_empty());
     assert_eq!(
         roster.on_heartbeat(now + ms(3), heartbeat(3)),
         HeartbeatOutcome::Changed
     );
-    assert_eq!(roster.seats(now + ms(4), "a").len(), 1);
+    assert_eq!(roster.candidates(now + ms(4), "a").len(), 1);
     assert_eq!(
         roster.on_heartbeat(now + ms(5), heartbeat(3)),
         HeartbeatOutcome::Same
