--- a/bin/lh-entry/src/fleet.rs
+++ b/bin/lh-entry/src/fleet.rs
@@ -10,7 +10,7 @@
 use place::fleet::known::KnownStore;
 use place::fleet::member::{HEARTBEAT_INTERVAL, MemberConfig};
 use place::fleet::message::PeerMessage;
-use place::fleet::regions::RegionBook;
+use place::fleet::regions::RegionTable;
 use place::prelude::*;
 use tokio::net::UdpSocket;
 use tokio::sync::{Notify, watch};
@@ -142,7 +142,7 @@
     }
 
     /// Looks something up in what is known of all regions.
-    pub(crate) fn with_regions<T>(&self, look: impl FnOnce(Instant, &RegionBook) -> T) -> T {
+    pub(crate) fn with_regions<T>(&self, look: impl FnOnce(Instant, &RegionTable) -> T) -> T {
         look(Instant::now(), self.member.borrow().regions())
     }
 
--- a/crates/place/src/fleet/follow.rs
+++ b/crates/place/src/fleet/follow.rs
@@ -5,9 +5,9 @@
 use std::time::{Duration, Instant};
 
 use crate::fleet::known::KnownStore;
-use crate::fleet::leads::{HeardLead, LeadTable};
+use crate::fleet::leads::{LeadRecord, LeadTable};
 use crate::fleet::log::log_version;
-use crate::fleet::regions::RegionBook;
+use crate::fleet::regions::RegionTable;
 
 /// Half of a region's entries ask the reader first, half the deputy; who has waited
 /// this long for its own asks the other.
@@ -114,7 +114,7 @@
         place: FollowerPlace<'_>,
         known: &KnownStore,
         leads: &LeadTable,
-        regions: &RegionBook,
+        regions: &RegionTable,
         doubted: Option<SocketAddr>,
     ) -> Option<PullTarget> {
         let near = near_leads(now, place, leads);
@@ -136,7 +136,7 @@
         }
         let first = near.first().copied();
         let avoided = self.avoided.filter(|(_, at)| is_recent(*at, AVOIDED_FOR));
-        let is_avoided = |lead: &&HeardLead| avoided.is_none_or(|(view, _)| lead.view() != view);
+        let is_avoided = |lead: &&LeadRecord| avoided.is_none_or(|(view, _)| lead.view() != view);
         let view = match doubted {
             Some(view) => view,
             None if is_ahead => first?.view(),
@@ -165,7 +165,7 @@
         if self.ends_asked.len() >= ENDS_ASKED || is_asking || known.registry_at.is_none() {
             return None;
         }
-        let heard = leads.fresh(now).filter(|lead| {
+        let heard = leads.live_leads(now).filter(|lead| {
             let is_asked = place.leads || lead.region == place.region;
             is_asked && !self.ends_asked.contains(&lead.view())
         });
@@ -180,7 +180,12 @@
     }
 
     /// Whether what is known has been ahead of the store's word at all leads for too long.
-    fn is_ahead_for_long(&mut self, now: Instant, known: &KnownStore, near: &[&HeardLead]) -> bool {
+    fn is_ahead_for_long(
+        &mut self,
+        now: Instant,
+        known: &KnownStore,
+        near: &[&LeadRecord],
+    ) -> bool {
         let is_ahead = !near.is_empty() && near.iter().all(|lead| is_ahead(now, known, lead));
         self.ahead_since = is_ahead.then(|| self.ahead_since.unwrap_or(now));
         let since = self.ahead_since;
@@ -193,8 +198,8 @@
     now: Instant,
     place: FollowerPlace<'a>,
     leads: &'a LeadTable,
-) -> Vec<&'a HeardLead> {
-    let mut near: Vec<&HeardLead> = leads.fresh_of(now, place.region).collect();
+) -> Vec<&'a LeadRecord> {
+    let mut near: Vec<&LeadRecord> = leads.live_leads_of(now, place.region).collect();
     near.sort_by_key(|lead| Reverse(lead.rank()));
     if !place.leads && near.len() > 1 && !place.hash.is_multiple_of(2) {
         near.swap(0, 1);
@@ -208,24 +213,26 @@
     place: FollowerPlace<'_>,
     known: &KnownStore,
     leads: &'a LeadTable,
-    regions: &RegionBook,
-    near: &[&'a HeardLead],
-) -> Vec<&'a HeardLead> {
-    let lacks = |lead: &&&HeardLead| {
+    regions: &RegionTable,
+    near: &[&'a LeadRecord],
+) -> Vec<&'a LeadRecord> {
+    let lacks = |lead: &&&LeadRecord| {
         known.is_behind_registry(&lead.known)
             || known.is_behind_operator(&lead.known)
             || regions.is_behind(&lead.lists)
     };
-    let mut ahead: Vec<&HeardLead> = near.iter().filter(lacks).copied().collect();
+    let mut ahead: Vec<&LeadRecord> = near.iter().filter(lacks).copied().collect();
     if place.leads {
-        let far = leads.fresh(now).filter(|lead| lead.region != place.region);
+        let far = leads
+            .live_leads(now)
+            .filter(|lead| lead.region != place.region);
         ahead.extend(far.filter(|lead| lacks_far(now, place, known, lead, regions)));
     }
     ahead
 }
 
 /// Whether the entry knows what no reading of the lead can have shown yet.
-fn is_ahead(now: Instant, known: &KnownStore, lead: &HeardLead) -> bool {
+fn is_ahead(now: Instant, known: &KnownStore, lead: &LeadRecord) -> bool {
     let read_at = lead.known.registry_at;
     read_at.is_some_and(|at| now.saturating_duration_since(at) < READ_LIFE)
         && known.registry >= log_version(lead.known.registry_read.saturating_add(1))
@@ -237,8 +244,8 @@
     now: Instant,
     place: FollowerPlace<'_>,
     known: &KnownStore,
-    lead: &HeardLead,
-    regions: &RegionBook,
+    lead: &LeadRecord,
+    regions: &RegionTable,
 ) -> bool {
     let is_old = |at: Option<Instant>, most: Duration| {
         at.is_none_or(|at| now.saturating_duration_since(at) >= most)
--- a/crates/place/src/fleet/leads.rs
+++ b/crates/place/src/fleet/leads.rs
@@ -10,13 +10,13 @@
 use crate::fleet::message::RegionDigest;
 
 /// A lead that was silent for this long is done without: two digests may get lost.
-pub const LEAD_SILENT: Duration = Duration::from_millis(1500);
+pub const LEAD_TIMEOUT: Duration = Duration::from_millis(1500);
 /// A silent lead is forgotten after this time.
-const REMEMBERED_FOR: Duration = Duration::from_secs(60);
+const RETENTION: Duration = Duration::from_secs(60);
 
 /// A lead as it was heard last.
 #[derive(Debug, Clone)]
-pub struct HeardLead {
+pub struct LeadRecord {
     /// The lead.
     pub candidate: LeadCandidate,
     /// Its region.
@@ -36,10 +36,10 @@
 /// All leads that were heard.
 #[derive(Debug, Default)]
 pub struct LeadTable {
-    leads: HashMap<String, HeardLead>,
+    leads: HashMap<String, LeadRecord>,
 }
 
-impl HeardLead {
+impl LeadRecord {
     /// Its place among others.
     pub fn rank(&self) -> CandidateRank {
         self.candidate.rank()
@@ -56,7 +56,7 @@
     }
 
     /// Whether `node` leads the region by this one's word.
-    pub fn appoints(&self, node: &str) -> bool {
+    pub fn appoints_lead(&self, node: &str) -> bool {
         let mut leads = self.candidates.iter().take(LEADS);
         leads.any(|candidate| candidate.node == node)
     }
@@ -72,8 +72,8 @@
         let own = digest
             .regions
             .iter()
-            .find(|word| word.region == digest.region);
-        let lead = HeardLead {
+            .find(|summary| summary.region == digest.region);
+        let lead = LeadRecord {
             candidate: digest.candidate.clone(),
             region: digest.region.clone(),
             leaving: digest.leaving || !digest.candidate.leads,
@@ -81,9 +81,11 @@
             lists: digest
                 .regions
                 .iter()
-                .map(|word| (word.region.clone(), word.list))
+                .map(|summary| (summary.region.clone(), summary.list))
                 .collect(),
-            candidates: own.map(|word| word.candidates.clone()).unwrap_or_default(),
+            candidates: own
+                .map(|summary| summary.candidates.clone())
+                .unwrap_or_default(),
             incarnation: digest.incarnation,
             at: now,
         };
@@ -92,19 +94,20 @@
     }
 
     /// The leads that are heard and stay.
-    pub fn fresh(&self, now: Instant) -> impl Iterator<Item = &HeardLead> {
+    pub fn live_leads(&self, now: Instant) -> impl Iterator<Item = &LeadRecord> {
         self.leads.values().filter(move |lead| {
-            !lead.leaving && now.saturating_duration_since(lead.at) < LEAD_SILENT
+            !lead.leaving && now.saturating_duration_since(lead.at) < LEAD_TIMEOUT
         })
     }
 
     /// Those of `region`.
-    pub fn fresh_of<'a>(
+    pub fn live_leads_of<'a>(
         &'a self,
         now: Instant,
         region: &'a str,
-    ) -> impl Iterator<Item = &'a HeardLead> {
-        self.fresh(now).filter(move |lead| lead.region == region)
+    ) -> impl Iterator<Item = &'a LeadRecord> {
+        self.live_leads(now)
+            .filter(move |lead| lead.region == region)
     }
 
     /// The leads that contradict what is `known`.
@@ -112,27 +115,27 @@
         &'a self,
         now: Instant,
         known: &'a KnownStore,
-    ) -> impl Iterator<Item = &'a HeardLead> {
-        self.fresh(now)
+    ) -> impl Iterator<Item = &'a LeadRecord> {
+        self.live_leads(now)
             .filter(|lead| known.contradicts(&lead.known))
     }
 
     /// When the last lead of `region` will have been silent for too long.
-    pub fn silent_at(&self, region: &str) -> Option<Instant> {
+    pub fn timeout_at(&self, region: &str) -> Option<Instant> {
         let near = self.leads.values().filter(|lead| lead.region == region);
         let staying = near.filter(|lead| !lead.leaving);
-        staying.map(|lead| lead.at + LEAD_SILENT).max()
+        staying.map(|lead| lead.at + LEAD_TIMEOUT).max()
     }
 
     /// The first of them.
-    pub fn first_of(&self, now: Instant, region: &str) -> Option<&HeardLead> {
-        let near = self.fresh(now).filter(|lead| lead.region == region);
+    pub fn top_lead_of(&self, now: Instant, region: &str) -> Option<&LeadRecord> {
+        let near = self.live_leads(now).filter(|lead| lead.region == region);
         near.max_by_key(|lead| lead.rank())
     }
 
     /// Forgets leads that were silent for long.
     pub fn forget(&mut self, now: Instant) {
         self.leads
-            .retain(|_, lead| now.saturating_duration_since(lead.at) < REMEMBERED_FOR);
+            .retain(|_, lead| now.saturating_duration_since(lead.at) < RETENTION);
     }
 }
--- a/crates/place/src/fleet/member/asking.rs
+++ b/crates/place/src/fleet/member/asking.rs
@@ -5,7 +5,7 @@
 
 use crate::fleet::candidate::LEADS;
 use crate::fleet::follow::{FollowerPlace, PullScope};
-use crate::fleet::leads::HeardLead;
+use crate::fleet::leads::LeadRecord;
 use crate::fleet::member::{FleetAction, FleetMember, FleetNote};
 use crate::fleet::reading::ReadRole;
 
@@ -30,11 +30,11 @@
         let first = if self.leading.is_some() {
             contradicting.next()
         } else {
-            let near = self.leads.fresh_of(now, &self.config.region);
+            let near = self.leads.live_leads_of(now, &self.config.region);
             let all = near.count();
             let region = &self.config.region;
             let near = contradicting.filter(|lead| lead.region == *region);
-            let near: Vec<&HeardLead> = near.collect();
+            let near: Vec<&LeadRecord> = near.collect();
             near.first().copied().filter(|_| near.len() == all)
         };
         let lead = first.map(|lead| lead.candidate.node.clone());
@@ -59,7 +59,7 @@
         let most = self.readings.pace().member;
         let is_old =
             |at: Option<Instant>| at.is_some_and(|at| now.saturating_duration_since(at) >= most);
-        let mut near = self.leads.fresh_of(now, &self.config.region);
+        let mut near = self.leads.live_leads_of(now, &self.config.region);
         is_old(self.known.registry_at)
             && near.any(|lead| lead.known.registry_at.is_some() && !is_old(lead.known.registry_at))
     }
@@ -72,10 +72,10 @@
         }
         let contradicting = self.leads.contradicting(now, &self.known);
         let is_asked =
-            |lead: &&HeardLead| self.leading.is_some() || lead.region == self.config.region;
+            |lead: &&LeadRecord| self.leading.is_some() || lead.region == self.config.region;
         let asked = contradicting.filter(is_asked);
         let newest = asked.max_by_key(|lead| (lead.known.registry_at, lead.rank()));
-        newest.map(HeardLead::view)
+        newest.map(LeadRecord::view)
     }
 
     pub(super) fn review_pull(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
--- a/crates/place/src/fleet/member/hearing.rs
+++ b/crates/place/src/fleet/member/hearing.rs
@@ -28,7 +28,7 @@
             PeerMessage::Heartbeat(heartbeat) => self.on_heartbeat(now, *heartbeat, actions),
             PeerMessage::Digest(digest) => self.on_digest(now, &digest, actions),
             PeerMessage::Hint(hint) => self.on_hint(now, &hint),
-            PeerMessage::Crash(word) => self.on_crash_word(now, &word, actions),
+            PeerMessage::Crash(summary) => self.on_crash_word(now, &summary, actions),
             PeerMessage::Load(_) | PeerMessage::Rollout(_) => {}
         }
     }
@@ -99,12 +99,12 @@
         {
             return;
         }
-        for word in &digest.regions {
-            if word.region == self.config.region && self.leading.is_some() {
-                self.find_co_leads(now, &word.candidates);
+        for summary in &digest.regions {
+            if summary.region == self.config.region && self.leading.is_some() {
+                self.find_co_leads(now, &summary.candidates);
                 continue;
             }
-            self.regions.on_word(now, word);
+            self.regions.on_summary(now, summary);
         }
         let mut heard = KnownStore::heard(now, &digest.store);
         if self.clock.age(now, heard.proved).is_none() {
@@ -141,7 +141,7 @@
         for candidate in candidates.iter().take(LEADS) {
             let is_heard = self
                 .leads
-                .fresh_of(now, &self.config.region)
+                .live_leads_of(now, &self.config.region)
                 .any(|lead| lead.candidate.node == candidate.node);
             if !is_heard && candidate.node != self.config.candidate.node {
                 self.search.on_address(now, candidate.peer_address);
--- a/crates/place/src/fleet/member/mod.rs
+++ b/crates/place/src/fleet/member/mod.rs
@@ -28,7 +28,7 @@
 use crate::fleet::message::PeerMessage;
 use crate::fleet::pace::ReadPace;
 use crate::fleet::reading::{ReadOutcome, ReadingPlan, RegistryCall};
-use crate::fleet::regions::RegionBook;
+use crate::fleet::regions::RegionTable;
 use crate::fleet::roster::EntryRoster;
 use crate::fleet::seek::LeadSearch;
 use crate::rank::stable_hash;
@@ -180,7 +180,7 @@
     clock: StoreClock,
     roster: EntryRoster,
     leads: LeadTable,
-    regions: RegionBook,
+    regions: RegionTable,
     search: LeadSearch,
     pulls: PullState,
     doubt: ContentDoubt,
@@ -220,7 +220,7 @@
             clock: StoreClock::default(),
             roster: EntryRoster::default(),
             leads: LeadTable::default(),
-            regions: RegionBook::new(&config.region, &config.regions),
+            regions: RegionTable::new(&config.region, &config.regions),
             search: LeadSearch::new(&config.seeds, hash),
             pulls: PullState::default(),
             doubt: ContentDoubt::default(),
@@ -285,7 +285,7 @@
     /// When to look again if nothing happens before. It doesn't move while time passes: an
     /// entry that is woken by other things more often than it looks would never look.
     pub fn due(&self, now: Instant) -> Instant {
-        let silent = self.leads.silent_at(&self.config.region);
+        let silent = self.leads.timeout_at(&self.config.region);
         let waits = self.leading.is_some() || self.pulls.is_behind();
         let due = match silent.filter(|at| !waits && *at > now) {
             Some(at) => self.heartbeat_due.min(at).max(now),
@@ -302,7 +302,7 @@
     }
 
     /// What is known of all regions.
-    pub fn regions(&self) -> &RegionBook {
+    pub fn regions(&self) -> &RegionTable {
         &self.regions
     }
 
--- a/crates/place/src/fleet/member/role.rs
+++ b/crates/place/src/fleet/member/role.rs
@@ -10,10 +10,10 @@
     /// Begins or ends to lead.
     pub(super) fn review_role(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         let own = self.own_candidate(now);
-        let top = self.leads.first_of(now, &self.config.region);
+        let top = self.leads.top_lead_of(now, &self.config.region);
         let above = top.filter(|lead| self.leading.is_none() || lead.rank() > own.rank());
         if let Some(lead) = above {
-            let appointed = lead.appoints(&own.node) && !self.own.leaving;
+            let appointed = lead.appoints_lead(&own.node) && !self.own.leaving;
             let (candidates, node) = (lead.candidates.clone(), lead.candidate.node.clone());
             self.set_candidates(now, candidates, actions);
             match (self.leading, appointed) {
@@ -35,7 +35,7 @@
             }
         }
         if self.leading.is_some() && self.is_first(now) {
-            let near = self.leads.fresh_of(now, &self.config.region);
+            let near = self.leads.live_leads_of(now, &self.config.region);
             let mut leading: Vec<LeadCandidate> = near.map(|lead| lead.candidate.clone()).collect();
             if !self.own.leaving {
                 leading.push(self.own_candidate(now));
@@ -87,10 +87,11 @@
     pub(super) fn review_regions(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         if self.leading.is_some() {
             let live = self.roster.live(now, &self.config.region).count() as u32 + 1;
-            self.regions.on_own(now, live, self.candidates.clone());
+            self.regions
+                .on_own_region(now, live, self.candidates.clone());
         }
         let counted: Vec<String> = self.regions.counted(now).map(str::to_owned).collect();
-        let has_met = self.roster.has_any() || self.search.has_hints() || counted.len() > 1;
+        let has_met = self.roster.has_entries() || self.search.has_hints() || counted.len() > 1;
         let is_met = self.is_lone && (has_met || self.hears_lead(now));
         if counted != self.counted || is_met {
             self.counted = counted;
@@ -101,7 +102,7 @@
 
     /// Whether no other lead of the region comes before this one.
     pub(super) fn is_first(&self, now: Instant) -> bool {
-        let first = self.leads.first_of(now, &self.config.region);
+        let first = self.leads.top_lead_of(now, &self.config.region);
         first.is_none_or(|lead| !self.own.leaving && lead.rank() < self.own_candidate(now).rank())
     }
 
@@ -111,7 +112,7 @@
         let read_at = self.readings.done_at();
         let reads = read_at
             .is_some_and(|at| now.saturating_duration_since(at) < self.readings.pace().reader);
-        let mut leads = self.leads.fresh_of(now, &self.config.region);
+        let mut leads = self.leads.live_leads_of(now, &self.config.region);
         reads && self.reads && leads.all(|lead| !lead.candidate.reads)
     }
 
@@ -126,6 +127,6 @@
 
     pub(super) fn hears_lead(&self, now: Instant) -> bool {
         let region = &self.config.region;
-        self.leads.fresh_of(now, region).next().is_some()
+        self.leads.live_leads_of(now, region).next().is_some()
     }
 }
--- a/crates/place/src/fleet/member/telling.rs
+++ b/crates/place/src/fleet/member/telling.rs
@@ -121,16 +121,16 @@
     /// The leads of the own region, heard or appointed.
     pub(super) fn near_leads(&self, now: Instant) -> Vec<SocketAddr> {
         let region = &self.config.region;
-        let fresh = self
+        let live_leads = self
             .leads
-            .fresh_of(now, region)
+            .live_leads_of(now, region)
             .map(|lead| lead.candidate.peer_address);
         let appointed = self
             .candidates
             .iter()
             .take(LEADS)
             .map(|candidate| candidate.peer_address);
-        fresh.chain(appointed).collect()
+        live_leads.chain(appointed).collect()
     }
 
     pub(super) fn digest(&self, now: Instant, to_leads: bool) -> PeerMessage {
@@ -140,7 +140,7 @@
             region: self.config.region.clone(),
             leaving: self.own.leaving,
             store: self.known.word(now),
-            regions: self.regions.words(now, to_leads),
+            regions: self.regions.summaries(now, to_leads),
         }))
     }
 
@@ -180,7 +180,7 @@
         // more than one pair, each learns of the other here.
         let heard = self
             .leads
-            .fresh(now)
+            .live_leads(now)
             .map(|lead| lead.candidate.peer_address);
         let mut addresses: Vec<SocketAddr> = heard.collect();
         let mut is_lost = !self.hears_lead(now);
--- a/crates/place/src/fleet/message.rs
+++ b/crates/place/src/fleet/message.rs
@@ -87,12 +87,12 @@
         /// What it knows of the store.
         pub store: StoreWord,
         /// What it knows of all regions, its own among them.
-        pub regions: Vec<RegionWord>,
+        pub regions: Vec<RegionSummary>,
     }
 
     /// What a lead knows of a region's entries.
     #[derive(Eq)]
-    pub struct RegionWord {
+    pub struct RegionSummary {
         /// The region.
         pub region: String,
         /// Milliseconds since a lead of the region was heard.
--- a/crates/place/src/fleet/regions.rs
+++ b/crates/place/src/fleet/regions.rs
@@ -6,15 +6,15 @@
 use crate::fleet::candidate::LeadCandidate;
 use crate::fleet::known::millis;
 use crate::fleet::list::{EntryList, ListVersion, ListedEntry};
-use crate::fleet::message::RegionWord;
+use crate::fleet::message::RegionSummary;
 
 /// A region whose leads were silent for this long counts as lost: its entries are told
 /// to no caller and take no part in shared rates. Longer than a region without leads
 /// takes to find new ones.
-const REGION_SILENT: Duration = Duration::from_millis(3500);
+const REGION_TIMEOUT: Duration = Duration::from_millis(3500);
 /// No list is so many versions ahead of the one before it: one that is comes from a
 /// damaged message, and would bar all that follow.
-const STEP_MOST: u64 = 1 << 20;
+const MAX_VERSION_STEP: u64 = 1 << 20;
 /// Leads of a region that are remembered, silent ones among them.
 const MAX_CANDIDATES: usize = 8;
 
@@ -22,19 +22,19 @@
 #[derive(Debug, Default)]
 struct RegionRecord {
     list: EntryList,
-    heard: Option<Instant>,
+    last_heard: Option<Instant>,
     live: u32,
     candidates: Vec<LeadCandidate>,
 }
 
 /// What is known of all regions.
 #[derive(Debug)]
-pub struct RegionBook {
+pub struct RegionTable {
     own: String,
     regions: BTreeMap<String, RegionRecord>,
 }
 
-impl RegionBook {
+impl RegionTable {
     /// A book of `regions`, of which `own` is this entry's.
     pub fn new(own: &str, regions: &[String]) -> Self {
         let names = regions.iter().map(String::as_str).chain([own]);
@@ -50,18 +50,18 @@
     }
 
     /// Takes in what a lead said of a region, unless something later is known.
-    pub fn on_word(&mut self, now: Instant, word: &RegionWord) {
-        let Some(record) = self.regions.get_mut(&word.region) else {
+    pub fn on_summary(&mut self, now: Instant, summary: &RegionSummary) {
+        let Some(record) = self.regions.get_mut(&summary.region) else {
             return;
         };
-        let heard = now.checked_sub(Duration::from_millis(u64::from(word.age)));
-        if word.age == u32::MAX || heard.is_none() || heard < record.heard {
+        let last_heard = now.checked_sub(Duration::from_millis(u64::from(summary.age)));
+        if summary.age == u32::MAX || last_heard.is_none() || last_heard < record.last_heard {
             return;
         }
-        record.heard = heard;
-        record.live = word.live;
-        if !word.candidates.is_empty() {
-            record.candidates.clone_from(&word.candidates);
+        record.last_heard = last_heard;
+        record.live = summary.live;
+        if !summary.candidates.is_empty() {
+            record.candidates.clone_from(&summary.candidates);
             record.candidates.truncate(MAX_CANDIDATES);
         }
     }
@@ -84,9 +84,9 @@
     }
 
     /// This entry leads its region, with `live` entries and `candidates`.
-    pub fn on_own(&mut self, now: Instant, live: u32, candidates: Vec<LeadCandidate>) {
+    pub fn on_own_region(&mut self, now: Instant, live: u32, candidates: Vec<LeadCandidate>) {
         if let Some(record) = self.regions.get_mut(&self.own) {
-            record.heard = Some(now);
+            record.last_heard = Some(now);
             record.live = live;
             record.candidates = candidates;
         }
@@ -98,9 +98,9 @@
             return false;
         };
         let known = record.list.version;
-        let is_absurd =
-            known.number > 0 && list.version.number > known.number.saturating_add(STEP_MOST);
-        if list.version <= known || is_absurd {
+        let is_implausible =
+            known.number > 0 && list.version.number > known.number.saturating_add(MAX_VERSION_STEP);
+        if list.version <= known || is_implausible {
             return false;
         }
         record.list = list;
@@ -143,8 +143,11 @@
 
     /// Whether a lead of `region` was heard lately.
     pub fn is_heard(&self, now: Instant, region: &str) -> bool {
-        let heard = self.regions.get(region).and_then(|record| record.heard);
-        heard.is_some_and(|at| now.saturating_duration_since(at) < REGION_SILENT)
+        let last_heard = self
+            .regions
+            .get(region)
+            .and_then(|record| record.last_heard);
+        last_heard.is_some_and(|at| now.saturating_duration_since(at) < REGION_TIMEOUT)
     }
 
     /// The regions whose entries count: those that are heard, and the own one.
@@ -181,11 +184,11 @@
     }
 
     /// What this entry says of all regions; with the leads of others if `to_leads`.
-    pub fn words(&self, now: Instant, to_leads: bool) -> Vec<RegionWord> {
-        let word = |(name, record): (&String, &RegionRecord)| RegionWord {
+    pub fn summaries(&self, now: Instant, to_leads: bool) -> Vec<RegionSummary> {
+        let summary = |(name, record): (&String, &RegionRecord)| RegionSummary {
             region: name.clone(),
             age: record
-                .heard
+                .last_heard
                 .map_or(u32::MAX, |at| millis(now.saturating_duration_since(at))),
             live: record.live,
             list: record.list.version,
@@ -195,6 +198,6 @@
                 Vec::new()
             },
         };
-        self.regions.iter().map(word).collect()
+        self.regions.iter().map(summary).collect()
     }
 }
--- a/crates/place/src/fleet/roster.rs
+++ b/crates/place/src/fleet/roster.rs
@@ -9,22 +9,22 @@
 
 /// An entry counts as live for this long after its last beat: several beats, since
 /// datagrams get lost.
-pub const LIVE_FOR: Duration = Duration::from_millis(2600);
+pub const LIVENESS_TIMEOUT: Duration = Duration::from_millis(2600);
 /// A silent entry is forgotten after this time.
-const REMEMBERED_FOR: Duration = Duration::from_secs(60);
+const RETENTION: Duration = Duration::from_secs(60);
 /// Entries kept at most: a region at the largest fleet has a tenth of it.
-const KEPT: usize = 8192;
+const MAX_ENTRIES: usize = 8192;
 
 #[derive(Debug)]
-struct HeardEntry {
+struct EntryRecord {
     heartbeat: EntryHeartbeat,
-    at: Instant,
+    last_heard: Instant,
 }
 
 /// All entries that were heard.
 #[derive(Debug, Default)]
 pub struct EntryRoster {
-    entries: HashMap<String, HeardEntry>,
+    entries: HashMap<String, EntryRecord>,
 }
 
 /// What a beat changed.
@@ -45,7 +45,7 @@
         if known.is_some_and(|known| known.heartbeat.incarnation > heartbeat.incarnation) {
             return HeartbeatOutcome::Outdated;
         }
-        if known.is_none() && self.entries.len() >= KEPT {
+        if known.is_none() && self.entries.len() >= MAX_ENTRIES {
             return HeartbeatOutcome::Outdated;
         }
         let is_same = known.is_some_and(|known| {
@@ -56,7 +56,13 @@
                 && before.leaving == heartbeat.leaving
         });
         let node = heartbeat.candidate.node.clone();
-        self.entries.insert(node, HeardEntry { heartbeat, at: now });
+        self.entries.insert(
+            node,
+            EntryRecord {
+                heartbeat,
+                last_heard: now,
+            },
+        );
         if is_same {
             HeartbeatOutcome::Same
         } else {
@@ -65,7 +71,7 @@
     }
 
     /// Whether anybody was heard.
-    pub fn has_any(&self) -> bool {
+    pub fn has_entries(&self) -> bool {
         !self.entries.is_empty()
     }
 
@@ -103,10 +109,10 @@
     /// Forgets entries that were silent for long.
     pub fn forget(&mut self, now: Instant) {
         self.entries
-            .retain(|_, known| now.saturating_duration_since(known.at) < REMEMBERED_FOR);
+            .retain(|_, known| now.saturating_duration_since(known.last_heard) < RETENTION);
     }
 }
 
-fn is_live(now: Instant, known: &HeardEntry) -> bool {
-    now.saturating_duration_since(known.at) < LIVE_FOR
+fn is_live(now: Instant, known: &EntryRecord) -> bool {
+    now.saturating_duration_since(known.last_heard) < LIVENESS_TIMEOUT
 }
--- a/crates/place/tests/fleet.rs
+++ b/crates/place/tests/fleet.rs
@@ -7,7 +7,7 @@
 use fleet_world::{DRAIN, FleetWorld, REGIONS, domain_of, ms, region_of};
 use place::fleet::known::StoreWord;
 use place::fleet::log::log_version;
-use place::fleet::message::{PeerMessage, RegionDigest, RegionWord};
+use place::fleet::message::{PeerMessage, RegionDigest, RegionSummary};
 use place::prelude::*;
 
 /// Until a request that was placed is at a server of another region, over a connection that
@@ -435,14 +435,14 @@
     let mut world = settled(60);
     let sender = world.leads(2)[0];
     let words = vec![
-        RegionWord {
+        RegionSummary {
             region: "nowhere".to_owned(),
             age: 0,
             live: 9,
             list: Default::default(),
             candidates: Vec::new(),
         },
-        RegionWord {
+        RegionSummary {
             region: "r1".to_owned(),
             age: 0,
             live: 0,
