--- a/crates/place/src/fleet/member/asking.rs
+++ b/crates/place/src/fleet/member/asking.rs
@@ -10,14 +10,14 @@
 use crate::fleet::reading::ReadRole;
 
 /// Time without a lead after which an entry asks for the operator's rows itself.
-const LONE_WAIT: Duration = Duration::from_millis(400);
+const LONE_WATCH_DELAY: Duration = Duration::from_millis(400);
 /// Part of the time within which an entry needs the store's word on the operator's rows
 /// after which it asks itself: the rest is for two calls, one of which may fail.
-const PROOF_SHARE: f64 = 0.64;
+const PROOF_RENEWAL_FRACTION: f64 = 0.64;
 /// Entries spread over this part of it more.
-const PROOF_SPREAD: f64 = 0.06;
+const PROOF_JITTER_FRACTION: f64 = 0.06;
 /// Entries that get no requests spread over this time more.
-const LONE_SPREAD: Duration = Duration::from_millis(800);
+const LONE_WATCH_JITTER: Duration = Duration::from_millis(800);
 
 /// Time between two questions of a follower for everything, while it is in doubt.
 const DOUBT_PAUSE: Duration = Duration::from_millis(500);
@@ -131,8 +131,8 @@
         let Some(within) = self.own.proof_within.filter(|_| self.is_listed()) else {
             return false;
         };
-        let spread = self.search.spread_over(within.mul_f64(PROOF_SPREAD));
-        let most = within.mul_f64(PROOF_SHARE) + spread;
+        let spread = self.search.jitter(within.mul_f64(PROOF_JITTER_FRACTION));
+        let most = within.mul_f64(PROOF_RENEWAL_FRACTION) + spread;
         self.proof_age(now).is_none_or(|age| age >= most)
     }
 
@@ -142,8 +142,12 @@
         if !self.known.is_complete() {
             return now >= first;
         }
-        let spread = if used { Duration::ZERO } else { LONE_SPREAD };
-        let wait = LONE_WAIT + self.search.spread_over(spread);
+        let spread = if used {
+            Duration::ZERO
+        } else {
+            LONE_WATCH_JITTER
+        };
+        let wait = LONE_WATCH_DELAY + self.search.jitter(spread);
         let since = self.search.since();
         since.is_some_and(|since| now.saturating_duration_since(since) >= wait)
     }
@@ -166,7 +170,7 @@
         }
         ReadRole::Alone {
             used: self.is_listed(),
-            first: self.started + self.search.first_reading(&self.config.candidate),
+            first: self.started + self.search.first_read_delay(&self.config.candidate),
         }
     }
 }
--- a/crates/place/src/fleet/member/hearing.rs
+++ b/crates/place/src/fleet/member/hearing.rs
@@ -7,15 +7,15 @@
 use crate::fleet::candidate::{LEADS, LeadCandidate};
 use crate::fleet::clock::StoreTime;
 use crate::fleet::known::KnownStore;
-use crate::fleet::member::telling::YOUNG_ROWS_EVERY;
+use crate::fleet::member::telling::NEW_LEAD_ROW_CHECK_INTERVAL;
 use crate::fleet::member::{FleetAction, FleetMember};
 use crate::fleet::message::{EntryHeartbeat, LeadHint, PeerMessage, RegionDigest};
 use crate::fleet::roster::HeartbeatOutcome;
 
 /// Shortest time between two lists.
-const LIST_PAUSE: Duration = Duration::from_millis(50);
+const LIST_DEBOUNCE: Duration = Duration::from_millis(50);
 /// Seats told to an entry that looks for its leads.
-const HINTED: usize = 3;
+const MAX_HINTED_CANDIDATES: usize = 3;
 
 impl FleetMember {
     pub(super) fn on_message(
@@ -51,7 +51,7 @@
         }
         if is_near && self.leading.is_some() {
             if news == HeartbeatOutcome::Changed {
-                self.list_due = self.list_due.min(now + LIST_PAUSE);
+                self.list_due = self.list_due.min(now + LIST_DEBOUNCE);
             }
             if seeks {
                 let digest = self.digest(now, false);
@@ -77,7 +77,7 @@
             candidates
         };
         candidates.sort_by_key(|candidate| Reverse(candidate.rank()));
-        candidates.truncate(HINTED);
+        candidates.truncate(MAX_HINTED_CANDIDATES);
         let mut hints = vec![LeadHint {
             region: region.to_owned(),
             candidates,
@@ -101,7 +101,7 @@
         }
         for summary in &digest.regions {
             if summary.region == self.config.region && self.leading.is_some() {
-                self.find_co_leads(now, &summary.candidates);
+                self.find_other_leads(now, &summary.candidates);
                 continue;
             }
             self.regions.on_summary(now, summary);
@@ -137,7 +137,7 @@
     }
 
     /// Looks for leads of the own region that another region knows.
-    fn find_co_leads(&mut self, now: Instant, candidates: &[LeadCandidate]) {
+    fn find_other_leads(&mut self, now: Instant, candidates: &[LeadCandidate]) {
         for candidate in candidates.iter().take(LEADS) {
             let is_heard = self
                 .leads
@@ -180,15 +180,15 @@
         let listed = rows
             .iter()
             .filter(|(region, _)| *region == self.config.region);
-        self.row = listed.map(|(_, address)| *address).collect();
-        let mut others = self.row.iter().filter(|address| **address != own);
+        self.lead_row = listed.map(|(_, address)| *address).collect();
+        let mut others = self.lead_row.iter().filter(|address| **address != own);
         let is_known = |address: &&SocketAddr| {
             let mut candidates = self.candidates.iter().take(LEADS);
             candidates.any(|candidate| candidate.peer_address == **address)
         };
         if !others.all(|address| is_known(&address)) {
             // Somebody else leads the region as well.
-            self.rows_due = self.rows_due.min(now + YOUNG_ROWS_EVERY);
+            self.row_lookup_due = self.row_lookup_due.min(now + NEW_LEAD_ROW_CHECK_INTERVAL);
         }
     }
 }
--- a/crates/place/src/fleet/member/mod.rs
+++ b/crates/place/src/fleet/member/mod.rs
@@ -30,17 +30,17 @@
 use crate::fleet::reading::{ReadOutcome, ReadingPlan, RegistryCall};
 use crate::fleet::regions::RegionTable;
 use crate::fleet::roster::EntryRoster;
-use crate::fleet::seek::LeadSearch;
+use crate::fleet::search::LeadSearch;
 use crate::rank::stable_hash;
 
 /// Time between beats, and between digests of a lead: four in the time after which a
 /// silent entry is taken as gone.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(600);
 /// Time between two looks while something is waited for.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// The same for an entry that hears no lead: each part of a second without one costs
 /// callers answers in time after a loss of all entries.
-const SEARCH_EVERY: Duration = Duration::from_millis(50);
+const SEARCH_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// What an entry must know of itself and its place.
 #[derive(Debug, Clone)]
 pub struct MemberConfig {
@@ -197,8 +197,8 @@
     digest_at: Option<Instant>,
     list_due: Instant,
     role_check_due: Instant,
-    rows_due: Instant,
-    row: Vec<SocketAddr>,
+    row_lookup_due: Instant,
+    lead_row: Vec<SocketAddr>,
     /// Which requests were at servers when these ended.
     ledger: CrashLedger,
     quarantine: QuarantineBook,
@@ -235,8 +235,8 @@
             digest_at: None,
             list_due: now,
             role_check_due: now,
-            rows_due: now,
-            row: Vec::new(),
+            row_lookup_due: now,
+            lead_row: Vec::new(),
             ledger: CrashLedger::default(),
             quarantine: QuarantineBook::default(),
             outbox: CrashOutbox::default(),
@@ -289,8 +289,8 @@
         let waits = self.leading.is_some() || self.pulls.is_behind();
         let due = match silent.filter(|at| !waits && *at > now) {
             Some(at) => self.heartbeat_due.min(at).max(now),
-            None if self.leading.is_none() => self.reviewed_at + SEARCH_EVERY,
-            None => self.reviewed_at + LOOK_EVERY,
+            None if self.leading.is_none() => self.reviewed_at + SEARCH_POLL_INTERVAL,
+            None => self.reviewed_at + POLL_INTERVAL,
         };
         let others = [
             self.crashes_due(),
@@ -369,7 +369,7 @@
     fn review(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         self.reviewed_at = now;
         if now >= self.role_check_due {
-            self.role_check_due = now + SEARCH_EVERY;
+            self.role_check_due = now + SEARCH_POLL_INTERVAL;
             self.leads.forget(now);
             self.review_role(now, actions);
             self.review_regions(now, actions);
@@ -377,7 +377,7 @@
         self.review_list(now, actions);
         self.send_due_heartbeat(now, actions);
         self.review_digest(now, actions);
-        self.review_rows(now, actions);
+        self.maintain_lead_rows(now, actions);
         self.review_doubt(now, actions);
         self.review_pull(now, actions);
         self.review_reading(now, actions);
--- a/crates/place/src/fleet/member/role.rs
+++ b/crates/place/src/fleet/member/role.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use crate::fleet::candidate::{self, LEADS, LeadCandidate};
-use crate::fleet::member::telling::ROW_WAIT;
+use crate::fleet::member::telling::ROW_WRITE_DELAY;
 use crate::fleet::member::{FleetAction, FleetMember, FleetNote};
 
 impl FleetMember {
@@ -30,7 +30,7 @@
             if is_lost && since == now {
                 actions.push(FleetAction::Note(FleetNote::LeadsLost));
             }
-            if self.search.may_lead(now, &own, &self.candidates) {
+            if self.search.should_lead(now, &own, &self.candidates) {
                 self.lead(now, "no lead heard", actions);
             }
         }
@@ -72,7 +72,7 @@
         self.leading = Some(now);
         self.digest_due = now;
         self.list_due = now;
-        self.rows_due = now + ROW_WAIT;
+        self.row_lookup_due = now + ROW_WRITE_DELAY;
         actions.push(FleetAction::Note(FleetNote::Leads(reason)));
     }
 
--- a/crates/place/src/fleet/member/telling.rs
+++ b/crates/place/src/fleet/member/telling.rs
@@ -9,21 +9,21 @@
 use crate::fleet::message::{EntryHeartbeat, PeerMessage, RegionDigest};
 
 /// Shortest time between two digests: what changes at once is told at once.
-const DIGEST_PAUSE: Duration = Duration::from_millis(50);
+const MIN_DIGEST_INTERVAL: Duration = Duration::from_millis(50);
 /// A new lead lists its region's entries after two beats, unless no list is known: one
 /// that lacks entries would send their callers away.
-const ROSTER_WAIT: Duration = Duration::from_millis(1300);
+const LIST_DELAY: Duration = Duration::from_millis(1300);
 /// The same where no list is known: callers that just arrive are told of somebody.
-const FIRST_LIST_WAIT: Duration = Duration::from_millis(50);
+const FIRST_LIST_DELAY: Duration = Duration::from_millis(50);
 /// Time between two looks of a lead at the store's rows of leads.
-const ROWS_EVERY: Duration = Duration::from_secs(15);
+const ROW_CHECK_INTERVAL: Duration = Duration::from_secs(15);
 /// The same for one that leads since lately, and how long that is: after a start without
 /// seeds a region may have many.
-pub(super) const YOUNG_ROWS_EVERY: Duration = Duration::from_secs(4);
-const YOUNG_FOR: Duration = Duration::from_secs(10);
+pub(super) const NEW_LEAD_ROW_CHECK_INTERVAL: Duration = Duration::from_secs(4);
+const NEW_LEAD_PERIOD: Duration = Duration::from_secs(10);
 /// A lead writes its row after this time, so that those of a fleet's first second
 /// write none.
-pub(super) const ROW_WAIT: Duration = Duration::from_millis(1500);
+pub(super) const ROW_WRITE_DELAY: Duration = Duration::from_millis(1500);
 
 impl FleetMember {
     /// Lists the region's entries, where this one is the first of its leads.
@@ -41,9 +41,9 @@
             .list(region)
             .map_or(ListVersion::default(), |list| list.version);
         let wait = if version == ListVersion::default() {
-            FIRST_LIST_WAIT
+            FIRST_LIST_DELAY
         } else {
-            ROSTER_WAIT
+            LIST_DELAY
         };
         if now.saturating_duration_since(since) < wait {
             self.list_due = since + wait;
@@ -94,7 +94,7 @@
         }
         let seeks = !self.hears_lead(now);
         let pause = if seeks && self.leading.is_none() {
-            self.search.pause(now, HEARTBEAT_INTERVAL)
+            self.search.heartbeat_interval(now, HEARTBEAT_INTERVAL)
         } else {
             HEARTBEAT_INTERVAL
         };
@@ -147,14 +147,14 @@
     /// When a lead tells its next digest, where nothing happens before.
     pub(super) fn next_digest(&self) -> Option<Instant> {
         self.leading?;
-        let pause = self.digest_at.map(|at| at + DIGEST_PAUSE);
+        let pause = self.digest_at.map(|at| at + MIN_DIGEST_INTERVAL);
         Some(pause.map_or(self.digest_due, |at| at.max(self.digest_due)))
     }
 
     pub(super) fn review_digest(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         let is_early = self
             .digest_at
-            .is_some_and(|at| now.saturating_duration_since(at) < DIGEST_PAUSE);
+            .is_some_and(|at| now.saturating_duration_since(at) < MIN_DIGEST_INTERVAL);
         if self.leading.is_none() || now < self.digest_due || is_early {
             return;
         }
@@ -215,22 +215,22 @@
     }
 
     /// Keeps the store's row of leads, and looks there for others.
-    pub(super) fn review_rows(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
+    pub(super) fn maintain_lead_rows(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         let Some(since) = self.leading else {
-            if !self.hears_lead(now) && self.search.take_rows(now) {
+            if !self.hears_lead(now) && self.search.take_row_lookup(now) {
                 actions.push(FleetAction::ReadRows);
             }
             return;
         };
-        if now < self.rows_due {
+        if now < self.row_lookup_due {
             return;
         }
-        let is_young = now.saturating_duration_since(since) < YOUNG_FOR;
-        self.rows_due = now
-            + if is_young {
-                YOUNG_ROWS_EVERY
+        let is_new_lead = now.saturating_duration_since(since) < NEW_LEAD_PERIOD;
+        self.row_lookup_due = now
+            + if is_new_lead {
+                NEW_LEAD_ROW_CHECK_INTERVAL
             } else {
-                ROWS_EVERY
+                ROW_CHECK_INTERVAL
             };
         let is_first = self.is_first(now);
         let is_lost = |region| !self.regions.is_heard(now, region);
@@ -242,11 +242,11 @@
             .iter()
             .take(LEADS)
             .map(|candidate| candidate.peer_address);
-        let row: Vec<SocketAddr> = leads.collect();
-        let is_settled = now.saturating_duration_since(since) >= ROW_WAIT;
-        if is_settled && is_first && row != self.row {
-            self.row.clone_from(&row);
-            actions.push(FleetAction::WriteRow(row));
+        let lead_row: Vec<SocketAddr> = leads.collect();
+        let is_settled = now.saturating_duration_since(since) >= ROW_WRITE_DELAY;
+        if is_settled && is_first && lead_row != self.lead_row {
+            self.lead_row.clone_from(&lead_row);
+            actions.push(FleetAction::WriteRow(lead_row));
         }
     }
 }
--- a/crates/place/src/fleet/mod.rs
+++ b/crates/place/src/fleet/mod.rs
@@ -27,4 +27,4 @@
 pub mod reading;
 pub mod regions;
 pub mod roster;
-pub mod seek;
+pub mod search;
--- a/crates/place/src/fleet/seek.rs
+++ b/crates/place/src/fleet/search.rs
@@ -7,37 +7,37 @@
 use crate::fleet::candidate::{LEADS, LeadCandidate};
 
 /// Time between beats of an entry that looks for its leads, for the first seconds.
-const ASK_EVERY: Duration = Duration::from_millis(100);
+const FAST_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 /// After this time it asks as often as others send beats.
-const ASK_FAST_FOR: Duration = Duration::from_secs(2);
+const FAST_HEARTBEAT_PERIOD: Duration = Duration::from_secs(2);
 /// An address that was hinted is asked for this long.
-const HINT_LIFE: Duration = Duration::from_secs(10);
+const HINT_TTL: Duration = Duration::from_secs(10);
 /// Addresses asked at once.
-const ASKED_MOST: usize = 16;
+const MAX_HINTED_ADDRESSES: usize = 16;
 /// Time after its start in which an entry lets others be found: all of a fleet start
 /// within a few tenths of a second.
-const START_WAIT: Duration = Duration::from_millis(250);
+const STARTUP_DELAY: Duration = Duration::from_millis(250);
 /// Longer wait for each doubling of capacity that it lacks of an able entry's, so that
 /// able ones lead.
-const CLASS_WAIT: Duration = Duration::from_millis(250);
+const DELAY_PER_MISSING_CLASS: Duration = Duration::from_millis(250);
 /// Capacity of an able entry, in doublings: 512 requests a second.
-const ABLE_CLASS: u32 = 9;
+const FULL_CAPACITY_CLASS: u32 = 9;
 /// Longest wait for lack of capacity.
-const CLASS_WAIT_MOST: Duration = Duration::from_millis(1500);
+const MAX_CAPACITY_DELAY: Duration = Duration::from_millis(1500);
 /// Entries of the same capacity spread over this time, by hash.
-const SPREAD: Duration = Duration::from_millis(150);
+const JITTER: Duration = Duration::from_millis(150);
 /// Wait of a substitute behind the one before it.
-const SUBSTITUTE_WAIT: Duration = Duration::from_millis(200);
+const SUBSTITUTE_DELAY: Duration = Duration::from_millis(200);
 /// Wait of entries that aren't substitutes, besides what they lack in capacity.
-const OTHERS_WAIT: Duration = Duration::from_millis(1200);
+const NON_SUBSTITUTE_DELAY: Duration = Duration::from_millis(1200);
 /// Longer wait where an abler entry was hinted, so that it comes first.
-const BETTER_WAIT: Duration = Duration::from_millis(1000);
+const BETTER_CANDIDATE_DELAY: Duration = Duration::from_millis(1000);
 /// Time without an answer after which the store's rows are looked at for leads.
-const ROWS_AFTER: Duration = Duration::from_millis(1000);
+const ROW_LOOKUP_DELAY: Duration = Duration::from_millis(1000);
 /// Time between two looks, doubled each time.
-const ROWS_EVERY: Duration = Duration::from_secs(3);
+const ROW_LOOKUP_INTERVAL: Duration = Duration::from_secs(3);
 /// Longest time between two looks.
-const ROWS_SELDOM: Duration = Duration::from_secs(15);
+const MAX_ROW_LOOKUP_INTERVAL: Duration = Duration::from_secs(15);
 
 /// The search of one entry.
 #[derive(Debug)]
@@ -46,12 +46,12 @@
     hinted: BTreeMap<SocketAddr, Instant>,
     since: Option<Instant>,
     /// Whether leads were known before.
-    has_lost: bool,
-    is_better_known: bool,
-    rows_due: Option<Instant>,
-    rows_pause: Duration,
+    has_had_lead: bool,
+    knows_better_candidate: bool,
+    row_lookup_due: Option<Instant>,
+    row_lookup_interval: Duration,
     /// 0 to 1, by the hash of the entry's name.
-    spread: f64,
+    jitter_fraction: f64,
 }
 
 impl LeadSearch {
@@ -61,24 +61,24 @@
             seeds: seeds.to_vec(),
             hinted: BTreeMap::new(),
             since: None,
-            has_lost: false,
-            is_better_known: false,
-            rows_due: None,
-            rows_pause: ROWS_EVERY,
-            spread: (hash % 1024) as f64 / 1024.0,
+            has_had_lead: false,
+            knows_better_candidate: false,
+            row_lookup_due: None,
+            row_lookup_interval: ROW_LOOKUP_INTERVAL,
+            jitter_fraction: (hash % 1024) as f64 / 1024.0,
         }
     }
 
     /// Part of `span`, the same each time, so that entries spread over it.
-    pub fn spread_over(&self, span: Duration) -> Duration {
-        span.mul_f64(self.spread)
+    pub fn jitter(&self, span: Duration) -> Duration {
+        span.mul_f64(self.jitter_fraction)
     }
 
     /// No lead is heard at `now`; since when.
     pub fn begin(&mut self, now: Instant) -> Instant {
-        if self.rows_due.is_none() {
-            self.rows_due = Some(now + ROWS_AFTER + self.spread_over(ROWS_AFTER));
-            self.rows_pause = ROWS_EVERY;
+        if self.row_lookup_due.is_none() {
+            self.row_lookup_due = Some(now + ROW_LOOKUP_DELAY + self.jitter(ROW_LOOKUP_DELAY));
+            self.row_lookup_interval = ROW_LOOKUP_INTERVAL;
         }
         *self.since.get_or_insert(now)
     }
@@ -91,15 +91,15 @@
     /// A lead is heard.
     pub fn end(&mut self) {
         self.since = None;
-        self.rows_due = None;
-        self.has_lost = true;
-        self.is_better_known = false;
+        self.row_lookup_due = None;
+        self.has_had_lead = true;
+        self.knows_better_candidate = false;
     }
 
     /// An entry may lead at `address`; whether that wasn't known.
     pub fn on_address(&mut self, now: Instant, address: SocketAddr) -> bool {
         let is_known = self.hinted.contains_key(&address);
-        if !is_known && self.hinted.len() >= ASKED_MOST {
+        if !is_known && self.hinted.len() >= MAX_HINTED_ADDRESSES {
             return false;
         }
         self.hinted.insert(address, now);
@@ -120,7 +120,7 @@
             .filter(|candidate| candidate.node != own.node)
         {
             is_new |= self.on_address(now, candidate.peer_address) && candidate.leads;
-            self.is_better_known |= candidate.rank() > own.rank();
+            self.knows_better_candidate |= candidate.rank() > own.rank();
         }
         is_new
     }
@@ -133,7 +133,7 @@
     /// The addresses that were hinted lately.
     pub fn hinted(&mut self, now: Instant) -> Vec<SocketAddr> {
         self.hinted
-            .retain(|_, at| now.saturating_duration_since(*at) < HINT_LIFE);
+            .retain(|_, at| now.saturating_duration_since(*at) < HINT_TTL);
         self.hinted.keys().copied().collect()
     }
 
@@ -142,17 +142,21 @@
         &self.seeds
     }
 
-    /// Time until the next beat where beats are usually sent each `usual`.
-    pub fn pause(&self, now: Instant, usual: Duration) -> Duration {
+    /// Time until the next beat where beats are usually sent each `regular`.
+    pub fn heartbeat_interval(&self, now: Instant, regular: Duration) -> Duration {
         let fast = self
             .since
-            .is_some_and(|since| now.saturating_duration_since(since) < ASK_FAST_FOR);
-        if fast { ASK_EVERY } else { usual }
+            .is_some_and(|since| now.saturating_duration_since(since) < FAST_HEARTBEAT_PERIOD);
+        if fast {
+            FAST_HEARTBEAT_INTERVAL
+        } else {
+            regular
+        }
     }
 
     /// Whether the entry with the seat `own` is to lead now; `candidates` are the leads and
     /// substitutes that it knew last.
-    pub fn may_lead(
+    pub fn should_lead(
         &self,
         now: Instant,
         own: &LeadCandidate,
@@ -161,51 +165,52 @@
         let Some(since) = self.since else {
             return false;
         };
-        now.saturating_duration_since(since) >= self.wait(own, candidates)
+        now.saturating_duration_since(since) >= self.election_delay(own, candidates)
     }
 
-    fn wait(&self, own: &LeadCandidate, candidates: &[LeadCandidate]) -> Duration {
+    fn election_delay(&self, own: &LeadCandidate, candidates: &[LeadCandidate]) -> Duration {
         let place = candidates
             .iter()
             .position(|candidate| candidate.node == own.node);
-        if let (true, Some(place)) = (self.has_lost, place) {
-            return SUBSTITUTE_WAIT * place.saturating_sub(LEADS) as u32;
+        if let (true, Some(place)) = (self.has_had_lead, place) {
+            return SUBSTITUTE_DELAY * place.saturating_sub(LEADS) as u32;
         }
-        let first = if self.has_lost {
-            OTHERS_WAIT
+        let first = if self.has_had_lead {
+            NON_SUBSTITUTE_DELAY
         } else {
-            START_WAIT
+            STARTUP_DELAY
         };
-        let better = if self.is_better_known {
-            BETTER_WAIT
+        let better = if self.knows_better_candidate {
+            BETTER_CANDIDATE_DELAY
         } else {
             Duration::ZERO
         };
-        first + class_wait(own) + self.spread_over(SPREAD) + better
+        first + capacity_delay(own) + self.jitter(JITTER) + better
     }
 
     /// Time after its start at which the entry with the seat `own` reads the store if
     /// nobody has told it anything: able ones at once, since callers are sent there.
-    pub fn first_reading(&self, own: &LeadCandidate) -> Duration {
-        let wait = class_wait(own);
-        if wait.is_zero() {
+    pub fn first_read_delay(&self, own: &LeadCandidate) -> Duration {
+        let election_delay = capacity_delay(own);
+        if election_delay.is_zero() {
             return Duration::ZERO;
         }
-        START_WAIT + wait + self.spread_over(SPREAD)
+        STARTUP_DELAY + election_delay + self.jitter(JITTER)
     }
 
     /// Whether to look at the store's rows for leads now; the next look is later.
-    pub fn take_rows(&mut self, now: Instant) -> bool {
-        if self.rows_due.is_none_or(|due| now < due) {
+    pub fn take_row_lookup(&mut self, now: Instant) -> bool {
+        if self.row_lookup_due.is_none_or(|due| now < due) {
             return false;
         }
-        self.rows_due = Some(now + self.rows_pause + self.spread_over(ROWS_EVERY));
-        self.rows_pause = (self.rows_pause * 2).min(ROWS_SELDOM);
+        self.row_lookup_due =
+            Some(now + self.row_lookup_interval + self.jitter(ROW_LOOKUP_INTERVAL));
+        self.row_lookup_interval = (self.row_lookup_interval * 2).min(MAX_ROW_LOOKUP_INTERVAL);
         true
     }
 }
 
-fn class_wait(own: &LeadCandidate) -> Duration {
-    let lacking = ABLE_CLASS.saturating_sub(own.capacity_class());
-    (CLASS_WAIT * lacking).min(CLASS_WAIT_MOST)
+fn capacity_delay(own: &LeadCandidate) -> Duration {
+    let lacking = FULL_CAPACITY_CLASS.saturating_sub(own.capacity_class());
+    (DELAY_PER_MISSING_CLASS * lacking).min(MAX_CAPACITY_DELAY)
 }
