--- a/bin/lh-entry/src/view.rs
+++ b/bin/lh-entry/src/view.rs
@@ -16,11 +16,11 @@
 use place::desired::DesiredState;
 use place::fleet::clock::StoreTime;
 use place::fleet::copies::CopySource;
-use place::fleet::follow::{PullScope, PullTarget};
 use place::fleet::known::{KnownStore, StoreWord};
 use place::fleet::list::{EntryList, ListVersion};
 use place::fleet::log::{RegistryDelta, RegistryLog};
 use place::fleet::mark::ContentMark;
+use place::fleet::pull::{PullScope, PullTarget};
 use place::prelude::FleetEvent;
 use quick_error::quick_error;
 use rollout::order::RolloutRecord;
@@ -295,7 +295,7 @@
         }
         let known = state.fleet.known();
         let (registry, operator) = match target.scope {
-            PullScope::News | PullScope::Ends => (known.registry, known.operator),
+            PullScope::Newer | PullScope::Departures => (known.registry, known.operator),
             PullScope::Registry => (0, known.operator),
             PullScope::All => (0, 0),
         };
@@ -306,7 +306,7 @@
             lists: state.fleet.with_regions(|_, regions| regions.versions()),
             view: state.config.view_address,
             insists,
-            ends: target.scope == PullScope::Ends,
+            ends: target.scope == PullScope::Departures,
         });
         let path = format!("{VIEW_PATH}?{}", URL_SAFE_NO_PAD.encode(query));
         let patience = if known.is_complete() {
--- a/crates/place/src/fleet/member/asking.rs
+++ b/crates/place/src/fleet/member/asking.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 
 use crate::fleet::candidate::LEADS;
-use crate::fleet::follow::{FollowerPlace, PullScope};
 use crate::fleet::leads::LeadRecord;
 use crate::fleet::member::{FleetAction, FleetMember, FleetNote};
+use crate::fleet::pull::{PullContext, PullScope};
 use crate::fleet::reading::ReadRole;
 
 /// Time without a lead after which an entry asks for the operator's rows itself.
@@ -20,7 +20,7 @@
 const LONE_WATCH_JITTER: Duration = Duration::from_millis(800);
 
 /// Time between two questions of a follower for everything, while it is in doubt.
-const DOUBT_PAUSE: Duration = Duration::from_millis(500);
+const REFETCH_BACKOFF: Duration = Duration::from_millis(500);
 
 impl FleetMember {
     /// Compares what is known of the registry with what leads know. A lead believes nobody
@@ -38,7 +38,7 @@
             near.first().copied().filter(|_| near.len() == all)
         };
         let lead = first.map(|lead| lead.candidate.node.clone());
-        if self.doubt.on_review(now, lead.is_some())
+        if self.conflict.on_check(now, lead.is_some())
             && let Some(lead) = lead
         {
             actions.push(FleetAction::Note(FleetNote::Contradicted(lead)));
@@ -48,7 +48,7 @@
     /// Whether everything is to be read anew from the store.
     fn reads_all(&self, now: Instant) -> bool {
         if self.leading.is_some() {
-            return self.reads && self.doubt.is_due(now, self.config.drain);
+            return self.reads && self.conflict.is_due(now, self.config.drain);
         }
         self.lags(now)
     }
@@ -66,8 +66,8 @@
 
     /// The lead that is asked for everything, where what is known is in doubt and can't be
     /// read from the store.
-    fn doubted_lead(&self, now: Instant) -> Option<SocketAddr> {
-        if !self.doubt.is_due(now, DOUBT_PAUSE) || (self.leading.is_some() && self.reads) {
+    fn lead_to_refetch_from(&self, now: Instant) -> Option<SocketAddr> {
+        if !self.conflict.is_due(now, REFETCH_BACKOFF) || (self.leading.is_some() && self.reads) {
             return None;
         }
         let contradicting = self.leads.contradicting(now, &self.known);
@@ -79,21 +79,26 @@
     }
 
     pub(super) fn review_pull(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
-        let place = FollowerPlace {
+        let context = PullContext {
             region: &self.config.region,
             hash: self.hash,
             leads: self.leading.is_some(),
-            far_after: self.readings.pace().deputy,
+            remote_registry_delay: self.readings.pace().deputy,
         };
-        let doubted = self.doubted_lead(now);
-        let next = self
-            .pulls
-            .next(now, place, &self.known, &self.leads, &self.regions, doubted);
+        let conflicting_lead = self.lead_to_refetch_from(now);
+        let next = self.pulls.next_pull(
+            now,
+            context,
+            &self.known,
+            &self.leads,
+            &self.regions,
+            conflicting_lead,
+        );
         if let Some(target) = next {
             match target.scope {
-                PullScope::News | PullScope::Ends => {}
+                PullScope::Newer | PullScope::Departures => {}
                 PullScope::Registry => {
-                    self.doubt.on_acted(now);
+                    self.conflict.on_refetch(now);
                     actions.push(FleetAction::Note(FleetNote::Doubted));
                 }
                 PullScope::All => actions.push(FleetAction::Note(FleetNote::Ahead)),
@@ -108,7 +113,7 @@
         let known_at = self.known.registry_at;
         if let Some(call) = self.readings.take(now, role, known_at, reads_all) {
             if call.whole {
-                self.doubt.on_acted(now);
+                self.conflict.on_refetch(now);
                 actions.push(FleetAction::Note(FleetNote::Doubted));
             }
             actions.push(FleetAction::ReadRegistry(call));
--- a/crates/place/src/fleet/member/crashes.rs
+++ b/crates/place/src/fleet/member/crashes.rs
@@ -79,7 +79,7 @@
             }
         }
         if self.leading.is_some() && !news.is_empty() {
-            let leads = self.far_leads(now);
+            let leads = self.peer_leads(now);
             let leads = self.others(leads);
             actions.push(FleetAction::Send(leads, PeerMessage::Crash(news)));
         }
@@ -147,9 +147,9 @@
             return;
         }
         let leads = if self.leading.is_some() {
-            self.far_leads(now)
+            self.peer_leads(now)
         } else {
-            self.near_leads(now)
+            self.own_region_leads(now)
         };
         let leads = self.others(leads);
         actions.push(FleetAction::Send(leads, PeerMessage::Crash(word)));
@@ -181,7 +181,7 @@
         if word.is_empty() {
             return;
         }
-        let mut targets = self.far_leads(now);
+        let mut targets = self.peer_leads(now);
         targets.extend(self.roster.addresses(now, &self.config.region));
         let targets = self.others(targets);
         actions.push(FleetAction::Send(targets, PeerMessage::Crash(word)));
--- a/crates/place/src/fleet/member/mod.rs
+++ b/crates/place/src/fleet/member/mod.rs
@@ -20,13 +20,13 @@
 use crate::crash::word::{CrashReport, KeptQuarantine};
 use crate::fleet::candidate::LeadCandidate;
 use crate::fleet::clock::{StoreClock, StoreTime};
-use crate::fleet::doubt::ContentDoubt;
-use crate::fleet::follow::{PullState, PullTarget};
+use crate::fleet::conflict::ContentConflict;
 use crate::fleet::known::KnownStore;
 use crate::fleet::leads::LeadTable;
 use crate::fleet::list::EntryList;
 use crate::fleet::message::PeerMessage;
 use crate::fleet::pace::ReadPace;
+use crate::fleet::pull::{PullState, PullTarget};
 use crate::fleet::reading::{ReadOutcome, ReadingPlan, RegistryCall};
 use crate::fleet::regions::RegionTable;
 use crate::fleet::roster::EntryRoster;
@@ -183,7 +183,7 @@
     regions: RegionTable,
     search: LeadSearch,
     pulls: PullState,
-    doubt: ContentDoubt,
+    conflict: ContentConflict,
     readings: ReadingPlan,
     /// Since when it leads its region.
     leading: Option<Instant>,
@@ -223,7 +223,7 @@
             regions: RegionTable::new(&config.region, &config.regions),
             search: LeadSearch::new(&config.seeds, hash),
             pulls: PullState::default(),
-            doubt: ContentDoubt::default(),
+            conflict: ContentConflict::default(),
             readings: ReadingPlan::new(now, ReadPace::new(config.drain), hash),
             leading: None,
             candidates: Vec::new(),
@@ -273,7 +273,7 @@
                     actions.push(FleetAction::ListsChanged);
                 }
             }
-            FleetEvent::Pulled(view, done) => self.pulls.on_pulled(now, view, done),
+            FleetEvent::Pulled(view, done) => self.pulls.on_pull_finished(now, view, done),
             FleetEvent::Rows(rows) => self.on_rows(now, &rows),
             FleetEvent::Kept(rows) => self.on_kept(now, &rows, actions),
             FleetEvent::Crashed(reports) => self.on_crashed(now, &reports),
@@ -294,7 +294,7 @@
         };
         let others = [
             self.crashes_due(),
-            self.doubt.due().filter(|at| *at > now),
+            self.conflict.due().filter(|at| *at > now),
             self.next_digest(),
         ];
         let others = others.into_iter().flatten().map(|at| at.max(now));
--- a/crates/place/src/fleet/member/telling.rs
+++ b/crates/place/src/fleet/member/telling.rs
@@ -99,7 +99,7 @@
             HEARTBEAT_INTERVAL
         };
         self.heartbeat_due = now + pause;
-        let mut targets = self.near_leads(now);
+        let mut targets = self.own_region_leads(now);
         if seeks {
             targets.extend(
                 self.candidates
@@ -119,7 +119,7 @@
     }
 
     /// The leads of the own region, heard or appointed.
-    pub(super) fn near_leads(&self, now: Instant) -> Vec<SocketAddr> {
+    pub(super) fn own_region_leads(&self, now: Instant) -> Vec<SocketAddr> {
         let region = &self.config.region;
         let live_leads = self
             .leads
@@ -165,7 +165,7 @@
         self.digest_due = now + HEARTBEAT_INTERVAL;
         self.digest_at = Some(now);
         let near = self.roster.addresses(now, &self.config.region);
-        let leads: Vec<SocketAddr> = self.far_leads(now);
+        let leads: Vec<SocketAddr> = self.peer_leads(now);
         let mut members = self.others(near);
         members.retain(|address| !leads.contains(address));
         let leads = self.others(leads);
@@ -175,7 +175,7 @@
 
     /// The other leads of the own region and those of all others; where a region isn't
     /// heard, whoever may know them.
-    pub(super) fn far_leads(&mut self, now: Instant) -> Vec<SocketAddr> {
+    pub(super) fn peer_leads(&mut self, now: Instant) -> Vec<SocketAddr> {
         // All that are heard, not only those that their region names: where a region has
         // more than one pair, each learns of the other here.
         let heard = self
--- a/crates/place/src/fleet/mod.rs
+++ b/crates/place/src/fleet/mod.rs
@@ -12,9 +12,8 @@
 
 pub mod candidate;
 pub mod clock;
+pub mod conflict;
 pub mod copies;
-pub mod doubt;
-pub mod follow;
 pub mod front;
 pub mod known;
 pub mod leads;
@@ -24,6 +23,7 @@
 pub mod member;
 pub mod message;
 pub mod pace;
+pub mod pull;
 pub mod reading;
 pub mod regions;
 pub mod roster;
--- a/crates/place/tests/due.rs
+++ b/crates/place/tests/due.rs
@@ -4,10 +4,10 @@
 use std::time::{Duration, Instant};
 
 use place::fleet::candidate::LeadCandidate;
-use place::fleet::follow::PullScope;
 use place::fleet::known::KnownStore;
 use place::fleet::member::MemberConfig;
 use place::fleet::message::{PeerMessage, RegionDigest};
+use place::fleet::pull::PullScope;
 use place::prelude::*;
 
 const DRAIN: Duration = Duration::from_millis(3000);
@@ -88,7 +88,7 @@
             let FleetAction::Pull(target) = action else {
                 continue;
             };
-            assert_eq!(target.scope, PullScope::Ends);
+            assert_eq!(target.scope, PullScope::Departures);
             asked.push(target.view.port());
             member.on_event(now, FleetEvent::Pulled(target.view, true), &mut Vec::new());
         }
--- a/crates/place/tests/fleet_world/mod.rs
+++ b/crates/place/tests/fleet_world/mod.rs
@@ -11,11 +11,11 @@
 use place::crash::word::KeptQuarantine;
 use place::fleet::candidate::LeadCandidate;
 use place::fleet::clock::StoreTime;
-use place::fleet::follow::{PullScope, PullTarget};
 use place::fleet::log::log_version;
 use place::fleet::mark::ContentMark;
 use place::fleet::member::MemberConfig;
 use place::fleet::message::PeerMessage;
+use place::fleet::pull::{PullScope, PullTarget};
 use place::fleet::reading::{ReadOutcome, RegistryCall};
 use place::prelude::*;
 
