--- a/bin/lh-entry/src/fleet.rs
+++ b/bin/lh-entry/src/fleet.rs
@@ -39,7 +39,7 @@
     pub(crate) watching: watch::Sender<bool>,
     /// Asks leads for what they know more.
     pub(crate) client: RefCell<ViewClient>,
-    own: RefCell<OwnState>,
+    own: RefCell<LocalEntryState>,
 }
 
 impl FleetDesk {
@@ -74,10 +74,10 @@
     }
 
     /// Takes in this entry's own state, where it differs.
-    fn on_own(&self, own: OwnState) {
+    fn on_own(&self, own: LocalEntryState) {
         if *self.own.borrow() != own {
             self.own.replace(own.clone());
-            self.on_event(FleetEvent::Own(own));
+            self.on_event(FleetEvent::LocalState(own));
         }
     }
 
@@ -183,7 +183,7 @@
                 rollout::speak(&state, &socket, &words::everybody(&state)).await;
             }
             () = tokio::time::sleep_until(state.fleet.due().into()) => {
-                state.fleet.on_event(FleetEvent::Clock);
+                state.fleet.on_event(FleetEvent::Tick);
             }
             () = state.fleet.wake.notified() => {}
             _ = measure.tick() => {
@@ -210,7 +210,7 @@
     } else {
         String::new()
     };
-    state.fleet.on_own(OwnState {
+    state.fleet.on_own(LocalEntryState {
         ready: state.is_ready(),
         leaving: state.is_stopping(),
         rate: state.told_rate.get(),
@@ -280,21 +280,21 @@
                 FleetAction::WatchOperator(watches) => {
                     state.fleet.watching.send_replace(watches);
                 }
-                FleetAction::ReadRows => {
+                FleetAction::ReadLeadRows => {
                     tokio::task::spawn_local(store_watch::read_rows(Rc::clone(state)));
                 }
-                FleetAction::WriteRow(leads) => {
+                FleetAction::WriteLeadRow(leads) => {
                     tokio::task::spawn_local(store_watch::write_row(Rc::clone(state), leads));
                 }
-                FleetAction::KeepQuarantines(quarantines) => {
+                FleetAction::WriteQuarantineRows(quarantines) => {
                     tokio::task::spawn_local(quarantine::keep(Rc::clone(state), quarantines));
                 }
-                FleetAction::DropQuarantines(prints) => {
+                FleetAction::DeleteQuarantineRows(prints) => {
                     tokio::task::spawn_local(quarantine::drop_rows(Rc::clone(state), prints));
                 }
-                FleetAction::Confirm(at) => state.placer.borrow_mut().catalog.confirm(at),
+                FleetAction::ConfirmRegistry(at) => state.placer.borrow_mut().catalog.confirm(at),
                 FleetAction::ListsChanged => state.refresh_entries(),
-                FleetAction::Note(note) => log_note(state, &note),
+                FleetAction::Log(note) => log_note(state, &note),
             }
         }
     }
@@ -318,46 +318,46 @@
     }
 }
 
-fn log_note(state: &InstanceState, note: &FleetNote) {
+fn log_note(state: &InstanceState, note: &FleetChange) {
     let known = state.fleet.known();
     let age = |at: Option<Instant>| at.map_or(-1, |at| at.elapsed().as_millis() as i64);
     let servers_age_ms = age(known.registry_at);
     let operator_age_ms = age(known.operator_at);
     match note {
-        FleetNote::Suspected(print) => {
+        FleetChange::Suspected(print) => {
             log::info!(print:%; "request was at two servers that ended");
         }
-        FleetNote::Quarantined(print) => {
+        FleetChange::Quarantined(print) => {
             log::warn!(print:%; "request ends servers and is refused");
         }
-        FleetNote::Cleared(print) => {
+        FleetChange::Cleared(print) => {
             log::info!(print:%; "request answered well, nothing is held of it");
         }
-        FleetNote::Leads(reason) => {
+        FleetChange::StartedLeading(reason) => {
             log::info!(reason, servers_age_ms, operator_age_ms; "leads its region");
         }
-        FleetNote::Follows(lead) => {
+        FleetChange::StoppedLeading(lead) => {
             log::info!(lead = lead.as_str(), servers_age_ms, operator_age_ms; "leads no longer");
         }
-        FleetNote::Leaders(leads) => {
+        FleetChange::LeadsChanged(leads) => {
             log::info!(leads = leads.join(" "), servers_age_ms, operator_age_ms; "reader and deputy");
         }
-        FleetNote::LeadsLost => {
+        FleetChange::LeadsLost => {
             log::warn!(servers_age_ms, operator_age_ms; "reader and deputy are silent");
         }
-        FleetNote::Listed(listed, named) => {
+        FleetChange::ListPublished(listed, named) => {
             log::info!(listed, named; "entries of the region listed");
         }
-        FleetNote::Contradicted(lead) => {
+        FleetChange::ConflictingLead(lead) => {
             state.metrics.contradictions.inc();
             let (registry, read) = (known.registry, known.registry_read);
             let content = known.content.to_string();
             log::warn!(lead = lead.as_str(), registry, read, content = content.as_str(), servers_age_ms; "a lead knows other servers");
         }
-        FleetNote::Doubted => {
+        FleetChange::RefetchingRegistry => {
             log::warn!(servers_age_ms; "what is known of servers is in doubt; asking for all");
         }
-        FleetNote::Ahead => {
+        FleetChange::RefetchingAll => {
             log::warn!(servers_age_ms; "what is known is ahead of the store; asking for all");
         }
     }
--- a/bin/lh-entry/src/state.rs
+++ b/bin/lh-entry/src/state.rs
@@ -365,7 +365,7 @@
     /// Tells the fleet when servers whose rows vanished are gone.
     pub(crate) fn note_settles(&self) {
         let settles_at = self.placer.borrow().catalog.settles_at();
-        self.fleet.on_event(FleetEvent::Settles(settles_at));
+        self.fleet.on_event(FleetEvent::RemovalsFinalAt(settles_at));
     }
 
     /// Tells the rollouts of the versions of servers that joined.
--- a/bin/lh-entry/src/view.rs
+++ b/bin/lh-entry/src/view.rs
@@ -207,7 +207,9 @@
     let is_whole = target.scope.is_whole();
     state.metrics.on_pull(is_whole, result.is_ok());
     let done = result.is_ok();
-    state.fleet.on_event(FleetEvent::Pulled(target.view, done));
+    state
+        .fleet
+        .on_event(FleetEvent::PullFinished(target.view, done));
 }
 
 /// The lead's answer, and that of the entry which it names for a copy of the registry.
--- a/bin/lh-entry/src/watch.rs
+++ b/bin/lh-entry/src/watch.rs
@@ -74,7 +74,7 @@
                 let has_news = resume.is_none() || rows.has_news;
                 let as_of = answer_time(begun, wait, Instant::now(), has_news);
                 on_rows(&state, &rows, as_of, resume.is_none());
-                state.fleet.on_event(FleetEvent::Watched(true));
+                state.fleet.on_event(FleetEvent::WatchFinished(true));
             }
             Err(Error::HistoryGone) => {
                 log::info!("history of the operator's rows is gone; reading all");
@@ -84,7 +84,7 @@
             Err(error) => {
                 dependency.lost(&error);
                 on_store_failed(&state);
-                state.fleet.on_event(FleetEvent::Watched(false));
+                state.fleet.on_event(FleetEvent::WatchFinished(false));
                 tokio::time::sleep(pause).await;
                 pause = (pause * 2).min(LONGEST_PAUSE);
             }
@@ -197,7 +197,7 @@
         }
     };
     state.note_settles();
-    state.fleet.on_event(FleetEvent::Read(outcome));
+    state.fleet.on_event(FleetEvent::RegistryRead(outcome));
 }
 
 /// Lets `client` go on from what a lead has told, so that an entry that begins to read
@@ -230,7 +230,7 @@
         .partition(|row| row.key.starts_with(BLOCK_PREFIX));
     state.homes.borrow_mut().on_rows(&blocks);
     let kept = quarantine::read(&others);
-    state.fleet.on_event(FleetEvent::Kept(kept));
+    state.fleet.on_event(FleetEvent::QuarantineRows(kept));
     let mut leads = Vec::new();
     for row in others {
         let Some(region) = row.key.strip_prefix(LEAD_PREFIX) else {
@@ -243,7 +243,7 @@
             }
         }
     }
-    state.fleet.on_event(FleetEvent::Rows(leads));
+    state.fleet.on_event(FleetEvent::LeadRows(leads));
 }
 
 /// Writes who leads the region, for entries that can't find out otherwise.
--- a/crates/emulate/benches/slopes.rs
+++ b/crates/emulate/benches/slopes.rs
@@ -367,7 +367,7 @@
         };
         lead.on_event(start, FleetEvent::Known(known), &mut actions);
         let mut now = start + Duration::from_secs(2);
-        lead.on_event(now, FleetEvent::Clock, &mut actions);
+        lead.on_event(now, FleetEvent::Tick, &mut actions);
         for number in 1..entries {
             lead.on_event(now, FleetEvent::Message(beat(number)), &mut actions);
         }
--- a/crates/place/src/fleet/member/telling.rs
+++ b/crates/place/src/fleet/member/announce.rs
@@ -5,7 +5,7 @@
 
 use crate::fleet::candidate::LEADS;
 use crate::fleet::list::{EntryList, ListVersion, list_entries};
-use crate::fleet::member::{FleetAction, FleetMember, FleetNote, HEARTBEAT_INTERVAL};
+use crate::fleet::member::{FleetAction, FleetChange, FleetMember, HEARTBEAT_INTERVAL};
 use crate::fleet::message::{EntryHeartbeat, PeerMessage, RegionDigest};
 
 /// Shortest time between two digests: what changes at once is told at once.
@@ -27,7 +27,7 @@
 
 impl FleetMember {
     /// Lists the region's entries, where this one is the first of its leads.
-    pub(super) fn review_list(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
+    pub(super) fn update_list(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         let Some(since) = self.leading else {
             return;
         };
@@ -61,7 +61,10 @@
             return;
         }
         let named = entries.iter().filter(|entry| entry.named).count();
-        actions.push(FleetAction::Note(FleetNote::Listed(entries.len(), named)));
+        actions.push(FleetAction::Log(FleetChange::ListPublished(
+            entries.len(),
+            named,
+        )));
         self.regions.on_list(EntryList {
             region: region.clone(),
             version: ListVersion {
@@ -151,7 +154,7 @@
         Some(pause.map_or(self.digest_due, |at| at.max(self.digest_due)))
     }
 
-    pub(super) fn review_digest(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
+    pub(super) fn send_due_digest(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         let is_early = self
             .digest_at
             .is_some_and(|at| now.saturating_duration_since(at) < MIN_DIGEST_INTERVAL);
@@ -218,7 +221,7 @@
     pub(super) fn maintain_lead_rows(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         let Some(since) = self.leading else {
             if !self.hears_lead(now) && self.search.take_row_lookup(now) {
-                actions.push(FleetAction::ReadRows);
+                actions.push(FleetAction::ReadLeadRows);
             }
             return;
         };
@@ -235,7 +238,7 @@
         let is_first = self.is_first(now);
         let is_lost = |region| !self.regions.is_heard(now, region);
         if is_first || self.regions.others().any(is_lost) {
-            actions.push(FleetAction::ReadRows);
+            actions.push(FleetAction::ReadLeadRows);
         }
         let leads = self
             .candidates
@@ -246,7 +249,7 @@
         let is_settled = now.saturating_duration_since(since) >= ROW_WRITE_DELAY;
         if is_settled && is_first && lead_row != self.lead_row {
             self.lead_row.clone_from(&lead_row);
-            actions.push(FleetAction::WriteRow(lead_row));
+            actions.push(FleetAction::WriteLeadRow(lead_row));
         }
     }
 }
--- a/crates/place/src/fleet/member/crashes.rs
+++ b/crates/place/src/fleet/member/crashes.rs
@@ -4,7 +4,7 @@
 
 use crate::crash::print::RequestPrint;
 use crate::crash::word::{CrashReport, CrashWord, KeptQuarantine, PrintStatus};
-use crate::fleet::member::{FleetAction, FleetMember, FleetNote, HEARTBEAT_INTERVAL};
+use crate::fleet::member::{FleetAction, FleetChange, FleetMember, HEARTBEAT_INTERVAL};
 use crate::fleet::message::PeerMessage;
 
 impl FleetMember {
@@ -60,34 +60,34 @@
         word: &CrashWord,
         actions: &mut Vec<FleetAction>,
     ) {
-        let mut news = CrashWord::default();
+        let mut new_facts = CrashWord::default();
         for cleared in &word.cleared {
-            let at = ago(now, cleared.age);
+            let at = instant_before(now, cleared.age);
             if self.clear(at, cleared.print, actions) {
-                news.cleared.push(*cleared);
+                new_facts.cleared.push(*cleared);
             }
         }
         for report in &word.reports {
             if self.ledger.on_report(now, *report) {
-                news.reports.push(*report);
+                new_facts.reports.push(*report);
             }
         }
         for word in &word.statuses {
-            let since = ago(now, word.age);
+            let since = instant_before(now, word.age);
             if self.quarantine.raise(word.print, word.status, since) {
                 self.on_raised(now, word.print, word.status, actions);
             }
         }
-        if self.leading.is_some() && !news.is_empty() {
+        if self.leading.is_some() && !new_facts.is_empty() {
             let leads = self.peer_leads(now);
             let leads = self.others(leads);
-            actions.push(FleetAction::Send(leads, PeerMessage::Crash(news)));
+            actions.push(FleetAction::Send(leads, PeerMessage::Crash(new_facts)));
         }
     }
 
     /// Takes in what the store keeps, so that a quarantine outlives all entries and an
     /// operator can lift it; the first lead of a region mends rows that are missing or over.
-    pub(super) fn on_kept(
+    pub(super) fn on_quarantine_rows(
         &mut self,
         now: Instant,
         rows: &[KeptQuarantine],
@@ -101,24 +101,29 @@
                 .quarantine
                 .raise(row.print, PrintStatus::Quarantined, since)
             {
-                actions.push(FleetAction::Note(FleetNote::Quarantined(row.print)));
+                actions.push(FleetAction::Log(FleetChange::Quarantined(row.print)));
                 self.statuses_due = now;
             }
         }
         self.quarantine.forget(now);
         if self.leading.is_some() && self.is_first(now) {
-            self.mend_rows(now, rows, actions);
+            self.repair_quarantine_rows(now, rows, actions);
         }
     }
 
-    fn mend_rows(&self, now: Instant, rows: &[KeptQuarantine], actions: &mut Vec<FleetAction>) {
+    fn repair_quarantine_rows(
+        &self,
+        now: Instant,
+        rows: &[KeptQuarantine],
+        actions: &mut Vec<FleetAction>,
+    ) {
         let prints = rows.iter().map(|row| row.print);
-        let is_over = |print: &RequestPrint| self.quarantine_left(now, *print).is_none();
-        drop_rows(prints.filter(is_over).collect(), actions);
+        let has_lapsed = |print: &RequestPrint| self.quarantine_left(now, *print).is_none();
+        delete_quarantine_rows(prints.filter(has_lapsed).collect(), actions);
         let is_kept = |print| rows.iter().any(|row| row.print == print);
         let quarantines = self.quarantines(now);
         let missing = quarantines.filter(|(print, _)| !is_kept(*print));
-        keep(missing.collect(), actions);
+        write_quarantine_rows(missing.collect(), actions);
     }
 
     /// When something about such requests is to be told or reviewed.
@@ -129,19 +134,19 @@
         dues.into_iter().flatten().min()
     }
 
-    pub(super) fn review_crashes(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
+    pub(super) fn process_crashes(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         self.quarantine.forget(now);
-        self.tell_reports(now, actions);
+        self.send_reports(now, actions);
         if self.ledger.review_due().is_some_and(|due| now >= due) {
             self.review_ledger(now, actions);
         }
         if self.leading.is_some() && now >= self.statuses_due {
-            self.tell_statuses(now, actions);
+            self.send_statuses(now, actions);
         }
     }
 
     /// Tells the leads what this entry saw itself.
-    fn tell_reports(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
+    fn send_reports(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         let word = self.outbox.take(now);
         if word.is_empty() {
             return;
@@ -163,15 +168,15 @@
             self.ledger.leave();
             return;
         }
-        let news = self.ledger.review(now, &mut self.quarantine);
-        for (print, status) in &news {
+        let new_facts = self.ledger.review(now, &mut self.quarantine);
+        for (print, status) in &new_facts {
             self.on_raised(now, *print, *status, actions);
             self.statuses_due = now;
         }
     }
 
     /// Tells the entries of the region and the other leads what is held of requests.
-    fn tell_statuses(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
+    fn send_statuses(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         self.statuses_due = now + HEARTBEAT_INTERVAL;
         let word = CrashWord {
             reports: Vec::new(),
@@ -193,9 +198,9 @@
         let was_suspect = self.ledger.clear(print);
         let is_news = self.quarantine.clear(print, at);
         if was_held && !self.quarantine.contains(print) {
-            actions.push(FleetAction::Note(FleetNote::Cleared(print)));
+            actions.push(FleetAction::Log(FleetChange::Cleared(print)));
             if self.leading.is_some() && self.is_first(at) {
-                drop_rows(vec![print], actions);
+                delete_quarantine_rows(vec![print], actions);
             }
             self.statuses_due = at;
         }
@@ -217,29 +222,32 @@
         actions: &mut Vec<FleetAction>,
     ) {
         if status == PrintStatus::Suspect {
-            actions.push(FleetAction::Note(FleetNote::Suspected(print)));
+            actions.push(FleetAction::Log(FleetChange::Suspected(print)));
             return;
         }
-        actions.push(FleetAction::Note(FleetNote::Quarantined(print)));
+        actions.push(FleetAction::Log(FleetChange::Quarantined(print)));
         if self.leading.is_some() && self.is_first(now) {
-            keep(vec![(print, Duration::ZERO)], actions);
+            write_quarantine_rows(vec![(print, Duration::ZERO)], actions);
         }
     }
 }
 
-fn keep(quarantines: Vec<(RequestPrint, Duration)>, actions: &mut Vec<FleetAction>) {
+fn write_quarantine_rows(
+    quarantines: Vec<(RequestPrint, Duration)>,
+    actions: &mut Vec<FleetAction>,
+) {
     if !quarantines.is_empty() {
-        actions.push(FleetAction::KeepQuarantines(quarantines));
+        actions.push(FleetAction::WriteQuarantineRows(quarantines));
     }
 }
 
-fn drop_rows(prints: Vec<RequestPrint>, actions: &mut Vec<FleetAction>) {
+fn delete_quarantine_rows(prints: Vec<RequestPrint>, actions: &mut Vec<FleetAction>) {
     if !prints.is_empty() {
-        actions.push(FleetAction::DropQuarantines(prints));
+        actions.push(FleetAction::DeleteQuarantineRows(prints));
     }
 }
 
-fn ago(now: Instant, millis: u32) -> Instant {
+fn instant_before(now: Instant, millis: u32) -> Instant {
     let span = Duration::from_millis(u64::from(millis));
     now.checked_sub(span).unwrap_or(now)
 }
--- a/crates/place/src/fleet/member/asking.rs
+++ b/crates/place/src/fleet/member/fetch.rs
@@ -5,7 +5,7 @@
 
 use crate::fleet::candidate::LEADS;
 use crate::fleet::leads::LeadRecord;
-use crate::fleet::member::{FleetAction, FleetMember, FleetNote};
+use crate::fleet::member::{FleetAction, FleetChange, FleetMember};
 use crate::fleet::pull::{PullContext, PullScope};
 use crate::fleet::reading::ReadRole;
 
@@ -25,7 +25,7 @@
 impl FleetMember {
     /// Compares what is known of the registry with what leads know. A lead believes nobody
     /// and reads anew; a follower that all its leads contradict takes their word.
-    pub(super) fn review_doubt(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
+    pub(super) fn check_conflict(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         let mut contradicting = self.leads.contradicting(now, &self.known);
         let first = if self.leading.is_some() {
             contradicting.next()
@@ -41,7 +41,7 @@
         if self.conflict.on_check(now, lead.is_some())
             && let Some(lead) = lead
         {
-            actions.push(FleetAction::Note(FleetNote::Contradicted(lead)));
+            actions.push(FleetAction::Log(FleetChange::ConflictingLead(lead)));
         }
     }
 
@@ -50,12 +50,12 @@
         if self.leading.is_some() {
             return self.reads && self.conflict.is_due(now, self.config.drain);
         }
-        self.lags(now)
+        self.is_stale(now)
     }
 
     /// Whether a follower's knowledge was confirmed by nobody for too long, though its leads
     /// know newer readings: whatever the reason, it asks the store itself.
-    fn lags(&self, now: Instant) -> bool {
+    fn is_stale(&self, now: Instant) -> bool {
         let most = self.readings.pace().member;
         let is_old =
             |at: Option<Instant>| at.is_some_and(|at| now.saturating_duration_since(at) >= most);
@@ -78,7 +78,7 @@
         newest.map(LeadRecord::view)
     }
 
-    pub(super) fn review_pull(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
+    pub(super) fn start_due_pull(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         let context = PullContext {
             region: &self.config.region,
             hash: self.hash,
@@ -99,22 +99,22 @@
                 PullScope::Newer | PullScope::Departures => {}
                 PullScope::Registry => {
                     self.conflict.on_refetch(now);
-                    actions.push(FleetAction::Note(FleetNote::Doubted));
+                    actions.push(FleetAction::Log(FleetChange::RefetchingRegistry));
                 }
-                PullScope::All => actions.push(FleetAction::Note(FleetNote::Ahead)),
+                PullScope::All => actions.push(FleetAction::Log(FleetChange::RefetchingAll)),
             }
             actions.push(FleetAction::Pull(target));
         }
     }
 
-    pub(super) fn review_reading(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
+    pub(super) fn start_due_reading(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         let role = self.read_role(now);
         let reads_all = self.reads_all(now);
         let known_at = self.known.registry_at;
         if let Some(call) = self.readings.take(now, role, known_at, reads_all) {
             if call.whole {
                 self.conflict.on_refetch(now);
-                actions.push(FleetAction::Note(FleetNote::Doubted));
+                actions.push(FleetAction::Log(FleetChange::RefetchingRegistry));
             }
             actions.push(FleetAction::ReadRegistry(call));
         }
--- a/crates/place/src/fleet/member/mod.rs
+++ b/crates/place/src/fleet/member/mod.rs
@@ -1,14 +1,14 @@
 //! One entry's part in the fleet: whom it hears, whether it leads its region, what it
 //! tells, and when it asks the store.
 //!
-//! Events in, actions out; [`FleetMember::review`] reads top to bottom. What it hears, who
+//! Events in, actions out; [`FleetMember::run_due_tasks`] reads top to bottom. What it hears, who
 //! leads, what it tells and whom it asks are the modules below.
 
-mod asking;
+mod announce;
 mod crashes;
-mod hearing;
+mod fetch;
+mod receive;
 mod role;
-mod telling;
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -62,7 +62,7 @@
 
 /// What changes in an entry and is told to others.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct OwnState {
+pub struct LocalEntryState {
     /// Whether it takes callers now.
     pub ready: bool,
     /// Whether its process is about to end.
@@ -80,11 +80,11 @@
 #[derive(Debug)]
 pub enum FleetEvent {
     /// Time has passed.
-    Clock,
+    Tick,
     /// A datagram came.
     Message(PeerMessage),
     /// Something of its own changed.
-    Own(OwnState),
+    LocalState(LocalEntryState),
     /// It knows more of the store, by whatever way.
     Known(KnownStore),
     /// The store answered a call that began then with its own time; or another entry told
@@ -93,19 +93,19 @@
     /// The process stood still for so long without its clock moving.
     Suspended(Duration),
     /// What came of a reading of the registry that this entry was to make.
-    Read(ReadOutcome),
+    RegistryRead(ReadOutcome),
     /// Servers that are missing in the registry are gone at this time, where there are such.
-    Settles(Option<Instant>),
+    RemovalsFinalAt(Option<Instant>),
     /// The store has answered a watch of the operator's rows, or not.
-    Watched(bool),
+    WatchFinished(bool),
     /// Lists of entries were told.
     Lists(Vec<EntryList>),
     /// The lead at the address has answered a question, or not.
-    Pulled(SocketAddr, bool),
+    PullFinished(SocketAddr, bool),
     /// The store's rows of leads: regions and addresses.
-    Rows(Vec<(String, SocketAddr)>),
+    LeadRows(Vec<(String, SocketAddr)>),
     /// The store's rows of requests in quarantine.
-    Kept(Vec<KeptQuarantine>),
+    QuarantineRows(Vec<KeptQuarantine>),
     /// Requests of this entry that were at a server when it ended.
     Crashed(Vec<CrashReport>),
     /// A server answered a request well that had been at one that ended.
@@ -124,28 +124,28 @@
     /// Watch the operator's rows from now on, or no longer.
     WatchOperator(bool),
     /// Look at the store's rows of leads.
-    ReadRows,
+    ReadLeadRows,
     /// Write the region's row of leads.
-    WriteRow(Vec<SocketAddr>),
+    WriteLeadRow(Vec<SocketAddr>),
     /// Write rows of requests in quarantine, and how long ago they were put there.
-    KeepQuarantines(Vec<(RequestPrint, Duration)>),
+    WriteQuarantineRows(Vec<(RequestPrint, Duration)>),
     /// Delete the rows of requests that are in quarantine no longer.
-    DropQuarantines(Vec<RequestPrint>),
+    DeleteQuarantineRows(Vec<RequestPrint>),
     /// What is known of the registry is as fresh as of this time.
-    Confirm(Instant),
+    ConfirmRegistry(Instant),
     /// The entries that get requests have changed.
     ListsChanged,
     /// Something to be logged.
-    Note(FleetNote),
+    Log(FleetChange),
 }
 
 /// What changed in the fleet, for the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum FleetNote {
+pub enum FleetChange {
     /// This entry leads its region from now on, and why.
-    Leads(&'static str),
+    StartedLeading(&'static str),
     /// It leads no longer, for the entry that is named.
-    Follows(String),
+    StoppedLeading(String),
     /// A request was at two servers when they ended.
     Suspected(RequestPrint),
     /// A request has ended servers and is refused from now on.
@@ -153,18 +153,18 @@
     /// A request that something was held of was answered well.
     Cleared(RequestPrint),
     /// Its region's reader and deputy.
-    Leaders(Vec<String>),
+    LeadsChanged(Vec<String>),
     /// The region's leads are silent.
     LeadsLost,
     /// This entry told a new list with so many entries, so many of them named.
-    Listed(usize, usize),
+    ListPublished(usize, usize),
     /// The lead that is named knows other things of the registry than this entry, though
     /// both have read it.
-    Contradicted(String),
+    ConflictingLead(String),
     /// What is known of the registry is in doubt and is asked for anew.
-    Doubted,
+    RefetchingRegistry,
     /// What was known of the store was ahead of it and is asked for anew.
-    Ahead,
+    RefetchingAll,
 }
 
 /// One entry in the fleet.
@@ -173,8 +173,8 @@
     config: MemberConfig,
     hash: u64,
     started: Instant,
-    reviewed_at: Instant,
-    own: OwnState,
+    last_run: Instant,
+    own: LocalEntryState,
     reads: bool,
     known: KnownStore,
     clock: StoreClock,
@@ -213,8 +213,8 @@
         Self {
             hash,
             started: now,
-            reviewed_at: now,
-            own: OwnState::default(),
+            last_run: now,
+            own: LocalEntryState::default(),
             reads: true,
             known: KnownStore::default(),
             clock: StoreClock::default(),
@@ -248,21 +248,21 @@
     /// Takes in `event`; what is to be done is added to `actions`.
     pub fn on_event(&mut self, now: Instant, event: FleetEvent, actions: &mut Vec<FleetAction>) {
         match event {
-            FleetEvent::Clock => {}
+            FleetEvent::Tick => {}
             FleetEvent::Message(message) => self.on_message(now, message, actions),
-            FleetEvent::Own(own) => self.on_own(now, own),
+            FleetEvent::LocalState(own) => self.on_own(now, own),
             FleetEvent::Known(known) => self.on_known(now, known),
             FleetEvent::StoreTime(begun, time) => self.on_store_time(now, begun, time),
             FleetEvent::Suspended(span) => {
                 self.clock.on_suspended(now, span);
                 self.known.on_suspended(span);
             }
-            FleetEvent::Read(outcome) => {
+            FleetEvent::RegistryRead(outcome) => {
                 self.reads = outcome != ReadOutcome::Failed;
                 self.readings.on_read(now, outcome);
             }
-            FleetEvent::Settles(at) => self.readings.set_settles(at),
-            FleetEvent::Watched(done) => self.reads = done,
+            FleetEvent::RemovalsFinalAt(at) => self.readings.set_settles(at),
+            FleetEvent::WatchFinished(done) => self.reads = done,
             FleetEvent::Lists(lists) => {
                 let newer = lists
                     .into_iter()
@@ -273,13 +273,13 @@
                     actions.push(FleetAction::ListsChanged);
                 }
             }
-            FleetEvent::Pulled(view, done) => self.pulls.on_pull_finished(now, view, done),
-            FleetEvent::Rows(rows) => self.on_rows(now, &rows),
-            FleetEvent::Kept(rows) => self.on_kept(now, &rows, actions),
+            FleetEvent::PullFinished(view, done) => self.pulls.on_pull_finished(now, view, done),
+            FleetEvent::LeadRows(rows) => self.on_rows(now, &rows),
+            FleetEvent::QuarantineRows(rows) => self.on_quarantine_rows(now, &rows, actions),
             FleetEvent::Crashed(reports) => self.on_crashed(now, &reports),
             FleetEvent::Cleared(print) => self.on_cleared(now, print, actions),
         }
-        self.review(now, actions);
+        self.run_due_tasks(now, actions);
     }
 
     /// When to look again if nothing happens before. It doesn't move while time passes: an
@@ -289,8 +289,8 @@
         let waits = self.leading.is_some() || self.pulls.is_behind();
         let due = match silent.filter(|at| !waits && *at > now) {
             Some(at) => self.heartbeat_due.min(at).max(now),
-            None if self.leading.is_none() => self.reviewed_at + SEARCH_POLL_INTERVAL,
-            None => self.reviewed_at + POLL_INTERVAL,
+            None if self.leading.is_none() => self.last_run + SEARCH_POLL_INTERVAL,
+            None => self.last_run + POLL_INTERVAL,
         };
         let others = [
             self.crashes_due(),
@@ -338,7 +338,7 @@
         self.is_lone
     }
 
-    fn on_own(&mut self, now: Instant, own: OwnState) {
+    fn on_own(&mut self, now: Instant, own: LocalEntryState) {
         let is_urgent = own.ready != self.own.ready || own.leaving != self.own.leaving;
         self.own = own;
         if is_urgent {
@@ -366,21 +366,21 @@
         }
     }
 
-    fn review(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
-        self.reviewed_at = now;
+    fn run_due_tasks(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
+        self.last_run = now;
         if now >= self.role_check_due {
             self.role_check_due = now + SEARCH_POLL_INTERVAL;
             self.leads.forget(now);
-            self.review_role(now, actions);
-            self.review_regions(now, actions);
+            self.update_role(now, actions);
+            self.update_regions(now, actions);
         }
-        self.review_list(now, actions);
+        self.update_list(now, actions);
         self.send_due_heartbeat(now, actions);
-        self.review_digest(now, actions);
+        self.send_due_digest(now, actions);
         self.maintain_lead_rows(now, actions);
-        self.review_doubt(now, actions);
-        self.review_pull(now, actions);
-        self.review_reading(now, actions);
-        self.review_crashes(now, actions);
+        self.check_conflict(now, actions);
+        self.start_due_pull(now, actions);
+        self.start_due_reading(now, actions);
+        self.process_crashes(now, actions);
     }
 }
--- a/crates/place/src/fleet/member/hearing.rs
+++ b/crates/place/src/fleet/member/receive.rs
@@ -7,7 +7,7 @@
 use crate::fleet::candidate::{LEADS, LeadCandidate};
 use crate::fleet::clock::StoreTime;
 use crate::fleet::known::KnownStore;
-use crate::fleet::member::telling::NEW_LEAD_ROW_CHECK_INTERVAL;
+use crate::fleet::member::announce::NEW_LEAD_ROW_CHECK_INTERVAL;
 use crate::fleet::member::{FleetAction, FleetMember};
 use crate::fleet::message::{EntryHeartbeat, LeadHint, PeerMessage, RegionDigest};
 use crate::fleet::roster::HeartbeatOutcome;
@@ -114,7 +114,7 @@
         if self.known.confirm(&heard)
             && let Some(at) = self.known.registry_at
         {
-            actions.push(FleetAction::Confirm(at));
+            actions.push(FleetAction::ConfirmRegistry(at));
         }
         let is_near = digest.region == self.config.region;
         if self.leading.is_none() && !(is_near && self.is_followed(&digest.candidate.node)) {
--- a/crates/place/src/fleet/member/role.rs
+++ b/crates/place/src/fleet/member/role.rs
@@ -3,12 +3,12 @@
 use std::time::Instant;
 
 use crate::fleet::candidate::{self, LEADS, LeadCandidate};
-use crate::fleet::member::telling::ROW_WRITE_DELAY;
-use crate::fleet::member::{FleetAction, FleetMember, FleetNote};
+use crate::fleet::member::announce::ROW_WRITE_DELAY;
+use crate::fleet::member::{FleetAction, FleetChange, FleetMember};
 
 impl FleetMember {
     /// Begins or ends to lead.
-    pub(super) fn review_role(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
+    pub(super) fn update_role(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         let own = self.own_candidate(now);
         let top = self.leads.top_lead_of(now, &self.config.region);
         let above = top.filter(|lead| self.leading.is_none() || lead.rank() > own.rank());
@@ -18,7 +18,7 @@
             self.set_candidates(now, candidates, actions);
             match (self.leading, appointed) {
                 (None, true) => self.lead(now, "appointed by the reader", actions),
-                (None, false) if self.reads_alone(now) && !self.own.leaving => {
+                (None, false) if self.is_only_reader(now) && !self.own.leaving => {
                     self.lead(now, "leads are not answered by the store", actions);
                 }
                 (Some(_), false) => self.follow(now, node, actions),
@@ -28,7 +28,7 @@
             let is_lost = !self.candidates.is_empty() && top.is_none();
             let since = self.search.begin(now);
             if is_lost && since == now {
-                actions.push(FleetAction::Note(FleetNote::LeadsLost));
+                actions.push(FleetAction::Log(FleetChange::LeadsLost));
             }
             if self.search.should_lead(now, &own, &self.candidates) {
                 self.lead(now, "no lead heard", actions);
@@ -60,7 +60,9 @@
             leads.map(|candidate| candidate.node.clone()).collect()
         };
         if names(&candidates) != names(&self.candidates) {
-            actions.push(FleetAction::Note(FleetNote::Leaders(names(&candidates))));
+            actions.push(FleetAction::Log(FleetChange::LeadsChanged(names(
+                &candidates,
+            ))));
             // At once: new leads know nobody, and nobody knows them.
             self.heartbeat_due = self.heartbeat_due.min(now);
             self.digest_due = self.digest_due.min(now);
@@ -73,18 +75,18 @@
         self.digest_due = now;
         self.list_due = now;
         self.row_lookup_due = now + ROW_WRITE_DELAY;
-        actions.push(FleetAction::Note(FleetNote::Leads(reason)));
+        actions.push(FleetAction::Log(FleetChange::StartedLeading(reason)));
     }
 
     fn follow(&mut self, now: Instant, lead: String, actions: &mut Vec<FleetAction>) {
         self.leading = None;
         // Those that hear it know at once that it leads no longer.
         self.send_digest(now, actions);
-        actions.push(FleetAction::Note(FleetNote::Follows(lead)));
+        actions.push(FleetAction::Log(FleetChange::StoppedLeading(lead)));
     }
 
     /// Notices regions that fell silent or are heard again.
-    pub(super) fn review_regions(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
+    pub(super) fn update_regions(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         if self.leading.is_some() {
             let live = self.roster.live(now, &self.config.region).count() as u32 + 1;
             self.regions
@@ -108,7 +110,7 @@
 
     /// Whether this entry has read the store itself just now, though no lead of its
     /// region is answered.
-    fn reads_alone(&self, now: Instant) -> bool {
+    fn is_only_reader(&self, now: Instant) -> bool {
         let read_at = self.readings.done_at();
         let reads = read_at
             .is_some_and(|at| now.saturating_duration_since(at) < self.readings.pace().reader);
--- a/crates/place/src/prelude.rs
+++ b/crates/place/src/prelude.rs
@@ -2,7 +2,9 @@
 
 pub use crate::catalog::{CatalogSnapshot, ServerCatalog};
 pub use crate::desired::{DesiredState, RequestKind, RequestLimits, RouteSpec, ServiceSpec};
-pub use crate::fleet::member::{FleetAction, FleetEvent, FleetMember, FleetNote, OwnState};
+pub use crate::fleet::member::{
+    FleetAction, FleetChange, FleetEvent, FleetMember, LocalEntryState,
+};
 pub use crate::placing::placer::{PlacerConfig, RequestPlacer};
 pub use crate::request::{Placement, PlacementRequest, Refusal, RefusalReason, ServerOutcome};
 pub use crate::routes::RouteTable;
--- a/crates/place/tests/due.rs
+++ b/crates/place/tests/due.rs
@@ -44,12 +44,12 @@
     let start = Instant::now();
     let mut member = member(start);
     let mut actions = Vec::new();
-    member.on_event(start, FleetEvent::Clock, &mut actions);
+    member.on_event(start, FleetEvent::Tick, &mut actions);
     let (mut now, mut looked_at) = (start, start);
     for _ in 0..1000 {
         now += WOKEN_EVERY;
         if now >= member.due(now) {
-            member.on_event(now, FleetEvent::Clock, &mut actions);
+            member.on_event(now, FleetEvent::Tick, &mut actions);
             looked_at = now;
         }
         assert!(
@@ -90,7 +90,11 @@
             };
             assert_eq!(target.scope, PullScope::Departures);
             asked.push(target.view.port());
-            member.on_event(now, FleetEvent::Pulled(target.view, true), &mut Vec::new());
+            member.on_event(
+                now,
+                FleetEvent::PullFinished(target.view, true),
+                &mut Vec::new(),
+            );
         }
     }
     assert_eq!(asked, [22, 21]);
--- a/crates/place/tests/fleet.rs
+++ b/crates/place/tests/fleet.rs
@@ -97,7 +97,7 @@
             leads.sort_by_key(|entry| {
                 !matches!(
                     world.entries[*entry].notes.last(),
-                    Some(FleetNote::Leads(_))
+                    Some(FleetChange::StartedLeading(_))
                 )
             });
             for index in lost {
--- a/crates/place/tests/fleet_world/mod.rs
+++ b/crates/place/tests/fleet_world/mod.rs
@@ -111,8 +111,8 @@
     pub datagrams: u64,
     /// Those of them about requests that end servers.
     pub crash_datagrams: u64,
-    pub own: OwnState,
-    pub notes: Vec<FleetNote>,
+    pub own: LocalEntryState,
+    pub notes: Vec<FleetChange>,
     /// The changes of the registry that it knows, by the store's version, with the version of
     /// its log at which it learned of each.
     pub servers: BTreeMap<u64, u64>,
@@ -217,7 +217,7 @@
                 group: 0,
                 datagrams: 0,
                 crash_datagrams: 0,
-                own: OwnState::default(),
+                own: LocalEntryState::default(),
                 notes: Vec::new(),
                 servers: BTreeMap::new(),
                 clock: None,
@@ -323,7 +323,7 @@
                     return;
                 }
                 self.entries[to].clock = None;
-                self.tell(to, FleetEvent::Clock);
+                self.tell(to, FleetEvent::Tick);
             }
             Delivery::ReadEnds { begun, call } => self.end_read(to, begun, call),
             Delivery::PullEnds { from, scope, begun } => self.end_pull(to, from, scope, begun),
@@ -346,9 +346,9 @@
                     lifted: *lifted,
                 });
                 let kept = kept.collect();
-                self.tell(to, FleetEvent::Kept(kept));
+                self.tell(to, FleetEvent::QuarantineRows(kept));
                 let rows = self.row.clone();
-                self.tell(to, FleetEvent::Rows(rows));
+                self.tell(to, FleetEvent::LeadRows(rows));
             }
         }
     }
@@ -364,7 +364,7 @@
             self.act(entry, action);
         }
         let known = *self.entries[entry].member.known();
-        let own = OwnState {
+        let own = LocalEntryState {
             ready: known.is_complete() && !self.entries[entry].own.leaving,
             proof_within: self.proof_within,
             ..self.entries[entry].own.clone()
@@ -380,9 +380,9 @@
         }
     }
 
-    pub fn set_own(&mut self, entry: usize, own: OwnState) {
+    pub fn set_own(&mut self, entry: usize, own: LocalEntryState) {
         self.entries[entry].own = own.clone();
-        self.tell(entry, FleetEvent::Own(own));
+        self.tell(entry, FleetEvent::LocalState(own));
     }
 
     fn act(&mut self, entry: usize, action: FleetAction) {
@@ -422,13 +422,13 @@
                     self.begin_watch(entry, Duration::ZERO);
                 }
             }
-            FleetAction::ReadRows => {
+            FleetAction::ReadLeadRows => {
                 self.calls += 1;
                 if self.is_served(entry) {
                     self.push(self.now + STORE, entry, Delivery::Rows);
                 }
             }
-            FleetAction::KeepQuarantines(quarantines) => {
+            FleetAction::WriteQuarantineRows(quarantines) => {
                 self.calls += 1;
                 if self.is_served(entry) {
                     for (print, age) in quarantines {
@@ -436,13 +436,13 @@
                     }
                 }
             }
-            FleetAction::DropQuarantines(prints) => {
+            FleetAction::DeleteQuarantineRows(prints) => {
                 self.calls += 1;
                 if self.is_served(entry) {
                     self.kept.retain(|print, _| !prints.contains(print));
                 }
             }
-            FleetAction::WriteRow(leads) => {
+            FleetAction::WriteLeadRow(leads) => {
                 self.calls += 1;
                 if self.is_served(entry) {
                     let region = format!("r{}", region_of(entry));
@@ -451,8 +451,8 @@
                     self.row.extend(rows);
                 }
             }
-            FleetAction::Note(note) => self.entries[entry].notes.push(note),
-            FleetAction::Confirm(_) | FleetAction::ListsChanged => {}
+            FleetAction::Log(note) => self.entries[entry].notes.push(note),
+            FleetAction::ConfirmRegistry(_) | FleetAction::ListsChanged => {}
         }
     }
 
@@ -490,7 +490,7 @@
 
     fn end_read(&mut self, entry: usize, begun: Instant, call: RegistryCall) {
         if !self.is_served(entry) {
-            self.tell(entry, FleetEvent::Read(ReadOutcome::Failed));
+            self.tell(entry, FleetEvent::RegistryRead(ReadOutcome::Failed));
             return;
         }
         let mut known = *self.entries[entry].member.known();
@@ -524,12 +524,12 @@
         } else {
             ReadOutcome::Same
         };
-        self.tell(entry, FleetEvent::Read(outcome));
+        self.tell(entry, FleetEvent::RegistryRead(outcome));
     }
 
     fn end_pull(&mut self, entry: usize, from: usize, scope: PullScope, begun: Instant) {
         if !self.reaches(entry, from) || self.entries[entry].deaf {
-            self.tell(entry, FleetEvent::Pulled(address(from), false));
+            self.tell(entry, FleetEvent::PullFinished(address(from), false));
             return;
         }
         let told = *self.entries[from].member.known();
@@ -561,7 +561,7 @@
         let lists = self.entries[from].member.regions().lists_since(&versions);
         self.tell(entry, FleetEvent::Known(known));
         self.tell(entry, FleetEvent::Lists(lists));
-        self.tell(entry, FleetEvent::Pulled(address(from), true));
+        self.tell(entry, FleetEvent::PullFinished(address(from), true));
     }
 
     fn begin_watch(&mut self, entry: usize, wait: Duration) {
@@ -576,7 +576,7 @@
         if let Some((operator, time)) = told {
             self.learn_operator(entry, operator, time);
         }
-        self.tell(entry, FleetEvent::Watched(told.is_some()));
+        self.tell(entry, FleetEvent::WatchFinished(told.is_some()));
         if self.entries[entry].watches && !self.entries[entry].watching {
             let age = self.proof_age(entry).unwrap_or_default();
             let wait = WATCH.saturating_sub(age);
@@ -694,7 +694,7 @@
         known.member = member;
         known.run = run;
         known.alive = true;
-        known.own = OwnState::default();
+        known.own = LocalEntryState::default();
         known.notes.clear();
         known.servers.clear();
         known.clock = None;
