--- a/crates/place/src/fleet/front.rs
+++ b/crates/place/src/fleet/front.rs
@@ -11,23 +11,23 @@
 
 /// Fewest entries that are named where there are as many: the loss of one costs a
 /// third of the callers a second try.
-const LEAST: usize = 3;
+const MIN_NAMED: usize = 3;
 /// Failure domains that the named entries stand in where there are as many.
-const LEAST_DOMAINS: usize = 2;
+const MIN_DOMAINS: usize = 2;
 /// What the named entries can carry, as a multiple of the present rate: a burst of
 /// twice the rate finds them half busy.
 const HEADROOM: f64 = 4.0;
 /// Processor time that a request takes, in seconds: three times the mean that was
 /// measured, for the requests of callers with long heads and bodies.
-const REQUEST_SECONDS: f64 = 0.000_25;
+const CPU_SECONDS_PER_REQUEST: f64 = 0.000_25;
 /// Bits of a request and its answer on an entry's link, on the way in and out: an
 /// answer of 12 kB, the mean of a mix with one large answer in ten.
-const REQUEST_BITS: f64 = 200_000.0;
+const BITS_PER_REQUEST: f64 = 200_000.0;
 /// Requests a second below which an entry that isn't named counts as idle: checks and
 /// callers with old answers.
-const IDLE_RATE: f64 = 3.0;
+const IDLE_RATE_LIMIT: f64 = 3.0;
 /// Weight of the newest rate.
-const RATE_WEIGHT: f64 = 0.3;
+const RATE_SMOOTHING: f64 = 0.3;
 
 /// An entry that takes callers.
 #[derive(Debug, Clone, Copy)]
@@ -47,15 +47,15 @@
 impl FrontEntry<'_> {
     /// Whether it gets requests, named or not.
     pub fn is_used(&self) -> bool {
-        self.rate >= IDLE_RATE
+        self.rate >= IDLE_RATE_LIMIT
     }
 }
 
 /// Requests a second that an instance with `cores` of a processor and a link of
 /// `megabits` a second can carry.
 pub fn capacity(cores: f64, megabits: f64) -> u32 {
-    let processor = cores / REQUEST_SECONDS;
-    let link = megabits * 1e6 / REQUEST_BITS;
+    let processor = cores / CPU_SECONDS_PER_REQUEST;
+    let link = megabits * 1e6 / BITS_PER_REQUEST;
     processor.min(link).max(1.0) as u32
 }
 
@@ -69,25 +69,29 @@
     });
     let mut named = Vec::new();
     for region in order.chunk_by(|one, next| one.region == next.region) {
-        named.extend(able(region));
+        named.extend(select_in_region(region));
     }
     named
 }
 
 /// The first of a region's entries, ordered by capacity, that together carry enough.
-fn able<'a>(region: &[FrontEntry<'a>]) -> Vec<FrontEntry<'a>> {
+fn select_in_region<'a>(region: &[FrontEntry<'a>]) -> Vec<FrontEntry<'a>> {
     let rate: f64 = region.iter().map(|entry| entry.rate).sum();
-    let carried = |count: usize| f64::from(region[count - 1].capacity) * count as f64;
-    let least = LEAST.min(region.len());
-    let counts = least..=region.len();
-    let enough = counts
+    let total_capacity = |count: usize| f64::from(region[count - 1].capacity) * count as f64;
+    let preferred_min = MIN_NAMED.min(region.len());
+    let counts = preferred_min..=region.len();
+    let sufficient = counts
         .clone()
-        .find(|count| carried(*count) >= HEADROOM * rate);
+        .find(|count| total_capacity(*count) >= HEADROOM * rate);
     // Where none suffices, two that carry more than many less able ones do.
-    let pair = LEAST_DOMAINS.min(region.len());
-    let most =
-        || (pair..=region.len()).max_by(|one, other| carried(*one).total_cmp(&carried(*other)));
-    let count = enough.or_else(most).unwrap_or(least);
+    let min_count = MIN_DOMAINS.min(region.len());
+    let largest_capacity = || {
+        (min_count..=region.len())
+            .max_by(|one, other| total_capacity(*one).total_cmp(&total_capacity(*other)))
+    };
+    let count = sufficient
+        .or_else(largest_capacity)
+        .unwrap_or(preferred_min);
     let mut chosen = region[..count].to_vec();
     let first = chosen[0].domain;
     if chosen.iter().all(|entry| entry.domain == first) {
@@ -114,7 +118,7 @@
     /// The smoothed rate, in requests a second, where the last call was `seconds` ago.
     pub fn measure(&mut self, seconds: f64) -> f64 {
         let newest = f64::from(std::mem::take(&mut self.requests)) / seconds.max(0.001);
-        self.rate += RATE_WEIGHT * (newest - self.rate);
+        self.rate += RATE_SMOOTHING * (newest - self.rate);
         self.rate
     }
 }
--- a/crates/place/tests/crash_load.rs
+++ b/crates/place/tests/crash_load.rs
@@ -204,7 +204,8 @@
         self.tally.answered += 1;
         let member = &self.world.entries[job.entry].member;
         if member.has_suspects(self.world.now) && member.suspects(job.print) {
-            self.world.tell(job.entry, FleetEvent::Cleared(job.print));
+            self.world
+                .deliver_event(job.entry, FleetEvent::Cleared(job.print));
         }
     }
 
@@ -245,7 +246,8 @@
         let (ready, left) = self.reports.drain(..).partition(due);
         self.reports = left;
         for (_, entry, report) in ready {
-            self.world.tell(entry, FleetEvent::Crashed(vec![report]));
+            self.world
+                .deliver_event(entry, FleetEvent::Crashed(vec![report]));
         }
     }
 }
--- a/crates/place/tests/crashes.rs
+++ b/crates/place/tests/crashes.rs
@@ -30,7 +30,7 @@
 /// Lets the request end a server for each of `entries`.
 fn crash(world: &mut FleetWorld, entries: &[usize], first_run: u64) {
     for (run, entry) in (first_run..).zip(entries) {
-        world.tell(*entry, FleetEvent::Crashed(vec![report(run, FATAL)]));
+        world.deliver_event(*entry, FleetEvent::Crashed(vec![report(run, FATAL)]));
     }
 }
 
@@ -100,7 +100,7 @@
     let mut world = settled(60);
     crash(&mut world, &[0, 4, 11], 100);
     world.run(ms(1500));
-    assert_eq!(world.kept.len(), 1);
+    assert_eq!(world.quarantine_rows.len(), 1);
     for entry in 0..60 {
         world.kill(entry);
     }
@@ -119,12 +119,12 @@
     crash(&mut world, &[0, 4, 11], 100);
     world.run(ms(1500));
     world.store_down = true;
-    world.tell(20, FleetEvent::Cleared(FATAL));
+    world.deliver_event(20, FleetEvent::Cleared(FATAL));
     world.run(ms(2000));
-    assert_eq!(world.kept.len(), 1);
+    assert_eq!(world.quarantine_rows.len(), 1);
     world.store_down = false;
     world.run(ms(20_000));
-    assert_eq!(world.kept.len(), 0);
+    assert_eq!(world.quarantine_rows.len(), 0);
     assert_eq!(refusing(&world), 0);
 }
 
@@ -135,7 +135,7 @@
     crash(&mut world, &[0, 4, 11], 100);
     world.run(ms(1500));
     assert_eq!(refusing(&world), 60);
-    world.tell(20, FleetEvent::Cleared(FATAL));
+    world.deliver_event(20, FleetEvent::Cleared(FATAL));
     world.run(ms(1500));
     assert_eq!(refusing(&world), 0);
     world.run(ms(10_000));
@@ -148,10 +148,10 @@
     let mut world = settled(60);
     crash(&mut world, &[0, 4, 11], 100);
     world.run(ms(1500));
-    world.kept.insert(FATAL, (world.now, true));
+    world.quarantine_rows.insert(FATAL, (world.now, true));
     world.run(ms(16_000));
     assert_eq!(refusing(&world), 0);
-    assert_eq!(world.kept.len(), 0);
+    assert_eq!(world.quarantine_rows.len(), 0);
     world.run(ms(16_000));
     assert_eq!(refusing(&world), 0);
 }
@@ -162,7 +162,7 @@
     let mut world = settled(60);
     crash(&mut world, &[0, 4, 11], 100);
     world.run(ms(1500));
-    world.tell(20, FleetEvent::Cleared(FATAL));
+    world.deliver_event(20, FleetEvent::Cleared(FATAL));
     world.run(ms(5000));
     let told = |world: &FleetWorld| -> u64 {
         world
--- a/crates/place/tests/fleet.rs
+++ b/crates/place/tests/fleet.rs
@@ -412,7 +412,7 @@
         let mut known = *world.entries[*victim].member.known();
         if *victim != liar && !world.entries[*victim].member.leads() {
             known.registry = u64::MAX - 7;
-            world.tell(*victim, FleetEvent::Known(known));
+            world.deliver_event(*victim, FleetEvent::Known(known));
         }
     }
     world.run(ms(6000));
@@ -466,7 +466,7 @@
     };
     for entry in 0..60 {
         let message = PeerMessage::Digest(Box::new(digest.clone()));
-        world.tell(entry, FleetEvent::Message(message));
+        world.deliver_event(entry, FleetEvent::Message(message));
     }
     world.run(ms(5000));
     assert!(world.is_settled());
@@ -557,7 +557,7 @@
     let mut known = *world.entries[follower].member.known();
     known.operator = world.operator + 5;
     known.desired = known.operator;
-    world.tell(follower, FleetEvent::Known(known));
+    world.deliver_event(follower, FleetEvent::Known(known));
     while world.lacking().contains(&follower) {
         world.run(ms(10));
         let now_known = world.entries[follower].member.known().operator;
--- a/crates/place/tests/fleet_world/mod.rs
+++ b/crates/place/tests/fleet_world/mod.rs
@@ -20,22 +20,22 @@
 use place::prelude::*;
 
 /// One way within a region, and between two.
-const NEAR: Duration = Duration::from_millis(1);
-const FAR: Duration = Duration::from_millis(35);
+const LOCAL_LATENCY: Duration = Duration::from_millis(1);
+const REMOTE_LATENCY: Duration = Duration::from_millis(35);
 /// An answer of the store.
-const STORE: Duration = Duration::from_millis(5);
+const STORE_LATENCY: Duration = Duration::from_millis(5);
 /// How long a watch of the operator's rows stays open.
-const WATCH: Duration = Duration::from_millis(2000);
+const WATCH_DURATION: Duration = Duration::from_millis(2000);
 /// How long an entry waits for an answer of the store.
-const PATIENCE: Duration = Duration::from_millis(1500);
+const STORE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Messages on their way at once in a fleet that isn't answering itself without end.
-const WAITING_MOST: usize = 500_000;
+const MAX_QUEUED_MESSAGES: usize = 500_000;
 /// Within this time a leaving server must get no more requests.
 pub const DRAIN: Duration = Duration::from_millis(2500);
 pub const REGIONS: usize = 3;
 const DOMAINS: usize = 3;
 /// One entry in so many is able.
-const ABLE_EACH: usize = 11;
+const LARGE_ENTRY_INTERVAL: usize = 11;
 
 pub const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -45,27 +45,27 @@
 #[derive(Debug)]
 enum Delivery {
     Datagram(PeerMessage),
-    Clock,
-    ReadEnds {
+    Timer,
+    ReadFinished {
         begun: Instant,
         call: RegistryCall,
     },
-    PullEnds {
+    PullAnswered {
         from: usize,
         scope: PullScope,
         begun: Instant,
     },
-    WatchEnds,
+    WatchAnswered,
     /// An answer of a watch that waited at the process: the rows' version then, and when.
-    WatchTold {
+    QueuedWatchAnswer {
         operator: u64,
         time: StoreTime,
     },
-    Wakes {
+    Resume {
         span: Duration,
         suspended: bool,
     },
-    Rows,
+    StoreRows,
 }
 
 #[derive(Debug)]
@@ -149,7 +149,7 @@
     sent: u64,
     row: Vec<(String, SocketAddr)>,
     /// The store's rows of requests in quarantine: since when, and whether lifted.
-    pub kept: BTreeMap<RequestPrint, (Instant, bool)>,
+    pub quarantine_rows: BTreeMap<RequestPrint, (Instant, bool)>,
     queue: BinaryHeap<Reverse<Arrival>>,
     number: u64,
     seeds: Vec<usize>,
@@ -199,7 +199,7 @@
             changes: Vec::new(),
             sent: 0,
             row: Vec::new(),
-            kept: BTreeMap::new(),
+            quarantine_rows: BTreeMap::new(),
             queue: BinaryHeap::new(),
             number: 0,
             seeds: seeds.to_vec(),
@@ -227,13 +227,13 @@
                 still_until: None,
                 behind: Duration::ZERO,
             });
-            world.push(at, entry, Delivery::Clock);
+            world.push(at, entry, Delivery::Timer);
         }
         world
     }
 
     fn config(&self, entry: usize, run: u64) -> MemberConfig {
-        let is_able = (entry / REGIONS).is_multiple_of(ABLE_EACH);
+        let is_able = (entry / REGIONS).is_multiple_of(LARGE_ENTRY_INTERVAL);
         MemberConfig {
             incarnation: run,
             candidate: LeadCandidate {
@@ -261,7 +261,7 @@
     fn push(&mut self, at: Instant, to: usize, delivery: Delivery) {
         let waiting = self.queue.len();
         assert!(
-            waiting < WAITING_MOST,
+            waiting < MAX_QUEUED_MESSAGES,
             "{waiting} messages are on their way at once"
         );
         self.number += 1;
@@ -302,7 +302,7 @@
         {
             // It waits in the process's queues.
             let waits = match arrival.delivery {
-                Delivery::WatchEnds if self.is_served(to) => Delivery::WatchTold {
+                Delivery::WatchAnswered if self.is_served(to) => Delivery::QueuedWatchAnswer {
                     operator: self.operator,
                     time: self.store_time(),
                 },
@@ -316,45 +316,47 @@
                 self.entries[to].datagrams += 1;
                 let is_crash = matches!(message, PeerMessage::Crash(_));
                 self.entries[to].crash_datagrams += u64::from(is_crash);
-                self.tell(to, FleetEvent::Message(message));
+                self.deliver_event(to, FleetEvent::Message(message));
             }
-            Delivery::Clock => {
+            Delivery::Timer => {
                 if self.entries[to].clock.is_some_and(|due| due > self.now) {
                     return;
                 }
                 self.entries[to].clock = None;
-                self.tell(to, FleetEvent::Tick);
+                self.deliver_event(to, FleetEvent::Tick);
             }
-            Delivery::ReadEnds { begun, call } => self.end_read(to, begun, call),
-            Delivery::PullEnds { from, scope, begun } => self.end_pull(to, from, scope, begun),
-            Delivery::Wakes { span, suspended } => {
+            Delivery::ReadFinished { begun, call } => self.end_read(to, begun, call),
+            Delivery::PullAnswered { from, scope, begun } => self.end_pull(to, from, scope, begun),
+            Delivery::Resume { span, suspended } => {
                 if suspended {
                     self.entries[to].behind += span;
-                    self.tell(to, FleetEvent::Suspended(span));
+                    self.deliver_event(to, FleetEvent::Suspended(span));
                 }
             }
-            Delivery::WatchEnds => {
+            Delivery::WatchAnswered => {
                 let (operator, time) = (self.operator, self.store_time());
                 self.end_watch(to, self.is_served(to).then_some((operator, time)));
             }
-            Delivery::WatchTold { operator, time } => self.end_watch(to, Some((operator, time))),
-            Delivery::Rows => {
-                let kept = self.kept.iter();
-                let kept = kept.map(|(print, (at, lifted))| KeptQuarantine {
+            Delivery::QueuedWatchAnswer { operator, time } => {
+                self.end_watch(to, Some((operator, time)))
+            }
+            Delivery::StoreRows => {
+                let quarantine_rows = self.quarantine_rows.iter();
+                let quarantine_rows = quarantine_rows.map(|(print, (at, lifted))| KeptQuarantine {
                     print: *print,
                     age: self.now - *at,
                     lifted: *lifted,
                 });
-                let kept = kept.collect();
-                self.tell(to, FleetEvent::QuarantineRows(kept));
+                let quarantine_rows = quarantine_rows.collect();
+                self.deliver_event(to, FleetEvent::QuarantineRows(quarantine_rows));
                 let rows = self.row.clone();
-                self.tell(to, FleetEvent::LeadRows(rows));
+                self.deliver_event(to, FleetEvent::LeadRows(rows));
             }
         }
     }
 
     /// Gives `event` to an entry and does what it wants done.
-    pub fn tell(&mut self, entry: usize, event: FleetEvent) {
+    pub fn deliver_event(&mut self, entry: usize, event: FleetEvent) {
         let mut actions = Vec::new();
         let now = self.local(entry, self.now);
         self.entries[entry]
@@ -376,13 +378,13 @@
         let due = self.entries[entry].member.due(now) + behind;
         if self.entries[entry].clock.is_none_or(|clock| clock > due) {
             self.entries[entry].clock = Some(due);
-            self.push(due, entry, Delivery::Clock);
+            self.push(due, entry, Delivery::Timer);
         }
     }
 
     pub fn set_own(&mut self, entry: usize, own: LocalEntryState) {
         self.entries[entry].own = own.clone();
-        self.tell(entry, FleetEvent::LocalState(own));
+        self.deliver_event(entry, FleetEvent::LocalState(own));
     }
 
     fn act(&mut self, entry: usize, action: FleetAction) {
@@ -396,7 +398,7 @@
                 let from = entry_at(view);
                 let delay = 2 * self.delay(entry, from);
                 let begun = self.local(entry, self.now);
-                let ends = Delivery::PullEnds { from, scope, begun };
+                let ends = Delivery::PullAnswered { from, scope, begun };
                 self.push(self.now + delay, entry, ends);
             }
             FleetAction::ReadRegistry(call) => {
@@ -406,14 +408,14 @@
                 let span = if self.is_served(entry) {
                     wait
                 } else if self.entries[entry].silent {
-                    wait + PATIENCE
+                    wait + STORE_TIMEOUT
                 } else {
                     Duration::ZERO
                 };
                 self.push(
-                    self.now + span + STORE,
+                    self.now + span + STORE_LATENCY,
                     entry,
-                    Delivery::ReadEnds { begun, call },
+                    Delivery::ReadFinished { begun, call },
                 );
             }
             FleetAction::WatchOperator(watches) => {
@@ -425,21 +427,22 @@
             FleetAction::ReadLeadRows => {
                 self.calls += 1;
                 if self.is_served(entry) {
-                    self.push(self.now + STORE, entry, Delivery::Rows);
+                    self.push(self.now + STORE_LATENCY, entry, Delivery::StoreRows);
                 }
             }
             FleetAction::WriteQuarantineRows(quarantines) => {
                 self.calls += 1;
                 if self.is_served(entry) {
                     for (print, age) in quarantines {
-                        self.kept.insert(print, (self.now - age, false));
+                        self.quarantine_rows.insert(print, (self.now - age, false));
                     }
                 }
             }
             FleetAction::DeleteQuarantineRows(prints) => {
                 self.calls += 1;
                 if self.is_served(entry) {
-                    self.kept.retain(|print, _| !prints.contains(print));
+                    self.quarantine_rows
+                        .retain(|print, _| !prints.contains(print));
                 }
             }
             FleetAction::WriteLeadRow(leads) => {
@@ -478,9 +481,9 @@
 
     fn delay(&self, from: usize, to: usize) -> Duration {
         if region_of(from) == region_of(to) {
-            NEAR
+            LOCAL_LATENCY
         } else {
-            FAR
+            REMOTE_LATENCY
         }
     }
 
@@ -490,7 +493,7 @@
 
     fn end_read(&mut self, entry: usize, begun: Instant, call: RegistryCall) {
         if !self.is_served(entry) {
-            self.tell(entry, FleetEvent::RegistryRead(ReadOutcome::Failed));
+            self.deliver_event(entry, FleetEvent::RegistryRead(ReadOutcome::Failed));
             return;
         }
         let mut known = *self.entries[entry].member.known();
@@ -518,24 +521,24 @@
         }
         known.registry_read = self.version;
         known.registry_at = Some(begun + call.wait);
-        self.tell(entry, FleetEvent::Known(known));
+        self.deliver_event(entry, FleetEvent::Known(known));
         let outcome = if is_news {
             ReadOutcome::Changed
         } else {
             ReadOutcome::Same
         };
-        self.tell(entry, FleetEvent::RegistryRead(outcome));
+        self.deliver_event(entry, FleetEvent::RegistryRead(outcome));
     }
 
     fn end_pull(&mut self, entry: usize, from: usize, scope: PullScope, begun: Instant) {
         if !self.reaches(entry, from) || self.entries[entry].deaf {
-            self.tell(entry, FleetEvent::PullFinished(address(from), false));
+            self.deliver_event(entry, FleetEvent::PullFinished(address(from), false));
             return;
         }
         let told = *self.entries[from].member.known();
         let answered = self.local(from, self.now) - self.delay(entry, from);
         let latest = self.entries[from].member.latest_store_time(answered);
-        self.tell(entry, FleetEvent::StoreTime(begun, latest));
+        self.deliver_event(entry, FleetEvent::StoreTime(begun, latest));
         let mut known = *self.entries[entry].member.known();
         let whole = scope.is_whole();
         if whole || known.is_behind_registry(&told) {
@@ -559,16 +562,20 @@
         known.confirm_operator(&told);
         let versions = self.entries[entry].member.regions().versions();
         let lists = self.entries[from].member.regions().lists_since(&versions);
-        self.tell(entry, FleetEvent::Known(known));
-        self.tell(entry, FleetEvent::Lists(lists));
-        self.tell(entry, FleetEvent::PullFinished(address(from), true));
+        self.deliver_event(entry, FleetEvent::Known(known));
+        self.deliver_event(entry, FleetEvent::Lists(lists));
+        self.deliver_event(entry, FleetEvent::PullFinished(address(from), true));
     }
 
     fn begin_watch(&mut self, entry: usize, wait: Duration) {
         self.calls += 1;
         self.entries[entry].watching = true;
         self.entries[entry].watch_begun = self.local(entry, self.now);
-        self.push(self.now + wait + STORE, entry, Delivery::WatchEnds);
+        self.push(
+            self.now + wait + STORE_LATENCY,
+            entry,
+            Delivery::WatchAnswered,
+        );
     }
 
     fn end_watch(&mut self, entry: usize, told: Option<(u64, StoreTime)>) {
@@ -576,24 +583,24 @@
         if let Some((operator, time)) = told {
             self.learn_operator(entry, operator, time);
         }
-        self.tell(entry, FleetEvent::WatchFinished(told.is_some()));
+        self.deliver_event(entry, FleetEvent::WatchFinished(told.is_some()));
         if self.entries[entry].watches && !self.entries[entry].watching {
             let age = self.proof_age(entry).unwrap_or_default();
-            let wait = WATCH.saturating_sub(age);
+            let wait = WATCH_DURATION.saturating_sub(age);
             self.begin_watch(entry, if told.is_some() { wait } else { ms(1200) });
         }
     }
 
     fn learn_operator(&mut self, entry: usize, operator: u64, time: StoreTime) {
         let begun = self.entries[entry].watch_begun;
-        self.tell(entry, FleetEvent::StoreTime(begun, time));
+        self.deliver_event(entry, FleetEvent::StoreTime(begun, time));
         let mut known = *self.entries[entry].member.known();
         known.operator = known.operator.max(operator);
         known.operator_read = self.version;
         known.operator_at = Some(self.local(entry, self.now));
         known.desired = known.desired.max(operator);
         known.proved = known.proved.max(time);
-        self.tell(entry, FleetEvent::Known(known));
+        self.deliver_event(entry, FleetEvent::Known(known));
     }
 
     /// The store's own clock, which has run for a while.
@@ -610,7 +617,7 @@
     pub fn stand_still(&mut self, entry: usize, span: Duration, suspended: bool) {
         let until = self.now + span;
         self.entries[entry].still_until = Some(until);
-        self.push(until, entry, Delivery::Wakes { span, suspended });
+        self.push(until, entry, Delivery::Resume { span, suspended });
     }
 
     /// Whether it stands still now.
@@ -650,7 +657,7 @@
         known.registry = log_version(version);
         known.registry_read = version;
         known.registry_at = Some(self.local(entry, self.now));
-        self.tell(entry, FleetEvent::Known(known));
+        self.deliver_event(entry, FleetEvent::Known(known));
     }
 
     /// Live entries that don't know all of the registry, whatever they think.
@@ -702,7 +709,7 @@
         known.watching = false;
         known.still_until = None;
         known.behind = Duration::ZERO;
-        self.push(self.now, entry, Delivery::Clock);
+        self.push(self.now, entry, Delivery::Timer);
     }
 
     /// Numbers of the live entries.
--- a/crates/place/tests/proofs.rs
+++ b/crates/place/tests/proofs.rs
@@ -215,8 +215,8 @@
         world.run(ms(200));
         let ahead = StoreTime(world.store_time().0 + 5_000 + turn);
         let forged = digest(&world, ahead);
-        world.tell(follower, FleetEvent::Message(forged));
-        world.tell(follower, FleetEvent::Message(old.clone()));
+        world.deliver_event(follower, FleetEvent::Message(forged));
+        world.deliver_event(follower, FleetEvent::Message(old.clone()));
     }
     let age = world.proof_age(follower).unwrap_or(Duration::MAX);
     assert!(age >= ms(5900), "{age:?}");
