--- a/crates/place/src/fleet/candidate.rs
+++ b/crates/place/src/fleet/candidate.rs
@@ -1,64 +1,64 @@
-//! Which entries of a region lead it.
+//! Selection of a region's leads.
 //!
-//! The order is the same at all entries, so that those that hear of the same ones agree
-//! without a vote. Entries that lead stay leads while others are merely as able: a
-//! change costs all of the region a look at another entry.
+//! All entries rank candidates by the same key, so entries that know the same candidates
+//! agree without a vote. A current lead is only replaced by a better candidate, not by an
+//! equal one: every change makes all entries of the region switch to another lead.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
 
 use crate::rank::stable_hash;
 
-/// Leads of a region: the reader and its deputy.
+/// Leads per region: the reader and its deputy.
 pub const LEADS: usize = 2;
-/// Entries that are named besides, one of a failure domain, to lead where both leads
-/// are lost or out of reach.
+/// Substitutes listed after the leads, at most one per failure domain. They take over
+/// when both leads are lost or unreachable.
 const MAX_SUBSTITUTES: usize = 6;
-/// An entry replaces a lead where it is abler by so many doublings of capacity: a lead
-/// of a tenth of the others' link holds up a whole region.
+/// Capacity classes by which another entry must exceed a lead to replace it. A lead with
+/// a tenth of the others' link bandwidth slows down a whole region.
 const REPLACEMENT_CLASS_MARGIN: u32 = 2;
 
 base::common! {
-    /// An entry that leads its region or may come to lead it.
+    /// An entry that leads its region or is eligible to.
     #[derive(Eq)]
     pub struct LeadCandidate {
         /// The instance's name.
         pub node: String,
         /// Its failure domain.
         pub domain: String,
-        /// Where it takes datagrams.
+        /// Address for datagrams from other entries.
         pub peer_address: SocketAddr,
-        /// Where it tells what it knows.
+        /// Address from which other entries pull data.
         pub view: SocketAddr,
-        /// Requests a second that it can carry.
+        /// Requests per second it can handle.
         pub capacity: u32,
-        /// Whether the store answered its last call, or it made none.
+        /// Whether its last call to the store succeeded, or it has made none yet.
         pub reads: bool,
-        /// Whether it leads now.
+        /// Whether it is currently a lead.
         pub leads: bool,
     }
 }
 
-/// What an entry is worth as a lead; the largest comes first.
+/// Sort key of a candidate; the greatest is the best.
 pub type CandidateRank = (bool, u32, bool, u64);
 
 impl LeadCandidate {
-    /// Its place among others: whether the store answers it, its capacity in doublings,
-    /// whether it leads, and a hash. Callers are sent to entries of the same capacity
-    /// by ascending hash, so that leads are seldom the busiest.
+    /// Ranks by store access, capacity class, current role, and finally by hash. Callers
+    /// are directed to entries of equal capacity in ascending hash order, so leads are
+    /// rarely the busiest entries.
     pub fn rank(&self) -> CandidateRank {
         let hash = stable_hash(self.node.as_bytes());
         (self.reads, self.capacity_class(), self.leads, hash)
     }
 
-    /// The capacity in doublings.
+    /// Binary logarithm of the capacity.
     pub fn capacity_class(&self) -> u32 {
         self.capacity.max(1).ilog2()
     }
 }
 
-/// The leads that a region should have, then substitutes: `leading` are those that lead
-/// now, `others` all other entries that may.
+/// Returns the region's leads, followed by substitutes. `leading` holds the current leads
+/// and `others` all other candidates.
 pub fn choose(
     mut leading: Vec<LeadCandidate>,
     mut others: Vec<LeadCandidate>,
@@ -74,8 +74,8 @@
             .position(|candidate| leading.iter().all(|known| known.domain != candidate.domain));
         leading.push(others.remove(other_domain.unwrap_or(0)));
     }
-    // Whether the store answered them doesn't count here: while it is down, entry after
-    // entry would come to try it.
+    // Store access is ignored here: during a store outage, one entry after another would
+    // otherwise be tried.
     others.sort_by_key(|candidate| {
         let (_, capacity_class, _, hash) = candidate.rank();
         Reverse((capacity_class, hash))
--- a/crates/place/src/fleet/front.rs
+++ b/crates/place/src/fleet/front.rs
@@ -1,35 +1,36 @@
-//! Which entries of a region callers are told to use.
+//! Selection of the entries that are advertised to callers.
 //!
-//! Callers pick one of those that a look-up names at random, so all that are named
-//! get the same share, and the least able one decides how much they carry together.
-//! Few able entries, which know most of what is sent, place requests better than
-//! many: the others stand by, and take over when load grows or entries are lost.
+//! A caller picks one of the advertised entries at random, so all of them get the same
+//! share of requests and the one with the lowest capacity limits the total. A few entries
+//! with a high capacity, which see most of the requests, place them better than many
+//! would. The other entries are spares that take over when the load grows or entries are
+//! lost.
 
 use std::cmp::Reverse;
 
 use crate::rank::stable_hash;
 
-/// Fewest entries that are named where there are as many: the loss of one costs a
-/// third of the callers a second try.
+/// Minimum number of advertised entries, if there are enough. With three, the loss of one
+/// makes a third of the callers retry.
 const MIN_NAMED: usize = 3;
-/// Failure domains that the named entries stand in where there are as many.
+/// Minimum number of failure domains of the advertised entries, if there are enough.
 const MIN_DOMAINS: usize = 2;
-/// What the named entries can carry, as a multiple of the present rate: a burst of
-/// twice the rate finds them half busy.
+/// Required capacity of the advertised entries, as a multiple of the current rate: at
+/// twice the rate they are half utilized.
 const HEADROOM: f64 = 4.0;
-/// Processor time that a request takes, in seconds: three times the mean that was
-/// measured, for the requests of callers with long heads and bodies.
+/// CPU time per request in seconds: three times the measured mean, to allow for callers
+/// with large headers and bodies.
 const CPU_SECONDS_PER_REQUEST: f64 = 0.000_25;
-/// Bits of a request and its answer on an entry's link, on the way in and out: an
-/// answer of 12 kB, the mean of a mix with one large answer in ten.
+/// Bits per request and response on an entry's link, in both directions together: a
+/// response of 12 kB, the mean of a mix with one large response in ten.
 const BITS_PER_REQUEST: f64 = 200_000.0;
-/// Requests a second below which an entry that isn't named counts as idle: checks and
-/// callers with old answers.
+/// Requests per second below which an entry that is not advertised counts as idle. Health
+/// checks and callers with an outdated lookup cause a few.
 const IDLE_RATE_LIMIT: f64 = 3.0;
-/// Weight of the newest rate.
+/// Weight of the newest sample in the exponential moving average.
 const RATE_SMOOTHING: f64 = 0.3;
 
-/// An entry that takes callers.
+/// An entry that accepts callers.
 #[derive(Debug, Clone, Copy)]
 pub struct FrontEntry<'a> {
     /// The instance's name.
@@ -38,29 +39,29 @@
     pub domain: &'a str,
     /// Its region.
     pub region: &'a str,
-    /// Requests a second that it can carry.
+    /// Requests per second it can handle.
     pub capacity: u32,
-    /// Requests a second that it gets.
+    /// Requests per second it receives.
     pub rate: f64,
 }
 
 impl FrontEntry<'_> {
-    /// Whether it gets requests, named or not.
+    /// Whether it receives requests, advertised or not.
     pub fn is_used(&self) -> bool {
         self.rate >= IDLE_RATE_LIMIT
     }
 }
 
-/// Requests a second that an instance with `cores` of a processor and a link of
-/// `megabits` a second can carry.
+/// Returns the requests per second that an instance with `cores` CPU cores and a link of
+/// `megabits` per second can handle.
 pub fn capacity(cores: f64, megabits: f64) -> u32 {
     let processor = cores / CPU_SECONDS_PER_REQUEST;
     let link = megabits * 1e6 / BITS_PER_REQUEST;
     processor.min(link).max(1.0) as u32
 }
 
-/// The entries among `entries` that callers should be told of, region by region; the
-/// same at all entries that know the same.
+/// Returns the entries to advertise to callers, region by region. The result is the same
+/// at all entries that know the same `entries`.
 pub fn named<'a>(entries: &[FrontEntry<'a>]) -> Vec<FrontEntry<'a>> {
     let mut order = entries.to_vec();
     order.sort_by_key(|entry| {
@@ -74,7 +75,8 @@
     named
 }
 
-/// The first of a region's entries, ordered by capacity, that together carry enough.
+/// Returns as many of a region's entries, ordered by capacity, as are sufficient for its
+/// rate.
 fn select_in_region<'a>(region: &[FrontEntry<'a>]) -> Vec<FrontEntry<'a>> {
     let rate: f64 = region.iter().map(|entry| entry.rate).sum();
     let total_capacity = |count: usize| f64::from(region[count - 1].capacity) * count as f64;
@@ -83,7 +85,8 @@
     let sufficient = counts
         .clone()
         .find(|count| total_capacity(*count) >= HEADROOM * rate);
-    // Where none suffices, two that carry more than many less able ones do.
+    // If no number is sufficient, take the one with the largest total capacity, which may
+    // be two large entries rather than many small ones.
     let min_count = MIN_DOMAINS.min(region.len());
     let largest_capacity = || {
         (min_count..=region.len())
@@ -95,14 +98,15 @@
     let mut chosen = region[..count].to_vec();
     let first = chosen[0].domain;
     if chosen.iter().all(|entry| entry.domain == first) {
-        // The loss of their failure domain must not leave the region without one.
+        // The loss of one failure domain must not leave the region without an advertised
+        // entry.
         let other = region.iter().find(|entry| entry.domain != first);
         chosen.extend(other);
     }
     chosen
 }
 
-/// Counts requests, and tells their rate.
+/// Measures the rate of requests.
 #[derive(Debug, Default)]
 pub struct RateMeter {
     requests: u32,
@@ -110,12 +114,13 @@
 }
 
 impl RateMeter {
-    /// A caller's request arrived.
+    /// Counts a request from a caller.
     pub fn on_request(&mut self) {
         self.requests += 1;
     }
 
-    /// The smoothed rate, in requests a second, where the last call was `seconds` ago.
+    /// Returns the smoothed rate in requests per second; `seconds` is the time since the
+    /// last call.
     pub fn measure(&mut self, seconds: f64) -> f64 {
         let newest = f64::from(std::mem::take(&mut self.requests)) / seconds.max(0.001);
         self.rate += RATE_SMOOTHING * (newest - self.rate);
--- a/crates/place/src/fleet/leads.rs
+++ b/crates/place/src/fleet/leads.rs
@@ -1,4 +1,4 @@
-//! The leads that an entry hears, by their digests.
+//! Leads known from their digests.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,53 +9,54 @@
 use crate::fleet::list::ListVersion;
 use crate::fleet::message::RegionDigest;
 
-/// A lead that was silent for this long is done without: two digests may get lost.
+/// Time without a digest after which a lead counts as lost. Two digests in a row may be
+/// lost in transit.
 pub const LEAD_TIMEOUT: Duration = Duration::from_millis(1500);
-/// A silent lead is forgotten after this time.
+/// Time without a digest after which a lead is removed from the table.
 const RETENTION: Duration = Duration::from_secs(60);
 
-/// A lead as it was heard last.
+/// A lead according to its last digest.
 #[derive(Debug, Clone)]
 pub struct LeadRecord {
-    /// The lead.
+    /// The lead as a candidate.
     pub candidate: LeadCandidate,
-    /// Its region.
+    /// The lead's region.
     pub region: String,
-    /// Whether its process is about to end.
+    /// Whether its process is shutting down, or it is no longer a lead.
     pub leaving: bool,
-    /// What it knows of the store.
+    /// Its state of the store.
     pub known: KnownStore,
-    /// The lists of entries that it knows.
+    /// Versions of its lists of entries, by region.
     pub lists: Vec<(String, ListVersion)>,
-    /// Who leads its region by its word, and substitutes.
+    /// The leads and substitutes of its region according to this lead.
     pub candidates: Vec<LeadCandidate>,
     incarnation: u64,
     at: Instant,
 }
 
-/// All leads that were heard.
+/// All known leads.
 #[derive(Debug, Default)]
 pub struct LeadTable {
     leads: HashMap<String, LeadRecord>,
 }
 
 impl LeadRecord {
-    /// Its place among others.
+    /// Returns its rank among candidates.
     pub fn rank(&self) -> CandidateRank {
         self.candidate.rank()
     }
 
-    /// Where it tells what it knows.
+    /// Returns the address from which other entries pull its data.
     pub fn view(&self) -> SocketAddr {
         self.candidate.view
     }
 
-    /// Its run: smaller the earlier it began.
+    /// Returns its process incarnation; the smaller, the earlier the process started.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Whether `node` leads the region by this one's word.
+    /// Whether `node` is a lead of the region according to this lead.
     pub fn appoints_lead(&self, node: &str) -> bool {
         let mut leads = self.candidates.iter().take(LEADS);
         leads.any(|candidate| candidate.node == node)
@@ -63,7 +64,7 @@
 }
 
 impl LeadTable {
-    /// Takes in a digest; one of an earlier run changes nothing and gives `false`.
+    /// Applies a digest. Ignores a digest of an earlier incarnation and returns `false`.
     pub fn on_digest(&mut self, now: Instant, digest: &RegionDigest) -> bool {
         let known = self.leads.get(&digest.candidate.node);
         if known.is_some_and(|lead| lead.incarnation > digest.incarnation) {
@@ -93,14 +94,14 @@
         true
     }
 
-    /// The leads that are heard and stay.
+    /// Returns the leads that are neither silent nor stepping down.
     pub fn live_leads(&self, now: Instant) -> impl Iterator<Item = &LeadRecord> {
         self.leads.values().filter(move |lead| {
             !lead.leaving && now.saturating_duration_since(lead.at) < LEAD_TIMEOUT
         })
     }
 
-    /// Those of `region`.
+    /// Returns the live leads of `region`.
     pub fn live_leads_of<'a>(
         &'a self,
         now: Instant,
@@ -110,7 +111,7 @@
             .filter(move |lead| lead.region == region)
     }
 
-    /// The leads that contradict what is `known`.
+    /// Returns the live leads whose registry content conflicts with `known`.
     pub fn contradicting<'a>(
         &'a self,
         now: Instant,
@@ -120,20 +121,20 @@
             .filter(|lead| known.contradicts(&lead.known))
     }
 
-    /// When the last lead of `region` will have been silent for too long.
+    /// Returns when the last lead of `region` times out unless another digest arrives.
     pub fn timeout_at(&self, region: &str) -> Option<Instant> {
         let near = self.leads.values().filter(|lead| lead.region == region);
         let staying = near.filter(|lead| !lead.leaving);
         staying.map(|lead| lead.at + LEAD_TIMEOUT).max()
     }
 
-    /// The first of them.
+    /// Returns the live lead of `region` with the highest rank.
     pub fn top_lead_of(&self, now: Instant, region: &str) -> Option<&LeadRecord> {
         let near = self.live_leads(now).filter(|lead| lead.region == region);
         near.max_by_key(|lead| lead.rank())
     }
 
-    /// Forgets leads that were silent for long.
+    /// Removes leads that have been silent for longer than `RETENTION`.
     pub fn forget(&mut self, now: Instant) {
         self.leads
             .retain(|_, lead| now.saturating_duration_since(lead.at) < RETENTION);
--- a/crates/place/src/fleet/list.rs
+++ b/crates/place/src/fleet/list.rs
@@ -1,4 +1,5 @@
-//! The entries of a region that get requests, as its reader lists them for all.
+//! Lists of the entries of a region that receive requests, published by the region's
+//! reader.
 
 use std::net::SocketAddr;
 
@@ -7,63 +8,63 @@
 use crate::rank::stable_hash;
 
 base::common! {
-    /// Orders the lists of a region: its reader counts on from the newest it has seen.
+    /// Version of a region's list. The reader increments the newest version it has seen.
     #[derive(Copy, Eq, Default, PartialOrd, Ord)]
     pub struct ListVersion {
-        /// Rises from list to list.
+        /// Increases with every list.
         pub number: u64,
-        /// Hash of the name of the entry that made the list: tells apart two that were
-        /// made at once.
+        /// Hash of the name of the entry that published the list; distinguishes lists
+        /// that were published concurrently.
         pub author: u64,
     }
 
-    /// An entry that gets requests.
+    /// An entry that receives requests.
     #[derive(Eq, PartialOrd, Ord)]
     pub struct ListedEntry {
         /// The instance's name.
         pub node: String,
-        /// The run of its process.
+        /// Its process incarnation.
         pub incarnation: u64,
         /// Its failure domain.
         pub domain: String,
-        /// Where it takes callers.
+        /// Address on which it accepts callers.
         pub front: SocketAddr,
-        /// Where it takes datagrams.
+        /// Address for datagrams from other entries.
         pub peer_address: SocketAddr,
-        /// Whether callers are told to use it.
+        /// Whether it is advertised to callers.
         pub named: bool,
-        /// Its stamp for tickets; empty where no caller uses tickets.
+        /// Its stamp for tickets; empty if no caller uses tickets.
         pub stamp: String,
     }
 
-    /// All entries of a region that get requests.
+    /// All entries of a region that receive requests.
     #[derive(Eq, Default)]
     pub struct EntryList {
         /// The region.
         pub region: String,
-        /// Its place among the region's lists.
+        /// Version of the list.
         pub version: ListVersion,
-        /// The entries, by name.
+        /// The entries, ordered by name.
         pub entries: Vec<ListedEntry>,
     }
 }
 
 impl ListedEntry {
-    /// Its hash in the division of shared rates.
+    /// Returns the hash used to divide shared rate limits.
     pub fn hash(&self) -> u64 {
         stable_hash(self.node.as_bytes())
     }
 }
 
 impl EntryList {
-    /// The list's entry of the instance `node`.
+    /// Returns the entry of the instance `node`.
     pub fn find(&self, node: &str) -> Option<&ListedEntry> {
         self.entries.iter().find(|entry| entry.node == node)
     }
 }
 
-/// Lists those of a region's live entries that get requests or are to get them. While
-/// tickets are in use all are listed: callers may come back to any.
+/// Selects the live entries of a region that receive requests or are about to. While
+/// tickets are in use all entries are listed, because callers may return to any of them.
 pub fn list_entries(heartbeats: &[&EntryHeartbeat]) -> Vec<ListedEntry> {
     let staying = || heartbeats.iter().filter(|heartbeat| !heartbeat.leaving);
     let ready = staying().filter(|heartbeat| heartbeat.ready);
--- a/crates/place/src/fleet/member/announce.rs
+++ b/crates/place/src/fleet/member/announce.rs
@@ -1,4 +1,4 @@
-//! What an entry tells: its beats, and as a lead digests, lists and rows.
+//! Sending of heartbeats, and a lead's digests, lists and store rows.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -8,25 +8,26 @@
 use crate::fleet::member::{FleetAction, FleetChange, FleetMember, HEARTBEAT_INTERVAL};
 use crate::fleet::message::{EntryHeartbeat, PeerMessage, RegionDigest};
 
-/// Shortest time between two digests: what changes at once is told at once.
+/// Minimum interval between digests; changes are otherwise sent at once.
 const MIN_DIGEST_INTERVAL: Duration = Duration::from_millis(50);
-/// A new lead lists its region's entries after two beats, unless no list is known: one
-/// that lacks entries would send their callers away.
+/// Time after which a new lead lists its region's entries if a list exists already: two
+/// heartbeat intervals, because an incomplete list would direct callers away from the
+/// missing entries.
 const LIST_DELAY: Duration = Duration::from_millis(1300);
-/// The same where no list is known: callers that just arrive are told of somebody.
+/// The same if no list exists yet, so that new callers are directed to some entry soon.
 const FIRST_LIST_DELAY: Duration = Duration::from_millis(50);
-/// Time between two looks of a lead at the store's rows of leads.
+/// Interval at which a lead checks the leads stored in the store.
 const ROW_CHECK_INTERVAL: Duration = Duration::from_secs(15);
-/// The same for one that leads since lately, and how long that is: after a start without
-/// seeds a region may have many.
+/// The same for a new lead, and how long it counts as new. After a start without seeds a
+/// region may have many leads.
 pub(super) const NEW_LEAD_ROW_CHECK_INTERVAL: Duration = Duration::from_secs(4);
 const NEW_LEAD_PERIOD: Duration = Duration::from_secs(10);
-/// A lead writes its row after this time, so that those of a fleet's first second
-/// write none.
+/// Time after which a lead stores its row, so that short-lived leads in the first second
+/// of a fleet store none.
 pub(super) const ROW_WRITE_DELAY: Duration = Duration::from_millis(1500);
 
 impl FleetMember {
-    /// Lists the region's entries, where this one is the first of its leads.
+    /// Publishes a list of the region's entries if this entry is the reader.
     pub(super) fn update_list(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         let Some(since) = self.leading else {
             return;
@@ -115,13 +116,15 @@
         let targets = self.others(targets);
         let heartbeat = PeerMessage::Heartbeat(Box::new(self.own_heartbeat(now)));
         if self.own.leaving {
-            // Whoever hears neither would send callers here for seconds.
+            // Sent twice: callers would be directed here for seconds if a lead received
+            // neither.
             actions.push(FleetAction::Send(targets.clone(), heartbeat.clone()));
         }
         actions.push(FleetAction::Send(targets, heartbeat));
     }
 
-    /// The leads of the own region, heard or appointed.
+    /// Returns the addresses of the local region's leads, from digests and from the
+    /// current candidates.
     pub(super) fn own_region_leads(&self, now: Instant) -> Vec<SocketAddr> {
         let region = &self.config.region;
         let live_leads = self
@@ -147,7 +150,7 @@
         }))
     }
 
-    /// When a lead tells its next digest, where nothing happens before.
+    /// Returns when this lead sends its next digest unless a change occurs before.
     pub(super) fn next_digest(&self) -> Option<Instant> {
         self.leading?;
         let pause = self.digest_at.map(|at| at + MIN_DIGEST_INTERVAL);
@@ -176,11 +179,11 @@
         actions.push(FleetAction::Send(leads, self.digest(now, true)));
     }
 
-    /// The other leads of the own region and those of all others; where a region isn't
-    /// heard, whoever may know them.
+    /// Returns the addresses of the other leads of all regions. For a region that is not
+    /// heard from, these are all entries that may know its leads.
     pub(super) fn peer_leads(&mut self, now: Instant) -> Vec<SocketAddr> {
-        // All that are heard, not only those that their region names: where a region has
-        // more than one pair, each learns of the other here.
+        // All live leads, not just those their region reports: if a region has more than
+        // one pair, each pair learns of the other this way.
         let heard = self
             .leads
             .live_leads(now)
@@ -203,13 +206,13 @@
         if is_lost {
             addresses.extend(self.search.seeds());
         }
-        // Among these are leads of the own region that were found by other regions or
-        // by the store's rows: after a cut each part of a region has its own.
+        // These include leads of the local region reported by other regions or stored in
+        // the store: after a network partition each part of a region has its own leads.
         addresses.extend(self.search.hinted(now));
         addresses
     }
 
-    /// `addresses` once each, without the own one.
+    /// Sorts and deduplicates `addresses`, and removes the local one.
     pub(super) fn others(&self, mut addresses: Vec<SocketAddr>) -> Vec<SocketAddr> {
         addresses.sort_unstable();
         addresses.dedup();
@@ -217,7 +220,7 @@
         addresses
     }
 
-    /// Keeps the store's row of leads, and looks there for others.
+    /// Stores the region's leads in the store, and looks for other leads there.
     pub(super) fn maintain_lead_rows(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         let Some(since) = self.leading else {
             if !self.hears_lead(now) && self.search.take_row_lookup(now) {
--- a/crates/place/src/fleet/member/crashes.rs
+++ b/crates/place/src/fleet/member/crashes.rs
@@ -1,4 +1,4 @@
-//! What an entry makes of requests under which servers ended, and whom it tells.
+//! Exchange of reports on requests that crash servers, and their quarantine.
 
 use std::time::{Duration, Instant};
 
@@ -8,28 +8,28 @@
 use crate::fleet::message::PeerMessage;
 
 impl FleetMember {
-    /// How much longer the request is refused; `None` where it isn't.
+    /// Returns how much longer the request is rejected; `None` if it is not quarantined.
     pub fn quarantine_left(&self, now: Instant, print: RequestPrint) -> Option<Duration> {
         self.quarantine.quarantine_left(now, print)
     }
 
-    /// Whether any request may be in quarantine.
+    /// Whether any request may be suspected or quarantined.
     pub fn has_statuses(&self) -> bool {
         !self.quarantine.is_empty()
     }
 
-    /// Whether good answers are to be compared with the suspects now. Callers need make no
-    /// prints otherwise.
+    /// Whether successful answers must be checked against suspected requests. If not,
+    /// callers of this can skip computing fingerprints.
     pub fn has_suspects(&self, now: Instant) -> bool {
         self.has_statuses() || self.ledger.is_fresh(now)
     }
 
-    /// Whether a good answer to the request is news.
+    /// Whether a successful answer to this request must be reported.
     pub fn suspects(&self, print: RequestPrint) -> bool {
         self.quarantine.contains(print) || self.ledger.suspects(print)
     }
 
-    /// The requests in quarantine.
+    /// Returns the quarantined requests.
     pub fn quarantined(&self) -> impl Iterator<Item = RequestPrint> {
         self.quarantine.quarantined()
     }
@@ -53,7 +53,8 @@
         self.clear(now, print, actions);
     }
 
-    /// Takes in what another entry says; what is news to a lead goes to the other leads.
+    /// Applies a message from another entry. A lead forwards new facts to the other
+    /// leads.
     pub(super) fn on_crash_word(
         &mut self,
         now: Instant,
@@ -85,8 +86,9 @@
         }
     }
 
-    /// Takes in what the store keeps, so that a quarantine outlives all entries and an
-    /// operator can lift it; the first lead of a region mends rows that are missing or over.
+    /// Applies the quarantined requests stored in the store. The store keeps them so that
+    /// a quarantine survives a loss of all entries and an operator can lift it. The
+    /// reader of a region adds missing rows and deletes lapsed ones.
     pub(super) fn on_quarantine_rows(
         &mut self,
         now: Instant,
@@ -126,7 +128,7 @@
         write_quarantine_rows(missing.collect(), actions);
     }
 
-    /// When something about such requests is to be told or reviewed.
+    /// Returns when reports or statuses must be sent, or crash reports evaluated.
     pub(super) fn crashes_due(&self) -> Option<Instant> {
         let tells = self.leading.is_some() && self.has_statuses();
         let statuses = tells.then_some(self.statuses_due);
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Tells the leads what this entry saw itself.
+    /// Sends this entry's own reports to the leads.
     fn send_reports(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         let word = self.outbox.take(now);
         if word.is_empty() {
@@ -160,9 +162,9 @@
         actions.push(FleetAction::Send(leads, PeerMessage::Crash(word)));
     }
 
-    /// Looks for the cause. An entry that hears a lead leaves it to that one, which knows
-    /// what others saw: by what one entry saw, a request that was often caught beside the
-    /// cause would seem to be it.
+    /// Determines which requests cause crashes. An entry with a lead leaves this to the
+    /// lead, which has reports from all entries: judging by its own reports alone, an
+    /// entry could blame a request that was merely often in progress alongside the cause.
     fn review_ledger(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         if self.leading.is_none() && self.hears_lead(now) {
             self.ledger.leave();
@@ -175,7 +177,8 @@
         }
     }
 
-    /// Tells the entries of the region and the other leads what is held of requests.
+    /// Sends the statuses of suspected and quarantined requests to the entries of the
+    /// region and to the other leads.
     fn send_statuses(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         self.statuses_due = now + HEARTBEAT_INTERVAL;
         let word = CrashWord {
@@ -192,7 +195,8 @@
         actions.push(FleetAction::Send(targets, PeerMessage::Crash(word)));
     }
 
-    /// The request was answered well at `at`; whether that is news.
+    /// Records that the request was answered successfully at `at`; returns whether this
+    /// is new.
     fn clear(&mut self, at: Instant, print: RequestPrint, actions: &mut Vec<FleetAction>) -> bool {
         let was_held = self.quarantine.contains(print);
         let was_suspect = self.ledger.clear(print);
@@ -207,13 +211,13 @@
         is_news || was_suspect
     }
 
-    /// The requests in quarantine, and how long ago they were put there.
+    /// Returns the quarantined requests with the age of their quarantine.
     fn quarantines(&self, now: Instant) -> impl Iterator<Item = (RequestPrint, Duration)> {
         let quarantines = self.quarantine.quarantines();
         quarantines.map(move |(print, since)| (print, now.saturating_duration_since(since)))
     }
 
-    /// A request is treated more strictly from now on.
+    /// Handles a request that became suspected or quarantined.
     fn on_raised(
         &mut self,
         now: Instant,
--- a/crates/place/src/fleet/member/fetch.rs
+++ b/crates/place/src/fleet/member/fetch.rs
@@ -1,4 +1,4 @@
-//! Whom an entry asks for what it lacks: leads, or the store.
+//! Decides what to pull from leads and what to read from the store.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -9,22 +9,23 @@
 use crate::fleet::pull::{PullContext, PullScope};
 use crate::fleet::reading::ReadRole;
 
-/// Time without a lead after which an entry asks for the operator's rows itself.
+/// Time without a lead before an entry watches the operator's rows itself.
 const LONE_WATCH_DELAY: Duration = Duration::from_millis(400);
-/// Part of the time within which an entry needs the store's word on the operator's rows
-/// after which it asks itself: the rest is for two calls, one of which may fail.
+/// Fraction of the maximum proof age after which an entry calls the store itself. The
+/// rest leaves time for two calls, one of which may fail.
 const PROOF_RENEWAL_FRACTION: f64 = 0.64;
-/// Entries spread over this part of it more.
+/// Additional fraction over which entries are spread.
 const PROOF_JITTER_FRACTION: f64 = 0.06;
-/// Entries that get no requests spread over this time more.
+/// Additional time over which entries without requests are spread.
 const LONE_WATCH_JITTER: Duration = Duration::from_millis(800);
 
-/// Time between two questions of a follower for everything, while it is in doubt.
+/// Minimum interval at which a follower refetches the registry during a conflict.
 const REFETCH_BACKOFF: Duration = Duration::from_millis(500);
 
 impl FleetMember {
-    /// Compares what is known of the registry with what leads know. A lead believes nobody
-    /// and reads anew; a follower that all its leads contradict takes their word.
+    /// Compares the local registry content with that of the leads. A lead trusts no other
+    /// entry and reads the store again; a follower accepts the content of its leads if
+    /// all of them disagree with it.
     pub(super) fn check_conflict(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         let mut contradicting = self.leads.contradicting(now, &self.known);
         let first = if self.leading.is_some() {
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Whether everything is to be read anew from the store.
+    /// Whether to read the whole registry from the store.
     fn reads_all(&self, now: Instant) -> bool {
         if self.leading.is_some() {
             return self.reads && self.conflict.is_due(now, self.config.drain);
@@ -53,8 +54,8 @@
         self.is_stale(now)
     }
 
-    /// Whether a follower's knowledge was confirmed by nobody for too long, though its leads
-    /// know newer readings: whatever the reason, it asks the store itself.
+    /// Whether a follower's registry was not confirmed for too long although its leads
+    /// have newer readings. Whatever the cause, it then reads the store itself.
     fn is_stale(&self, now: Instant) -> bool {
         let most = self.readings.pace().member;
         let is_old =
@@ -64,8 +65,8 @@
             && near.any(|lead| lead.known.registry_at.is_some() && !is_old(lead.known.registry_at))
     }
 
-    /// The lead that is asked for everything, where what is known is in doubt and can't be
-    /// read from the store.
+    /// Returns the lead to refetch the registry from if the local content is in conflict
+    /// and the store cannot be read.
     fn lead_to_refetch_from(&self, now: Instant) -> Option<SocketAddr> {
         if !self.conflict.is_due(now, REFETCH_BACKOFF) || (self.leading.is_some() && self.reads) {
             return None;
@@ -130,8 +131,8 @@
         }
     }
 
-    /// Whether an entry that gets requests will soon be without the word of the store that
-    /// these need, whoever else could bring it.
+    /// Whether an entry that receives requests will soon lack the proof these require. It
+    /// then calls the store itself, whether or not others could provide the proof.
     fn lacks_proof(&self, now: Instant) -> bool {
         let Some(within) = self.own.proof_within.filter(|_| self.is_listed()) else {
             return false;
@@ -141,8 +142,9 @@
         self.proof_age(now).is_none_or(|age| age >= most)
     }
 
-    /// Whether an entry that hears no lead asks for the operator's rows itself: entries
-    /// that get requests soon, others after a new lead had time to be found.
+    /// Whether an entry without a lead watches the operator's rows itself. Entries that
+    /// receive requests do so soon; the others wait long enough for a new lead to be
+    /// found.
     fn watches_alone(&self, now: Instant, used: bool, first: Instant) -> bool {
         if !self.known.is_complete() {
             return now >= first;
--- a/crates/place/src/fleet/member/mod.rs
+++ b/crates/place/src/fleet/member/mod.rs
@@ -1,8 +1,8 @@
-//! One entry's part in the fleet: whom it hears, whether it leads its region, what it
-//! tells, and when it asks the store.
+//! State machine of an entry in the fleet: its connections to leads, its own role, what
+//! it publishes and when it calls the store.
 //!
-//! Events in, actions out; [`FleetMember::run_due_tasks`] reads top to bottom. What it hears, who
-//! leads, what it tells and whom it asks are the modules below.
+//! It consumes [`FleetEvent`]s and emits [`FleetAction`]s. [`FleetMember::run_due_tasks`]
+//! lists the periodic tasks in order; the submodules implement them.
 
 mod announce;
 mod crashes;
@@ -33,141 +33,143 @@
 use crate::fleet::search::LeadSearch;
 use crate::rank::stable_hash;
 
-/// Time between beats, and between digests of a lead: four in the time after which a
-/// silent entry is taken as gone.
+/// Interval of heartbeats and of a lead's digests. Four of them fit into the time after
+/// which a silent entry counts as lost.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(600);
-/// Time between two looks while something is waited for.
+/// Interval of the periodic tasks while something is pending.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// The same for an entry that hears no lead: each part of a second without one costs
-/// callers answers in time after a loss of all entries.
+/// Interval of the periodic tasks while no lead is heard from. Short, because after a
+/// loss of all entries every delay in finding a lead delays answers to callers.
 const SEARCH_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// What an entry must know of itself and its place.
+/// Static configuration of an entry.
 #[derive(Debug, Clone)]
 pub struct MemberConfig {
-    /// This run of its process.
+    /// Process incarnation.
     pub incarnation: u64,
-    /// The entry as one that may lead.
+    /// The entry as a lead candidate.
     pub candidate: LeadCandidate,
-    /// Its region.
+    /// The entry's region.
     pub region: String,
-    /// Where it takes callers.
+    /// Address on which it accepts callers.
     pub front: SocketAddr,
     /// All regions.
     pub regions: Vec<String>,
-    /// Where a few other entries take datagrams; may be out of date.
+    /// Datagram addresses of a few other entries; may be out of date.
     pub seeds: Vec<SocketAddr>,
-    /// Time within which a leaving server must get no more requests.
+    /// Time within which a draining server must stop receiving requests.
     pub drain: Duration,
 }
 
-/// What changes in an entry and is told to others.
+/// Variable state of the local entry that is published to others.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct LocalEntryState {
-    /// Whether it takes callers now.
+    /// Whether it currently accepts callers.
     pub ready: bool,
-    /// Whether its process is about to end.
+    /// Whether its process is shutting down.
     pub leaving: bool,
-    /// Requests a second that it gets.
+    /// Requests per second it receives.
     pub rate: u32,
-    /// Its stamp for tickets; empty where no caller uses tickets.
+    /// Its stamp for tickets; empty if no caller uses tickets.
     pub stamp: String,
-    /// How old the store's word on the operator's rows may become here; `None` where
-    /// nothing depends on that.
+    /// Maximum age of the proof that its copy of the operator's rows is current; `None`
+    /// if nothing depends on that.
     pub proof_within: Option<Duration>,
 }
 
-/// What an entry hears or does.
+/// Input to the state machine.
 #[derive(Debug)]
 pub enum FleetEvent {
     /// Time has passed.
     Tick,
-    /// A datagram came.
+    /// A datagram was received.
     Message(PeerMessage),
-    /// Something of its own changed.
+    /// The local entry's state changed.
     LocalState(LocalEntryState),
-    /// It knows more of the store, by whatever way.
+    /// The state of the store known here changed, from any source.
     Known(KnownStore),
-    /// The store answered a call that began then with its own time; or another entry told
-    /// the latest time that the store's clock can show.
+    /// Upper bound of the store's clock, with the local time at which the call began. It
+    /// comes from an answer of the store or from another entry.
     StoreTime(Instant, StoreTime),
-    /// The process stood still for so long without its clock moving.
+    /// The process was suspended for this long without its clock advancing.
     Suspended(Duration),
-    /// What came of a reading of the registry that this entry was to make.
+    /// Result of a registry read requested by [`FleetAction::ReadRegistry`].
     RegistryRead(ReadOutcome),
-    /// Servers that are missing in the registry are gone at this time, where there are such.
+    /// Time at which servers missing from the registry become final removals, if there
+    /// are any.
     RemovalsFinalAt(Option<Instant>),
-    /// The store has answered a watch of the operator's rows, or not.
+    /// A watch of the operator's rows ended; whether the store answered.
     WatchFinished(bool),
-    /// Lists of entries were told.
+    /// Lists of entries were pulled.
     Lists(Vec<EntryList>),
-    /// The lead at the address has answered a question, or not.
+    /// A pull from the lead at this address ended; whether it succeeded.
     PullFinished(SocketAddr, bool),
-    /// The store's rows of leads: regions and addresses.
+    /// Leads stored in the store, as regions and addresses.
     LeadRows(Vec<(String, SocketAddr)>),
-    /// The store's rows of requests in quarantine.
+    /// Quarantined requests stored in the store.
     QuarantineRows(Vec<KeptQuarantine>),
-    /// Requests of this entry that were at a server when it ended.
+    /// Requests of this entry that were in progress at a server when it crashed.
     Crashed(Vec<CrashReport>),
-    /// A server answered a request well that had been at one that ended.
+    /// A server successfully answered a request that had been in progress at a crash.
     Cleared(RequestPrint),
 }
 
-/// What the entry is to do.
+/// Output of the state machine.
 #[derive(Debug)]
 pub enum FleetAction {
-    /// Send a datagram.
+    /// Send a datagram to these addresses.
     Send(Vec<SocketAddr>, PeerMessage),
-    /// Ask a lead for what it knows more.
+    /// Pull newer data from a lead.
     Pull(PullTarget),
-    /// Read the registry, and tell the outcome.
+    /// Read the registry, and report the result as [`FleetEvent::RegistryRead`].
     ReadRegistry(RegistryCall),
-    /// Watch the operator's rows from now on, or no longer.
+    /// Start or stop watching the operator's rows.
     WatchOperator(bool),
-    /// Look at the store's rows of leads.
+    /// Read the leads stored in the store.
     ReadLeadRows,
-    /// Write the region's row of leads.
+    /// Write the region's leads to the store.
     WriteLeadRow(Vec<SocketAddr>),
-    /// Write rows of requests in quarantine, and how long ago they were put there.
+    /// Write quarantined requests to the store, each with the age of its quarantine.
     WriteQuarantineRows(Vec<(RequestPrint, Duration)>),
-    /// Delete the rows of requests that are in quarantine no longer.
+    /// Delete requests that are no longer quarantined from the store.
     DeleteQuarantineRows(Vec<RequestPrint>),
-    /// What is known of the registry is as fresh as of this time.
+    /// The local copy of the registry was confirmed to be current as of this time.
     ConfirmRegistry(Instant),
-    /// The entries that get requests have changed.
+    /// The set of entries that receive requests changed.
     ListsChanged,
-    /// Something to be logged.
+    /// Log a change.
     Log(FleetChange),
 }
 
-/// What changed in the fleet, for the log.
+/// Changes in the fleet to be logged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FleetChange {
-    /// This entry leads its region from now on, and why.
+    /// This entry became a lead, for this reason.
     StartedLeading(&'static str),
-    /// It leads no longer, for the entry that is named.
+    /// This entry stopped being a lead in favor of the named one.
     StoppedLeading(String),
-    /// A request was at two servers when they ended.
+    /// A request was in progress at two servers when they crashed.
     Suspected(RequestPrint),
-    /// A request has ended servers and is refused from now on.
+    /// A request crashed servers and is rejected from now on.
     Quarantined(RequestPrint),
-    /// A request that something was held of was answered well.
+    /// A suspected or quarantined request was answered successfully.
     Cleared(RequestPrint),
-    /// Its region's reader and deputy.
+    /// The names of the region's reader and deputy changed.
     LeadsChanged(Vec<String>),
-    /// The region's leads are silent.
+    /// No lead of the region is heard from any more.
     LeadsLost,
-    /// This entry told a new list with so many entries, so many of them named.
+    /// This entry published a new list with this number of entries, and this number of
+    /// entries advertised to callers.
     ListPublished(usize, usize),
-    /// The lead that is named knows other things of the registry than this entry, though
-    /// both have read it.
+    /// The named lead holds different registry content, although both it and this entry
+    /// have read that version.
     ConflictingLead(String),
-    /// What is known of the registry is in doubt and is asked for anew.
+    /// The local copy of the registry may be wrong and is refetched.
     RefetchingRegistry,
-    /// What was known of the store was ahead of it and is asked for anew.
+    /// The local state was ahead of the store and is refetched.
     RefetchingAll,
 }
 
-/// One entry in the fleet.
+/// State machine of an entry in the fleet.
 #[derive(Debug)]
 pub struct FleetMember {
     config: MemberConfig,
@@ -185,9 +187,9 @@
     pulls: PullState,
     conflict: ContentConflict,
     readings: ReadingPlan,
-    /// Since when it leads its region.
+    /// Time at which this entry became a lead; `None` if it is not one.
     leading: Option<Instant>,
-    /// Leads and substitutes of the region as known now.
+    /// Current leads and substitutes of the region.
     candidates: Vec<LeadCandidate>,
     counted: Vec<String>,
     is_lone: bool,
@@ -199,7 +201,7 @@
     role_check_due: Instant,
     row_lookup_due: Instant,
     lead_row: Vec<SocketAddr>,
-    /// Which requests were at servers when these ended.
+    /// Requests in progress at server crashes.
     ledger: CrashLedger,
     quarantine: QuarantineBook,
     outbox: CrashOutbox,
@@ -207,7 +209,7 @@
 }
 
 impl FleetMember {
-    /// An entry that starts at `now` and knows nobody.
+    /// Creates an entry that starts at `now` without any knowledge of others.
     pub fn new(now: Instant, config: MemberConfig) -> Self {
         let hash = stable_hash(config.candidate.node.as_bytes());
         Self {
@@ -245,7 +247,7 @@
         }
     }
 
-    /// Takes in `event`; what is to be done is added to `actions`.
+    /// Processes `event`, appending the resulting actions to `actions`.
     pub fn on_event(&mut self, now: Instant, event: FleetEvent, actions: &mut Vec<FleetAction>) {
         match event {
             FleetEvent::Tick => {}
@@ -282,8 +284,9 @@
         self.run_due_tasks(now, actions);
     }
 
-    /// When to look again if nothing happens before. It doesn't move while time passes: an
-    /// entry that is woken by other things more often than it looks would never look.
+    /// Returns when the periodic tasks must run if no event arrives before. The value
+    /// does not move as time passes: otherwise an entry woken by other events more often
+    /// than this would never run them.
     pub fn due(&self, now: Instant) -> Instant {
         let silent = self.leads.timeout_at(&self.config.region);
         let waits = self.leading.is_some() || self.pulls.is_behind();
@@ -301,39 +304,40 @@
         others.fold(due, Instant::min)
     }
 
-    /// What is known of all regions.
+    /// Returns the state of all regions.
     pub fn regions(&self) -> &RegionTable {
         &self.regions
     }
 
-    /// What this entry knows of the store.
+    /// Returns the state of the store known to this entry.
     pub fn known(&self) -> &KnownStore {
         &self.known
     }
 
-    /// How long ago the store may have shown, at most, that nothing newer was set than what
-    /// this entry knows of the operator's rows; `None` where that can't be told.
+    /// Returns the maximum time since the store confirmed that the local copy of the
+    /// operator's rows is current; `None` if unknown.
     pub fn proof_age(&self, now: Instant) -> Option<Duration> {
         self.clock.age(now, self.known.proved)
     }
 
-    /// The store's time that its clock has not passed, as far as this entry can tell.
+    /// Returns an upper bound of the store's clock, as known to this entry.
     pub fn latest_store_time(&self, now: Instant) -> StoreTime {
         self.clock.latest(now).unwrap_or_default()
     }
 
-    /// Whether it leads its region.
+    /// Whether this entry is a lead of its region.
     pub fn leads(&self) -> bool {
         self.leading.is_some()
     }
 
-    /// Whether it is listed as one that gets requests.
+    /// Whether this entry is listed as receiving requests.
     pub fn is_listed(&self) -> bool {
         let list = self.regions.list(&self.config.region);
         list.is_some_and(|list| list.find(&self.config.candidate.node).is_some())
     }
 
-    /// Whether it has heard of nobody since its start, so that callers are its own.
+    /// Whether this entry has heard from no other entry since startup, in which case it
+    /// answers callers itself.
     pub fn is_lone(&self) -> bool {
         self.is_lone
     }
@@ -361,7 +365,7 @@
     fn on_store_time(&mut self, now: Instant, begun: Instant, time: StoreTime) {
         self.clock.on_answer(begun, time);
         if self.proof_age(now).is_none() {
-            // The store's clock has begun anew.
+            // The store's clock was reset.
             self.known.proved = StoreTime::default();
         }
     }
--- a/crates/place/src/fleet/member/receive.rs
+++ b/crates/place/src/fleet/member/receive.rs
@@ -1,4 +1,4 @@
-//! What an entry makes of the datagrams and rows that it hears.
+//! Handling of datagrams from other entries and of stored leads.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -12,9 +12,9 @@
 use crate::fleet::message::{EntryHeartbeat, LeadHint, PeerMessage, RegionDigest};
 use crate::fleet::roster::HeartbeatOutcome;
 
-/// Shortest time between two lists.
+/// Delay between a membership change and the next list, to combine several changes.
 const LIST_DEBOUNCE: Duration = Duration::from_millis(50);
-/// Seats told to an entry that looks for its leads.
+/// Maximum number of candidates in a hint.
 const MAX_HINTED_CANDIDATES: usize = 3;
 
 impl FleetMember {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Tells the entry at `sender`, which looks for leads of `region`, what is known.
+    /// Sends hints to the entry at `sender`, which is searching for leads of `region`.
     fn hint(&self, now: Instant, region: &str, sender: SocketAddr, actions: &mut Vec<FleetAction>) {
         let is_heard = self.regions.is_heard(now, region);
         let mut candidates = if is_heard {
@@ -83,7 +83,7 @@
             candidates,
         }];
         if !is_heard && region != self.config.region && self.hears_lead(now) {
-            // The leads of this region hear those of all others.
+            // The leads of the local region know those of all other regions.
             hints.push(LeadHint {
                 region: self.config.region.clone(),
                 candidates: self.candidates.iter().take(LEADS).cloned().collect(),
@@ -108,7 +108,8 @@
         }
         let mut heard = KnownStore::heard(now, &digest.store);
         if self.clock.age(now, heard.proved).is_none() {
-            // Not the store's time, or not to be placed by this entry's clock yet.
+            // Either not a time of the store's clock, or the local clock cannot be
+            // related to it yet.
             heard.proved = StoreTime::default();
         }
         if self.known.confirm(&heard)
@@ -130,13 +131,14 @@
         }
     }
 
-    /// Whether `node` leads the region as far as this entry knows, or nobody does.
+    /// Whether `node` is a lead of the region as far as this entry knows, or no lead is
+    /// known.
     fn is_followed(&self, node: &str) -> bool {
         let mut leads = self.candidates.iter().take(LEADS);
         self.candidates.is_empty() || leads.any(|candidate| candidate.node == node)
     }
 
-    /// Looks for leads of the own region that another region knows.
+    /// Adds leads of the local region that were reported by another region.
     fn find_other_leads(&mut self, now: Instant, candidates: &[LeadCandidate]) {
         for candidate in candidates.iter().take(LEADS) {
             let is_heard = self
@@ -187,7 +189,7 @@
             candidates.any(|candidate| candidate.peer_address == **address)
         };
         if !others.all(|address| is_known(&address)) {
-            // Somebody else leads the region as well.
+            // Another entry also acts as a lead of the region.
             self.row_lookup_due = self.row_lookup_due.min(now + NEW_LEAD_ROW_CHECK_INTERVAL);
         }
     }
--- a/crates/place/src/fleet/member/role.rs
+++ b/crates/place/src/fleet/member/role.rs
@@ -1,4 +1,4 @@
-//! Whether an entry leads its region, and who does.
+//! The local entry's role, and the leads of its region.
 
 use std::time::Instant;
 
@@ -7,7 +7,7 @@
 use crate::fleet::member::{FleetAction, FleetChange, FleetMember};
 
 impl FleetMember {
-    /// Begins or ends to lead.
+    /// Becomes or stops being a lead as needed, and updates the region's candidates.
     pub(super) fn update_role(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         let own = self.own_candidate(now);
         let top = self.leads.top_lead_of(now, &self.config.region);
@@ -63,7 +63,8 @@
             actions.push(FleetAction::Log(FleetChange::LeadsChanged(names(
                 &candidates,
             ))));
-            // At once: new leads know nobody, and nobody knows them.
+            // Sent at once, because new leads and the other entries do not know each
+            // other yet.
             self.heartbeat_due = self.heartbeat_due.min(now);
             self.digest_due = self.digest_due.min(now);
         }
@@ -80,12 +81,12 @@
 
     fn follow(&mut self, now: Instant, lead: String, actions: &mut Vec<FleetAction>) {
         self.leading = None;
-        // Those that hear it know at once that it leads no longer.
+        // Sent at once, so that receivers learn that this entry is no longer a lead.
         self.send_digest(now, actions);
         actions.push(FleetAction::Log(FleetChange::StoppedLeading(lead)));
     }
 
-    /// Notices regions that fell silent or are heard again.
+    /// Detects regions that became silent or are heard from again.
     pub(super) fn update_regions(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         if self.leading.is_some() {
             let live = self.roster.live(now, &self.config.region).count() as u32 + 1;
@@ -102,14 +103,14 @@
         }
     }
 
-    /// Whether no other lead of the region comes before this one.
+    /// Whether no other lead of the region ranks above this entry.
     pub(super) fn is_first(&self, now: Instant) -> bool {
         let first = self.leads.top_lead_of(now, &self.config.region);
         first.is_none_or(|lead| !self.own.leaving && lead.rank() < self.own_candidate(now).rank())
     }
 
-    /// Whether this entry has read the store itself just now, though no lead of its
-    /// region is answered.
+    /// Whether this entry has recently read the store while no lead of its region has
+    /// store access.
     fn is_only_reader(&self, now: Instant) -> bool {
         let read_at = self.readings.done_at();
         let reads = read_at
@@ -118,7 +119,7 @@
         reads && self.reads && leads.all(|lead| !lead.candidate.reads)
     }
 
-    /// This entry as one that leads or may lead.
+    /// Returns this entry as a lead candidate.
     pub(super) fn own_candidate(&self, now: Instant) -> LeadCandidate {
         LeadCandidate {
             reads: self.reads && !self.readings.is_overdue(now),
--- a/crates/place/src/fleet/message.rs
+++ b/crates/place/src/fleet/message.rs
@@ -1,4 +1,4 @@
-//! What entries send each other in datagrams.
+//! Datagrams exchanged between entries.
 
 use std::net::SocketAddr;
 
@@ -12,112 +12,115 @@
 use team::quota::QuotaWord;
 
 base::common! {
-    /// One datagram between entries.
+    /// A datagram between entries.
     #[derive(Eq)]
     pub enum PeerMessage {
-        /// That an entry is there; to the leads of its region.
+        /// Liveness and state of an entry. Sent to the leads of its region.
         Heartbeat(Box<EntryHeartbeat>),
-        /// What a lead knows; to the entries of its region and to other leads.
+        /// Versions of the data that a lead holds. Sent to the entries of its region and
+        /// to other leads.
         Digest(Box<RegionDigest>),
-        /// Whom to send beats to; to an entry that looks for its leads.
+        /// Addresses of leads. Sent to an entry that is searching for its leads.
         Hint(LeadHint),
-        /// Where the sender's requests are; among the entries that get requests.
+        /// The sender's requests by server. Sent among entries that receive requests.
         Load(LoadReport),
-        /// Requests under which servers ended; from an entry to its leads, among leads,
-        /// and from leads to the entries of their region.
+        /// Requests that were in progress at servers that crashed. Sent by an entry to
+        /// its leads, among leads, and by leads to the entries of their region.
         Crash(CrashWord),
-        /// How requests fare in rollouts; among the entries that get requests, and to leads.
+        /// Request outcomes during rollouts. Sent among entries that receive requests,
+        /// and to leads.
         Rollout(RolloutReport),
     }
 
-    /// An entry's requests at servers.
+    /// An entry's requests by server.
     #[derive(Eq)]
     pub struct LoadReport {
         /// Hash of the entry's name.
         pub entry: u64,
-        /// What it has sent.
+        /// Requests the entry has sent.
         pub word: LoadWord,
-        /// What it let in of teams that have quotas, where there are such.
+        /// Admitted requests of teams with quotas, if there are any such teams.
         pub quota: Option<QuotaWord>,
     }
 
-    /// An entry's counts in rollouts.
+    /// An entry's request counts in rollouts.
     #[derive(Eq)]
     pub struct RolloutReport {
         /// Hash of the entry's name.
         pub entry: u64,
-        /// What it counted.
+        /// The counts.
         pub word: RolloutWord,
     }
 
-    /// What an entry says of itself.
+    /// The state an entry reports about itself.
     #[derive(Eq)]
     pub struct EntryHeartbeat {
-        /// One run of its process; a later run has a higher number.
+        /// Process incarnation; increases with every restart.
         pub incarnation: u64,
-        /// The entry as one that may lead its region.
+        /// The entry as a lead candidate.
         pub candidate: LeadCandidate,
-        /// Its region.
+        /// The entry's region.
         pub region: String,
-        /// Where it takes callers.
+        /// Address on which it accepts callers.
         pub front: SocketAddr,
-        /// Requests a second that it gets.
+        /// Requests per second it receives.
         pub rate: u32,
-        /// Whether it takes callers now.
+        /// Whether it currently accepts callers.
         pub ready: bool,
-        /// Whether its process is about to end.
+        /// Whether its process is shutting down.
         pub leaving: bool,
-        /// Whether it hears no lead of its region.
+        /// Whether it receives digests from no lead of its region.
         pub seeks: bool,
-        /// Its stamp for tickets; empty where no caller uses tickets.
+        /// Its stamp for tickets; empty if no caller uses tickets.
         pub stamp: String,
     }
 
-    /// What a lead knows, as versions: who is behind asks it for the rest.
+    /// Versions of the data a lead holds. A receiver that is behind pulls the data from
+    /// the lead.
     #[derive(Eq)]
     pub struct RegionDigest {
-        /// One run of the sender's process.
+        /// Process incarnation of the sender.
         pub incarnation: u64,
         /// The sender.
         pub candidate: LeadCandidate,
-        /// Its region.
+        /// The sender's region.
         pub region: String,
-        /// Whether its process is about to end.
+        /// Whether its process is shutting down.
         pub leaving: bool,
-        /// What it knows of the store.
+        /// Its state of the store.
         pub store: StoreWord,
-        /// What it knows of all regions, its own among them.
+        /// Its state of all regions, including its own.
         pub regions: Vec<RegionSummary>,
     }
 
-    /// What a lead knows of a region's entries.
+    /// A lead's view of a region's entries.
     #[derive(Eq)]
     pub struct RegionSummary {
         /// The region.
         pub region: String,
-        /// Milliseconds since a lead of the region was heard.
+        /// Milliseconds since a lead of the region was last heard from.
         pub age: u32,
-        /// Live entries there.
+        /// Number of live entries in the region.
         pub live: u32,
-        /// The newest list of its entries that get requests.
+        /// Version of the newest list of entries that receive requests.
         pub list: ListVersion,
-        /// Its leads, for the own region its substitutes as well; empty for other
-        /// regions where the digest goes to entries that don't lead.
+        /// The region's leads, and for the sender's own region also the substitutes.
+        /// Empty for other regions in digests sent to entries that are not leads.
         pub candidates: Vec<LeadCandidate>,
     }
 
-    /// Entries of a region that lead it or would be the first to.
+    /// Candidates that lead a region or are first in line to.
     #[derive(Eq)]
     pub struct LeadHint {
         /// The region.
         pub region: String,
-        /// The entries, best first.
+        /// The candidates, best first.
         pub candidates: Vec<LeadCandidate>,
     }
 }
 
 impl EntryHeartbeat {
-    /// The entry as one that takes callers.
+    /// Returns the entry as a target for callers.
     pub fn as_front(&self) -> FrontEntry<'_> {
         FrontEntry {
             node: &self.candidate.node,
--- a/crates/place/src/fleet/mod.rs
+++ b/crates/place/src/fleet/mod.rs
@@ -1,14 +1,14 @@
-//! How the entries of a fleet hear of each other and of what the store holds.
+//! Membership and state dissemination among the entries of a fleet.
 //!
-//! Two entries of each region lead it, without a vote: the reader, which reads the
-//! store, and a deputy. All others send their beats to these two and hear from both in
-//! digests: short lists of versions. Whoever is behind a digest asks its sender for the
-//! rest. Leads hear the digests of the other regions' leads. So what an entry sends,
-//! hears and asks of the store does not grow with the number of entries, but for two of
-//! a region.
+//! Each region has two leads, selected without a vote: the reader, which reads the store,
+//! and a deputy. All other entries send heartbeats to these two and receive digests from
+//! both. A digest holds version numbers only; an entry that finds itself behind pulls the
+//! missing data from the sender. Leads also exchange digests with the leads of other
+//! regions. Traffic and store calls per entry therefore do not grow with the size of the
+//! fleet, except for the two leads of each region.
 //!
-//! [`member::FleetMember`] decides all of this; the rest of this area are its parts and
-//! the messages.
+//! [`member::FleetMember`] is the state machine; the other modules hold its parts and the
+//! messages.
 
 pub mod candidate;
 pub mod clock;
--- a/crates/place/src/fleet/pull.rs
+++ b/crates/place/src/fleet/pull.rs
@@ -1,4 +1,4 @@
-//! From whom an entry that is behind takes what it lacks.
+//! Selection of the lead from which an entry that is behind pulls newer data.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -9,75 +9,75 @@
 use crate::fleet::log::log_version;
 use crate::fleet::regions::RegionTable;
 
-/// Half of a region's entries ask the reader first, half the deputy; who has waited
-/// this long for its own asks the other.
+/// Half of a region's entries prefer the reader and half the deputy. After this time an
+/// entry tries the other one.
 const FALLBACK_LEAD_DELAY: Duration = Duration::from_millis(250);
-/// A lead that didn't answer isn't asked again for this long.
+/// Time for which a lead is skipped after a failed pull.
 const FAILED_LEAD_BACKOFF: Duration = Duration::from_millis(800);
-/// An entry that is behind for so long doesn't wait for leads any more.
+/// Time behind after which an entry no longer relies on leads and reads the store.
 const MAX_TIME_BEHIND: Duration = Duration::from_millis(800);
-/// Shortest time between two questions, so that a lead that promises what it doesn't
-/// tell isn't asked without end.
+/// Minimum interval between pulls, so that a lead that announces data it does not return
+/// is not polled in a tight loop.
 const MIN_PULL_INTERVAL: Duration = Duration::from_millis(50);
-/// A lead takes what other regions know of the operator's rows only where its own
-/// knowledge is this old, longer than its watch stays open: the store tells each
-/// region's leads itself.
+/// Minimum age of a lead's own operator state before it pulls from other regions. Longer
+/// than a watch stays open, because the store normally notifies the leads of each region
+/// itself.
 const REMOTE_OPERATOR_DELAY: Duration = Duration::from_millis(2500);
-/// A lead's reading of the store counts as its newest word for this long.
+/// Time for which a lead's last registry read counts as its current one.
 const READING_TTL: Duration = Duration::from_millis(2000);
-/// What an entry knows that is newer than the store's newest version at a lead is no
-/// word of the store's, once it lasts for this time: readings of different entries are
-/// a second apart.
+/// Time after which local state newer than the newest store version read by a lead is
+/// considered wrong. Reads by different entries are a second apart.
 const MAX_TIME_AHEAD: Duration = Duration::from_millis(3000);
 
-/// Leads that an entry asks, in its life, which servers have left: those that have run longest,
-/// one of which may be wrong or as new as the entry.
+/// Number of leads an entry asks in its lifetime for departed servers. It asks those that
+/// have run longest; one of them may be wrong or as new as the entry itself.
 const MAX_DEPARTURE_PULLS: usize = 3;
 
-/// What a lead is asked for.
+/// The data requested from a lead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PullScope {
-    /// What it knows beyond the one that asks.
+    /// Data newer than that of the requester.
     Newer,
-    /// All of the servers' registry, besides news: what is known of it is in doubt.
+    /// The whole server registry and all other newer data, because the local registry may
+    /// be wrong.
     Registry,
-    /// Everything, also what is thought known.
+    /// All data, including data that seems to be known.
     All,
-    /// Which servers have left, besides news.
+    /// Departed servers and all newer data.
     Departures,
 }
 
 impl PullScope {
-    /// Whether what is told replaces what is known of the registry.
+    /// Whether the answer replaces the local registry.
     pub fn is_whole(self) -> bool {
         matches!(self, Self::Registry | Self::All)
     }
 }
 
-/// A question to a lead.
+/// A pull from a lead.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PullTarget {
-    /// Where the lead tells what it knows.
+    /// Address from which the lead serves its data.
     pub view: SocketAddr,
-    /// What it is asked for.
+    /// The requested data.
     pub scope: PullScope,
 }
 
-/// Who asks.
+/// The entry that pulls.
 #[derive(Debug, Clone, Copy)]
 pub struct PullContext<'a> {
-    /// Its region.
+    /// The entry's region.
     pub region: &'a str,
-    /// Its hash.
+    /// Hash of the entry's name.
     pub hash: u64,
-    /// Whether it leads.
+    /// Whether the entry is a lead.
     pub leads: bool,
-    /// A lead takes what other regions know of the registry where its own knowledge is this
-    /// old: it hears from the store more often while that answers.
+    /// Minimum age of a lead's own registry state before it pulls from other regions.
+    /// While the store answers, its own state is newer than this.
     pub remote_registry_delay: Duration,
 }
 
-/// The questions of one entry, one at a time.
+/// Pull state of an entry, which runs one pull at a time.
 #[derive(Debug, Default)]
 pub struct PullState {
     asked: Option<SocketAddr>,
@@ -85,29 +85,30 @@
     failed_lead: Option<(SocketAddr, Instant)>,
     behind_since: Option<Instant>,
     ahead_since: Option<Instant>,
-    /// Leads that were asked which servers have left.
+    /// Leads that were asked for departed servers.
     departures_asked: Vec<SocketAddr>,
 }
 
 impl PullState {
-    /// The lead at `view` has answered, or not.
+    /// Records that the pull from the lead at `view` ended; `done` if it succeeded.
     pub fn on_pull_finished(&mut self, now: Instant, view: SocketAddr, done: bool) {
         self.asked = None;
         self.failed_lead = (!done).then_some((view, now));
     }
 
-    /// Whether leads know more, and none has told it for too long.
+    /// Whether leads hold newer data but none has delivered it for too long.
     pub fn is_stuck(&self, now: Instant) -> bool {
         let since = self.behind_since;
         since.is_some_and(|since| now.saturating_duration_since(since) >= MAX_TIME_BEHIND)
     }
 
-    /// Whether something is waited for.
+    /// Whether newer data is pending.
     pub fn is_behind(&self) -> bool {
         self.behind_since.is_some()
     }
 
-    /// Whom to ask now, if anybody; `conflicting_lead` is asked for all of the registry.
+    /// Returns the next pull, if one is due. The whole registry is pulled from
+    /// `conflicting_lead` if that is set.
     pub fn next_pull(
         &mut self,
         now: Instant,
@@ -161,8 +162,8 @@
         Some(PullTarget { view, scope })
     }
 
-    /// Whom to ask which servers have left: an entry that starts knows none, and the registry
-    /// lists one again where it performs an older heartbeat late.
+    /// Returns a pull for departed servers. An entry that starts knows none of them, and
+    /// the registry lists a departed server again if it applies an older heartbeat late.
     fn next_departure_pull(
         &mut self,
         now: Instant,
@@ -192,7 +193,7 @@
         })
     }
 
-    /// Whether what is known has been ahead of the store's word at all leads for too long.
+    /// Whether the local state has been ahead of the store at all leads for too long.
     fn is_ahead_too_long(
         &mut self,
         now: Instant,
@@ -207,7 +208,7 @@
     }
 }
 
-/// The leads of the own region, in the order in which this entry asks them.
+/// Returns the leads of the local region in this entry's order of preference.
 fn own_region_leads<'a>(
     now: Instant,
     context: PullContext<'a>,
@@ -221,7 +222,7 @@
     region_leads
 }
 
-/// The leads that know more than this entry; for a lead also those of other regions.
+/// Returns the leads with newer data. For a lead these include leads of other regions.
 fn leads_ahead<'a>(
     now: Instant,
     context: PullContext<'_>,
@@ -247,15 +248,15 @@
     leads_with_news
 }
 
-/// Whether the entry knows what no reading of the lead can have shown yet.
+/// Whether the local registry is newer than any version the lead can have read.
 fn is_ahead(now: Instant, known: &KnownStore, lead: &LeadRecord) -> bool {
     let read_at = lead.known.registry_at;
     read_at.is_some_and(|at| now.saturating_duration_since(at) < READING_TTL)
         && known.registry >= log_version(lead.known.registry_read.saturating_add(1))
 }
 
-/// Whether a lead of another region tells something that this region's leads can't hear
-/// themselves.
+/// Whether a lead of another region has newer data that the local region's leads cannot
+/// get themselves.
 fn needs_remote(
     now: Instant,
     context: PullContext<'_>,
--- a/crates/place/src/fleet/regions.rs
+++ b/crates/place/src/fleet/regions.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of each region's entries and leads.
+//! State of each region's entries and leads.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -8,17 +8,17 @@
 use crate::fleet::list::{EntryList, ListVersion, ListedEntry};
 use crate::fleet::message::RegionSummary;
 
-/// A region whose leads were silent for this long counts as lost: its entries are told
-/// to no caller and take no part in shared rates. Longer than a region without leads
-/// takes to find new ones.
+/// Time without a digest from its leads after which a region counts as lost. Its entries
+/// are then neither advertised to callers nor counted in shared rate limits. Longer than
+/// a region needs to replace lost leads.
 const REGION_TIMEOUT: Duration = Duration::from_millis(3500);
-/// No list is so many versions ahead of the one before it: one that is comes from a
-/// damaged message, and would bar all that follow.
+/// Largest accepted increase of a list version. A larger one comes from a corrupt
+/// message, and accepting it would block all later lists.
 const MAX_VERSION_STEP: u64 = 1 << 20;
-/// Leads of a region that are remembered, silent ones among them.
+/// Maximum number of leads remembered per region, including silent ones.
 const MAX_CANDIDATES: usize = 8;
 
-/// What is known of one region.
+/// State of one region.
 #[derive(Debug, Default)]
 struct RegionRecord {
     list: EntryList,
@@ -27,7 +27,7 @@
     candidates: Vec<LeadCandidate>,
 }
 
-/// What is known of all regions.
+/// State of all regions.
 #[derive(Debug)]
 pub struct RegionTable {
     own: String,
@@ -35,7 +35,7 @@
 }
 
 impl RegionTable {
-    /// A book of `regions`, of which `own` is this entry's.
+    /// Creates a table of `regions`; `own` is the local region.
     pub fn new(own: &str, regions: &[String]) -> Self {
         let names = regions.iter().map(String::as_str).chain([own]);
         let records = names.map(|name| {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Takes in what a lead said of a region, unless something later is known.
+    /// Applies a lead's summary of a region unless newer information is known.
     pub fn on_summary(&mut self, now: Instant, summary: &RegionSummary) {
         let Some(record) = self.regions.get_mut(&summary.region) else {
             return;
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Takes in who may lead a region that isn't heard.
+    /// Adds hinted candidates for a region that is not heard from.
     pub fn on_hint(&mut self, now: Instant, region: &str, candidates: &[LeadCandidate]) {
         if self.is_heard(now, region) {
             return;
@@ -83,7 +83,8 @@
         record.candidates.truncate(MAX_CANDIDATES);
     }
 
-    /// This entry leads its region, with `live` entries and `candidates`.
+    /// Updates the local region, of which this entry is a lead, with `live` entries and
+    /// `candidates`.
     pub fn on_own_region(&mut self, now: Instant, live: u32, candidates: Vec<LeadCandidate>) {
         if let Some(record) = self.regions.get_mut(&self.own) {
             record.last_heard = Some(now);
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Takes in a list; whether it is newer than the one known.
+    /// Applies a list; returns whether it is newer than the known one.
     pub fn on_list(&mut self, list: EntryList) -> bool {
         let Some(record) = self.regions.get_mut(&list.region) else {
             return false;
@@ -107,12 +108,12 @@
         true
     }
 
-    /// The newest list of a region's entries.
+    /// Returns the newest list of a region's entries.
     pub fn list(&self, region: &str) -> Option<&EntryList> {
         self.regions.get(region).map(|record| &record.list)
     }
 
-    /// The lists that are newer than `known`.
+    /// Returns the lists that are newer than the versions in `known`.
     pub fn lists_since(&self, known: &[(String, ListVersion)]) -> Vec<EntryList> {
         let version_of = |region: &str| {
             let found = known.iter().find(|(name, _)| name == region);
@@ -125,7 +126,7 @@
             .collect()
     }
 
-    /// The versions of all lists.
+    /// Returns the versions of all lists.
     pub fn versions(&self) -> Vec<(String, ListVersion)> {
         let lists = self.regions.values().map(|record| &record.list);
         lists
@@ -133,7 +134,7 @@
             .collect()
     }
 
-    /// Whether one of `lists` is newer than the one known.
+    /// Whether any version in `lists` is newer than the local one.
     pub fn is_behind(&self, lists: &[(String, ListVersion)]) -> bool {
         lists.iter().any(|(region, version)| {
             let known = self.regions.get(region);
@@ -141,7 +142,7 @@
         })
     }
 
-    /// Whether a lead of `region` was heard lately.
+    /// Whether a lead of `region` was heard from recently.
     pub fn is_heard(&self, now: Instant, region: &str) -> bool {
         let last_heard = self
             .regions
@@ -150,13 +151,13 @@
         last_heard.is_some_and(|at| now.saturating_duration_since(at) < REGION_TIMEOUT)
     }
 
-    /// The regions whose entries count: those that are heard, and the own one.
+    /// Returns the regions whose entries count: those heard from, and the local one.
     pub fn counted(&self, now: Instant) -> impl Iterator<Item = &str> {
         let names = self.regions.keys().map(String::as_str);
         names.filter(move |name| *name == self.own || self.is_heard(now, name))
     }
 
-    /// The entries that get requests, with their regions.
+    /// Returns the entries that receive requests, with their regions.
     pub fn listed(&self, now: Instant) -> impl Iterator<Item = (&str, &ListedEntry)> {
         self.counted(now).flat_map(move |name| {
             let list = self.list(name).map_or(&[][..], |list| &list.entries);
@@ -164,26 +165,27 @@
         })
     }
 
-    /// Live entries of all regions that are heard.
+    /// Returns the number of live entries in all regions that count.
     pub fn live(&self, now: Instant) -> u32 {
         let counted = self.counted(now).filter_map(|name| self.regions.get(name));
         counted.map(|record| record.live).sum()
     }
 
-    /// Leads and substitutes of a region, as heard or hinted last.
+    /// Returns the last known leads and substitutes of a region.
     pub fn candidates(&self, region: &str) -> &[LeadCandidate] {
         self.regions
             .get(region)
             .map_or(&[][..], |record| &record.candidates)
     }
 
-    /// The other regions.
+    /// Returns all regions except the local one.
     pub fn others(&self) -> impl Iterator<Item = &str> {
         let names = self.regions.keys().map(String::as_str);
         names.filter(|name| *name != self.own)
     }
 
-    /// What this entry says of all regions; with the leads of others if `to_leads`.
+    /// Returns summaries of all regions for a digest. Leads of other regions are included
+    /// only if `to_leads` is set.
     pub fn summaries(&self, now: Instant, to_leads: bool) -> Vec<RegionSummary> {
         let summary = |(name, record): (&String, &RegionRecord)| RegionSummary {
             region: name.clone(),
--- a/crates/place/src/fleet/roster.rs
+++ b/crates/place/src/fleet/roster.rs
@@ -1,4 +1,4 @@
-//! The entries that send this one their beats.
+//! Entries known from their heartbeats.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -7,12 +7,12 @@
 use crate::fleet::candidate::LeadCandidate;
 use crate::fleet::message::EntryHeartbeat;
 
-/// An entry counts as live for this long after its last beat: several beats, since
-/// datagrams get lost.
+/// Time without a heartbeat after which an entry counts as lost. Spans several
+/// heartbeats, because datagrams may be lost.
 pub const LIVENESS_TIMEOUT: Duration = Duration::from_millis(2600);
-/// A silent entry is forgotten after this time.
+/// Time without a heartbeat after which an entry is removed from the roster.
 const RETENTION: Duration = Duration::from_secs(60);
-/// Entries kept at most: a region at the largest fleet has a tenth of it.
+/// Maximum number of entries; a region of the largest supported fleet has a tenth of it.
 const MAX_ENTRIES: usize = 8192;
 
 #[derive(Debug)]
@@ -21,25 +21,25 @@
     last_heard: Instant,
 }
 
-/// All entries that were heard.
+/// All entries that have sent heartbeats.
 #[derive(Debug, Default)]
 pub struct EntryRoster {
     entries: HashMap<String, EntryRecord>,
 }
 
-/// What a beat changed.
+/// Effect of a heartbeat on the roster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatOutcome {
-    /// Nothing but that the entry is still there.
+    /// The entry is still alive and otherwise unchanged.
     Same,
-    /// The entry is new, takes callers or no longer does, or is about to end.
+    /// The entry is new, changed its readiness, or is shutting down.
     Changed,
-    /// It is of an earlier run, and counts nothing.
+    /// The heartbeat is of an earlier incarnation, or the roster is full; it was ignored.
     Outdated,
 }
 
 impl EntryRoster {
-    /// Takes in a beat.
+    /// Applies a heartbeat.
     pub fn on_heartbeat(&mut self, now: Instant, heartbeat: EntryHeartbeat) -> HeartbeatOutcome {
         let known = self.entries.get(&heartbeat.candidate.node);
         if known.is_some_and(|known| known.heartbeat.incarnation > heartbeat.incarnation) {
@@ -70,12 +70,12 @@
         }
     }
 
-    /// Whether anybody was heard.
+    /// Whether any entry is known.
     pub fn has_entries(&self) -> bool {
         !self.entries.is_empty()
     }
 
-    /// The live entries of `region`, also those about to end.
+    /// Returns the live entries of `region`, including those shutting down.
     pub fn live<'a>(
         &'a self,
         now: Instant,
@@ -89,7 +89,7 @@
             .filter(move |heartbeat| heartbeat.region == region)
     }
 
-    /// Those of `region` that may lead it.
+    /// Returns the lead candidates of `region`.
     pub fn candidates(&self, now: Instant, region: &str) -> Vec<LeadCandidate> {
         let staying = self
             .live(now, region)
@@ -99,14 +99,14 @@
             .collect()
     }
 
-    /// Where the live entries of `region` take datagrams.
+    /// Returns the datagram addresses of the live entries of `region`.
     pub fn addresses(&self, now: Instant, region: &str) -> Vec<SocketAddr> {
         let live = self.live(now, region);
         live.map(|heartbeat| heartbeat.candidate.peer_address)
             .collect()
     }
 
-    /// Forgets entries that were silent for long.
+    /// Removes entries that have been silent for longer than `RETENTION`.
     pub fn forget(&mut self, now: Instant) {
         self.entries
             .retain(|_, known| now.saturating_duration_since(known.last_heard) < RETENTION);
--- a/crates/place/src/fleet/search.rs
+++ b/crates/place/src/fleet/search.rs
@@ -1,4 +1,5 @@
-//! How an entry that hears no lead of its region finds one, and when it leads itself.
+//! Search for the leads of the region, and the decision to become a lead when none is
+//! found.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,56 +7,57 @@
 
 use crate::fleet::candidate::{LEADS, LeadCandidate};
 
-/// Time between beats of an entry that looks for its leads, for the first seconds.
+/// Heartbeat interval at the start of a search.
 const FAST_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
-/// After this time it asks as often as others send beats.
+/// Time after which a searching entry falls back to the regular heartbeat interval.
 const FAST_HEARTBEAT_PERIOD: Duration = Duration::from_secs(2);
-/// An address that was hinted is asked for this long.
+/// Time for which heartbeats are sent to a hinted address.
 const HINT_TTL: Duration = Duration::from_secs(10);
-/// Addresses asked at once.
+/// Maximum number of hinted addresses.
 const MAX_HINTED_ADDRESSES: usize = 16;
-/// Time after its start in which an entry lets others be found: all of a fleet start
-/// within a few tenths of a second.
+/// Time after startup during which an entry waits to discover others, because all entries
+/// of a fleet start within a few tenths of a second.
 const STARTUP_DELAY: Duration = Duration::from_millis(250);
-/// Longer wait for each doubling of capacity that it lacks of an able entry's, so that
-/// able ones lead.
+/// Additional delay for each capacity class below [`FULL_CAPACITY_CLASS`], so that
+/// entries with a high capacity become leads.
 const DELAY_PER_MISSING_CLASS: Duration = Duration::from_millis(250);
-/// Capacity of an able entry, in doublings: 512 requests a second.
+/// Capacity class without an additional delay: 512 requests per second.
 const FULL_CAPACITY_CLASS: u32 = 9;
-/// Longest wait for lack of capacity.
+/// Upper limit of the delay for low capacity.
 const MAX_CAPACITY_DELAY: Duration = Duration::from_millis(1500);
-/// Entries of the same capacity spread over this time, by hash.
+/// Entries of equal capacity are spread over this time by their hash.
 const JITTER: Duration = Duration::from_millis(150);
-/// Wait of a substitute behind the one before it.
+/// Delay of each substitute after the previous one.
 const SUBSTITUTE_DELAY: Duration = Duration::from_millis(200);
-/// Wait of entries that aren't substitutes, besides what they lack in capacity.
+/// Delay of entries that are not substitutes, in addition to the delay for low capacity.
 const NON_SUBSTITUTE_DELAY: Duration = Duration::from_millis(1200);
-/// Longer wait where an abler entry was hinted, so that it comes first.
+/// Additional delay if a better candidate was hinted, to let that one go first.
 const BETTER_CANDIDATE_DELAY: Duration = Duration::from_millis(1000);
-/// Time without an answer after which the store's rows are looked at for leads.
+/// Time without a lead before the leads are looked up in the store.
 const ROW_LOOKUP_DELAY: Duration = Duration::from_millis(1000);
-/// Time between two looks, doubled each time.
+/// Initial interval between lookups in the store; doubled after each one.
 const ROW_LOOKUP_INTERVAL: Duration = Duration::from_secs(3);
-/// Longest time between two looks.
+/// Maximum interval between lookups in the store.
 const MAX_ROW_LOOKUP_INTERVAL: Duration = Duration::from_secs(15);
 
-/// The search of one entry.
+/// Search state of an entry.
 #[derive(Debug)]
 pub struct LeadSearch {
     seeds: Vec<SocketAddr>,
     hinted: BTreeMap<SocketAddr, Instant>,
     since: Option<Instant>,
-    /// Whether leads were known before.
+    /// Whether a lead was heard from before.
     has_had_lead: bool,
     knows_better_candidate: bool,
     row_lookup_due: Option<Instant>,
     row_lookup_interval: Duration,
-    /// 0 to 1, by the hash of the entry's name.
+    /// Between 0 and 1, derived from the hash of the entry's name.
     jitter_fraction: f64,
 }
 
 impl LeadSearch {
-    /// The search of an entry with the hash `hash` that begins at `seeds`.
+    /// Creates the search of the entry with the hash `hash`, starting with the addresses
+    /// `seeds`.
     pub fn new(seeds: &[SocketAddr], hash: u64) -> Self {
         Self {
             seeds: seeds.to_vec(),
@@ -69,12 +71,13 @@
         }
     }
 
-    /// Part of `span`, the same each time, so that entries spread over it.
+    /// Returns a fraction of `span` that is fixed per entry, to spread entries over that
+    /// time.
     pub fn jitter(&self, span: Duration) -> Duration {
         span.mul_f64(self.jitter_fraction)
     }
 
-    /// No lead is heard at `now`; since when.
+    /// Notes at `now` that no lead is heard from, and returns since when.
     pub fn begin(&mut self, now: Instant) -> Instant {
         if self.row_lookup_due.is_none() {
             self.row_lookup_due = Some(now + ROW_LOOKUP_DELAY + self.jitter(ROW_LOOKUP_DELAY));
@@ -83,12 +86,12 @@
         *self.since.get_or_insert(now)
     }
 
-    /// Since when no lead is heard.
+    /// Returns since when no lead has been heard from.
     pub fn since(&self) -> Option<Instant> {
         self.since
     }
 
-    /// A lead is heard.
+    /// Ends the search because a lead is heard from.
     pub fn end(&mut self) {
         self.since = None;
         self.row_lookup_due = None;
@@ -96,7 +99,7 @@
         self.knows_better_candidate = false;
     }
 
-    /// An entry may lead at `address`; whether that wasn't known.
+    /// Adds the address of a possible lead; returns whether it is new.
     pub fn on_address(&mut self, now: Instant, address: SocketAddr) -> bool {
         let is_known = self.hinted.contains_key(&address);
         if !is_known && self.hinted.len() >= MAX_HINTED_ADDRESSES {
@@ -106,8 +109,8 @@
         !is_known
     }
 
-    /// Others were hinted; the search of the entry with the seat `own` waits for abler
-    /// ones. Whether one of them leads and wasn't known.
+    /// Adds hinted candidates. If one ranks above `own`, the local candidate, becoming a
+    /// lead is delayed. Returns whether a current lead was added at a new address.
     pub fn on_hint(
         &mut self,
         now: Instant,
@@ -125,24 +128,25 @@
         is_new
     }
 
-    /// Whether any address was hinted lately.
+    /// Returns whether there are hinted addresses.
     pub fn has_hints(&self) -> bool {
         !self.hinted.is_empty()
     }
 
-    /// The addresses that were hinted lately.
+    /// Returns the hinted addresses that have not expired.
     pub fn hinted(&mut self, now: Instant) -> Vec<SocketAddr> {
         self.hinted
             .retain(|_, at| now.saturating_duration_since(*at) < HINT_TTL);
         self.hinted.keys().copied().collect()
     }
 
-    /// The addresses known from the settings.
+    /// Returns the configured addresses.
     pub fn seeds(&self) -> &[SocketAddr] {
         &self.seeds
     }
 
-    /// Time until the next beat where beats are usually sent each `regular`.
+    /// Returns the time until the next heartbeat; `regular` is the interval outside a
+    /// search.
     pub fn heartbeat_interval(&self, now: Instant, regular: Duration) -> Duration {
         let fast = self
             .since
@@ -154,8 +158,8 @@
         }
     }
 
-    /// Whether the entry with the seat `own` is to lead now; `candidates` are the leads and
-    /// substitutes that it knew last.
+    /// Whether this entry, with the candidate `own`, should become a lead now.
+    /// `candidates` are the last known leads and substitutes.
     pub fn should_lead(
         &self,
         now: Instant,
@@ -188,8 +192,9 @@
         first + capacity_delay(own) + self.jitter(JITTER) + better
     }
 
-    /// Time after its start at which the entry with the seat `own` reads the store if
-    /// nobody has told it anything: able ones at once, since callers are sent there.
+    /// Time after startup at which the entry with the candidate `own` reads the store if
+    /// it has received nothing from others. Entries with a high capacity read at once,
+    /// because callers are directed to them.
     pub fn first_read_delay(&self, own: &LeadCandidate) -> Duration {
         let election_delay = capacity_delay(own);
         if election_delay.is_zero() {
@@ -198,7 +203,8 @@
         STARTUP_DELAY + election_delay + self.jitter(JITTER)
     }
 
-    /// Whether to look at the store's rows for leads now; the next look is later.
+    /// Returns whether to look up leads in the store now, and if so schedules the next
+    /// lookup.
     pub fn take_row_lookup(&mut self, now: Instant) -> bool {
         if self.row_lookup_due.is_none_or(|due| now < due) {
             return false;
