--- a/crates/place/tests/fleet_world/mod.rs
+++ b/crates/place/tests/fleet_world/mod.rs
@@ -57,7 +57,7 @@
     },
     WatchAnswered,
     /// An answer of a watch that waited at the process: the rows' version then, and when.
-    QueuedWatchAnswer {
+    LateWatch {
         operator: u64,
         time: StoreTime,
     },
@@ -302,7 +302,7 @@
         {
             // It waits in the process's queues.
             let waits = match arrival.delivery {
-                Delivery::WatchAnswered if self.is_served(to) => Delivery::QueuedWatchAnswer {
+                Delivery::WatchAnswered if self.is_served(to) => Delivery::LateWatch {
                     operator: self.operator,
                     time: self.store_time(),
                 },
@@ -337,9 +337,7 @@
                 let (operator, time) = (self.operator, self.store_time());
                 self.end_watch(to, self.is_served(to).then_some((operator, time)));
             }
-            Delivery::QueuedWatchAnswer { operator, time } => {
-                self.end_watch(to, Some((operator, time)))
-            }
+            Delivery::LateWatch { operator, time } => self.end_watch(to, Some((operator, time))),
             Delivery::StoreRows => {
                 let quarantine_rows = self.quarantine_rows.iter();
                 let quarantine_rows = quarantine_rows.map(|(print, (at, lifted))| KeptQuarantine {
