--- a/crates/place/tests/due.rs
+++ b/crates/place/tests/due.rs
@@ -1,4 +1,4 @@
-//! When an entry looks again at what it knows of others.
+//! Timing of a member's periodic tasks.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -35,8 +35,8 @@
     FleetMember::new(now, config)
 }
 
-/// Promise: an entry that hears no lead looks for one in time, though other datagrams wake its
-/// loop more often than it looks.
+/// Guards against a due time that moves with each call: an entry whose loop was woken by
+/// other datagrams more often than its search interval never searched for a lead.
 #[test]
 fn an_entry_that_is_woken_often_looks_in_time() {
     const WOKEN_EVERY: Duration = Duration::from_millis(5);
@@ -63,8 +63,8 @@
     assert!(reads, "it asks the store itself");
 }
 
-/// Promise: an entry that starts asks the leads that it hears which servers have left, the one
-/// that has run longest first, and no lead twice.
+/// An entry that starts asks each live lead once which servers have departed, beginning
+/// with the lead that has run longest.
 #[test]
 fn an_entry_that_starts_asks_which_servers_have_left() {
     let start = Instant::now();
@@ -100,7 +100,7 @@
     assert_eq!(asked, [22, 21]);
 }
 
-/// The digest of a lead of the same region that knows nothing of the store.
+/// A digest of a lead of the same region that knows nothing of the store.
 fn digest_of(port: u16, incarnation: u64) -> PeerMessage {
     let address = SocketAddr::from(([127, 0, 0, 1], port));
     PeerMessage::Digest(Box::new(RegionDigest {
--- a/crates/place/tests/fleet.rs
+++ b/crates/place/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! How a fleet finds its leads and hears what the store holds, in virtual time.
+//! Lead selection and state dissemination of a simulated fleet, in virtual time.
 
 mod fleet_world;
 
@@ -10,11 +10,10 @@
 use place::fleet::message::{PeerMessage, RegionDigest, RegionSummary};
 use place::prelude::*;
 
-/// Until a request that was placed is at a server of another region, over a connection that
-/// is made for it.
+/// Time until a placed request reaches a server of another region over a new connection.
 const FAR_SEND: Duration = ms(3 * 35);
 
-/// A fleet of `count` that has run for a while.
+/// Creates a fleet of `count` entries and runs it until its leads are stable.
 fn settled(count: usize) -> FleetWorld {
     let mut world = FleetWorld::new(count);
     world.run(ms(8000));
@@ -22,8 +21,9 @@
     world
 }
 
-/// Promise: where all entries start at once each region has two able leads in different
-/// failure domains and everybody knows what the store holds within 1.5 s, at few calls.
+/// When all entries start at once, each region gets two leads with a high capacity in
+/// different failure domains, and all entries know the state of the store within 1.5 s
+/// with few calls.
 #[test]
 fn a_fleet_that_starts_knows_everything_soon() {
     for count in [12, 300, 1000] {
@@ -39,7 +39,8 @@
             assert!(count < 100 || leads.iter().all(able), "{leads:?}");
         }
         let able = count as u64 / 11 + 3;
-        // Able entries read both tables at once, the others hear of them.
+        // Entries with a high capacity read both tables at once; the others get them from
+        // leads.
         assert!(
             world.calls <= 3 * able + 60,
             "{count}: {} calls",
@@ -48,8 +49,8 @@
     }
 }
 
-/// Promise: on calm days a fleet makes the same calls to the store whatever its size, and
-/// an entry that doesn't lead sends and hears the same few datagrams.
+/// Without failures a fleet makes the same number of store calls whatever its size, and
+/// an entry that is not a lead exchanges the same few datagrams.
 #[test]
 fn calm_costs_do_not_grow_with_the_fleet() {
     let mut seen = Vec::new();
@@ -60,7 +61,7 @@
         let before = world.entries[follower.unwrap()].datagrams;
         world.run(ms(20_000));
         let datagrams = world.entries[follower.unwrap()].datagrams - before;
-        // Beats to two leads and their digests.
+        // Heartbeats to two leads and their digests.
         assert!(datagrams <= 9 * 20, "{count}: {datagrams} datagrams");
         seen.push(calls);
     }
@@ -72,7 +73,7 @@
     assert!(many <= 7 * 20, "{many} calls in 20 s");
 }
 
-/// Promise: a change is known everywhere at once.
+/// A change in the store reaches all entries within 1.1 s.
 #[test]
 fn a_change_is_known_everywhere_at_once() {
     for count in [12, 300, 1000] {
@@ -86,8 +87,8 @@
     }
 }
 
-/// Promise: the loss of a region's reader, its deputy or both makes nobody late by more
-/// than the time in which a leaving server must get no more requests.
+/// If a region loses its reader, its deputy or both, every entry still learns of a change
+/// before the drain time of a server is over.
 #[test]
 fn lost_leads_make_nobody_late() {
     for count in [12, 300] {
@@ -110,7 +111,7 @@
             assert!(took <= DRAIN, "{count} entries, {lost:?} lost: {took:?}");
             world.run(ms(4000));
             assert!(world.is_settled(), "{count}, {lost:?}");
-            // Followers read for themselves only while nobody leads.
+            // Followers read the store themselves only while there is no lead.
             let calls = world.calls - before;
             let most = 50
                 + if lost.len() == 2 {
@@ -123,8 +124,8 @@
     }
 }
 
-/// Promise: entries whose questions to leads get no answer, though digests tell of changes,
-/// ask the store in time, and no more often than a reader does.
+/// Entries whose pulls fail although digests announce changes read the store in time, and
+/// no more often than a reader.
 #[test]
 fn entries_that_get_no_answers_ask_the_store() {
     let mut world = settled(300);
@@ -137,7 +138,7 @@
     world.change();
     let took = world.until_known(ms(6000));
     assert!(took <= DRAIN, "{took:?}");
-    // A list that they lack keeps them waiting for answers.
+    // A missing list keeps these entries waiting for an answer.
     for lead in 0..REGIONS {
         let lead = world.leads(lead)[0];
         let mut own = world.entries[lead].own.clone();
@@ -153,9 +154,10 @@
     );
 }
 
-/// Promise: where both leads of a region get no answers of the store any more, though they
-/// live and are heard, nobody else of the region is late: they hear from other regions'
-/// leads, and where these are out of reach a substitute reads and leads.
+/// If the store answers neither lead of a region although both are alive and heard from,
+/// the other entries of the region learn of changes in time: from leads of other regions
+/// or, if those are unreachable, from a substitute that reads the store and becomes a
+/// lead.
 #[test]
 fn blind_leads_make_nobody_late() {
     for count in [12, 300] {
@@ -183,8 +185,8 @@
     }
 }
 
-/// Promise: while the store refuses a third of the entries, the leads of one region among
-/// them, everybody hears of changes in time, and no more calls are made than by leads.
+/// While the store rejects a third of the entries, including the leads of one region, all
+/// entries learn of changes in time, with no more calls than leads make.
 #[test]
 fn refused_entries_hear_of_changes() {
     for count in [12, 300] {
@@ -198,7 +200,7 @@
         let calls = world.calls_in(ms(1000));
         for _ in 0..4 {
             world.change();
-            // The first change may meet leads that don't know yet that they are refused.
+            // The first change may come before the leads notice that they are rejected.
             let took = world.until_known(ms(6000));
             assert!(took <= ms(4000), "{count} entries took {took:?}");
             world.run(ms(1000));
@@ -208,8 +210,8 @@
     }
 }
 
-/// Promise: a store that is down is asked by the leads and a substitute or two only, and
-/// everybody knows what it holds soon after its return.
+/// During a store outage only the leads and one or two substitutes call the store. All
+/// entries know its state soon after it is back.
 #[test]
 fn a_store_that_is_down_is_not_pressed() {
     let mut seen = Vec::new();
@@ -228,8 +230,8 @@
     );
 }
 
-/// Promise: entries that are cut off from the rest, but not from the store, hear of
-/// changes in time, and are one fleet again soon after the cut.
+/// Entries that are partitioned from the rest, but not from the store, learn of changes
+/// in time, and rejoin the fleet soon after the partition ends.
 #[test]
 fn a_part_that_is_cut_off_hears_of_changes() {
     for count in [12, 300] {
@@ -256,8 +258,8 @@
     }
 }
 
-/// Promise: regions that lose each other for minutes drop each other's entries, go on by
-/// themselves and find each other again within seconds.
+/// Regions partitioned for minutes drop each other's entries, keep running on their own
+/// and find each other again within seconds.
 #[test]
 fn regions_find_each_other_again() {
     let mut world = settled(60);
@@ -279,8 +281,8 @@
     assert!((0..60).all(|entry| counted(&world, entry) == REGIONS));
 }
 
-/// Promise: a region that is lost is told to nobody within seconds, and is back soon
-/// after its return; so is the whole fleet after a loss of all.
+/// A lost region is no longer advertised after a few seconds, and returns soon after its
+/// restart. The same holds for the whole fleet after a loss of all entries.
 #[test]
 fn a_lost_region_and_a_lost_fleet_come_back() {
     for lost in [vec![1], vec![0, 1, 2]] {
@@ -306,8 +308,7 @@
     }
 }
 
-/// Promise: an entry that is about to end is told to no caller any more within a tenth of
-/// a second, also where it leads its region.
+/// An entry that shuts down is no longer advertised within 150 ms, even if it is a lead.
 #[test]
 fn a_leaving_entry_is_told_to_nobody() {
     for leads in [false, true] {
@@ -322,7 +323,7 @@
             let is_named = listed(&world, 0, &format!("n{entry}"));
             is_named && world.entries[*entry].member.leads() == leads
         });
-        // Where no lead is named, any that leads serves as well.
+        // If no lead is advertised, use any lead.
         let leaving = named.unwrap_or_else(|| world.leads(0)[0]);
         let node = format!("n{leaving}");
         let mut own = world.entries[leaving].own.clone();
@@ -342,8 +343,8 @@
     }
 }
 
-/// Promise: a rolling restart of half the entries loses no region its leads for longer
-/// than a moment, and an entry that starts knows everything within half a second.
+/// During a rolling restart of half the entries no region is without a lead at the end,
+/// and all entries know the state of the store within half a second.
 #[test]
 fn a_rolling_restart_is_not_noticed() {
     let mut world = settled(300);
@@ -370,8 +371,8 @@
     assert!(world.is_settled());
 }
 
-/// Promise: an entry that is left alone in its region asks for others at its own pace,
-/// though everybody answers that those lead which are gone.
+/// The last entry of a region searches for leads at a bounded rate, although all hints
+/// name leads that are gone.
 #[test]
 fn a_lone_entry_asks_at_its_own_pace() {
     let mut world = settled(60);
@@ -387,7 +388,7 @@
     assert!(datagrams <= 10 * 60, "{datagrams} datagrams in 10 s");
 }
 
-/// Promise: where no seed answers, the leads are found by their rows in the store.
+/// If no seed answers, leads are found through their rows in the store.
 #[test]
 fn leads_are_found_without_seeds() {
     let mut world = FleetWorld::with_seeds(60, &[100_000, 100_001, 100_002]);
@@ -402,7 +403,8 @@
     assert!(world.until_known(ms(6000)) <= ms(1100));
 }
 
-/// Promise: a digest that tells what no reading gave is overcome within seconds.
+/// An entry that claims a registry version which no read returned recovers within
+/// seconds.
 #[test]
 fn a_forged_digest_is_overcome() {
     let mut world = settled(300);
@@ -428,8 +430,8 @@
     }
 }
 
-/// Promise: nonsense from another entry changes nothing for good: unknown regions, lists
-/// of the far future, a digest of a region by one that doesn't lead it.
+/// Invalid messages have no lasting effect: unknown regions, list versions far ahead, and
+/// a digest for a region by an entry that is not its lead.
 #[test]
 fn nonsense_changes_nothing() {
     let mut world = settled(60);
@@ -474,8 +476,9 @@
     assert!(world.until_known(Duration::from_secs(6)) <= ms(1100));
 }
 
-/// Promise: a change of the registry that an entry or a whole region has missed, though they
-/// hold its version, is known before a request could reach a server that left with it.
+/// A registry change that an entry or a whole region missed, although it holds the
+/// version of the change, is discovered before a request could reach a server that was
+/// removed by it.
 #[test]
 fn a_missed_change_is_found_whatever_hid_it() {
     for count in [12, 300] {
@@ -512,8 +515,8 @@
     }
 }
 
-/// Promise: an entry that holds a version which the store hasn't reached yet knows what changes
-/// in time all the same, and asks the store no more often than a reader.
+/// An entry that holds a version which the store has not reached yet still learns of
+/// changes in time, and calls the store no more often than a reader.
 #[test]
 fn a_version_ahead_of_the_store_hides_nothing() {
     for count in [12, 300] {
@@ -545,8 +548,8 @@
     }
 }
 
-/// Promise: an entry that asks a lead for all servers, since it is in doubt about them, keeps the
-/// newer rows of the operator that it knows.
+/// An entry that refetches the registry from a lead because of a conflict keeps its newer
+/// copy of the operator's rows.
 #[test]
 fn a_doubt_about_servers_costs_no_newer_state() {
     let mut world = settled(12);
--- a/crates/place/tests/fleet_world/mod.rs
+++ b/crates/place/tests/fleet_world/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: the entries' decisions, a network that delays and cuts, and a
-//! store that is only versions.
+//! Simulation of a fleet in virtual time: the state machines of its entries, a network
+//! with latency and partitions, and a store reduced to version numbers.
 #![allow(dead_code, unreachable_pub, missing_docs)]
 
 use std::cmp::Reverse;
@@ -19,29 +19,30 @@
 use place::fleet::reading::{ReadOutcome, RegistryCall};
 use place::prelude::*;
 
-/// One way within a region, and between two.
+/// One-way latency within a region and between regions.
 const LOCAL_LATENCY: Duration = Duration::from_millis(1);
 const REMOTE_LATENCY: Duration = Duration::from_millis(35);
-/// An answer of the store.
+/// Latency of a store call.
 const STORE_LATENCY: Duration = Duration::from_millis(5);
-/// How long a watch of the operator's rows stays open.
+/// Time for which a watch of the operator's rows stays open.
 const WATCH_DURATION: Duration = Duration::from_millis(2000);
-/// How long an entry waits for an answer of the store.
+/// Time after which an entry gives up on a store call.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Messages on their way at once in a fleet that isn't answering itself without end.
+/// Maximum number of queued messages. A fleet whose entries answer each other endlessly
+/// exceeds it.
 const MAX_QUEUED_MESSAGES: usize = 500_000;
-/// Within this time a leaving server must get no more requests.
+/// Time within which a draining server must stop receiving requests.
 pub const DRAIN: Duration = Duration::from_millis(2500);
 pub const REGIONS: usize = 3;
 const DOMAINS: usize = 3;
-/// One entry in so many is able.
+/// One entry in this many has a high capacity.
 const LARGE_ENTRY_INTERVAL: usize = 11;
 
 pub const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// What is on its way.
+/// A scheduled event.
 #[derive(Debug)]
 enum Delivery {
     Datagram(PeerMessage),
@@ -56,7 +57,8 @@
         begun: Instant,
     },
     WatchAnswered,
-    /// An answer of a watch that waited at the process: the rows' version then, and when.
+    /// A watch answer that was queued while the process stood still: the version of the
+    /// operator's rows and the store's time at that moment.
     LateWatch {
         operator: u64,
         time: StoreTime,
@@ -94,35 +96,35 @@
     }
 }
 
-/// One entry's process.
+/// A simulated entry process.
 #[derive(Debug)]
 pub struct SimEntry {
     pub member: FleetMember,
     pub alive: bool,
     pub run: u64,
-    /// Whether the store refuses it.
+    /// Whether the store rejects its calls.
     pub refused: bool,
-    /// Whether its calls to the store get no answer.
+    /// Whether its store calls time out.
     pub silent: bool,
-    /// Whether its questions to leads get no answer, though datagrams pass.
+    /// Whether its pulls from leads fail although datagrams arrive.
     pub deaf: bool,
-    /// Entries of different groups don't reach each other.
+    /// Entries of different groups cannot reach each other.
     pub group: u32,
     pub datagrams: u64,
-    /// Those of them about requests that end servers.
+    /// Number of these datagrams that are about requests that crash servers.
     pub crash_datagrams: u64,
     pub own: LocalEntryState,
     pub notes: Vec<FleetChange>,
-    /// The changes of the registry that it knows, by the store's version, with the version of
-    /// its log at which it learned of each.
+    /// Registry changes known to the entry: the store's version of each, with the version
+    /// of the entry's log at which it learned of the change.
     pub servers: BTreeMap<u64, u64>,
     clock: Option<Instant>,
     watches: bool,
     watching: bool,
     watch_begun: Instant,
-    /// Stands still until then.
+    /// The process stands still until this time.
     still_until: Option<Instant>,
-    /// What its clock lacks of the world's.
+    /// How far its clock is behind virtual time.
     behind: Duration,
 }
 
@@ -130,25 +132,27 @@
     pub start: Instant,
     pub now: Instant,
     pub entries: Vec<SimEntry>,
-    /// The store's version, and those at which registry and operator's rows changed.
+    /// The store's version, and the versions at which the registry and the operator's
+    /// rows last changed.
     pub version: u64,
     pub registry: u64,
-    /// All changes of the registry.
+    /// Versions of all registry changes.
     pub servers: BTreeSet<u64>,
     pub operator: u64,
     pub store_down: bool,
     pub calls: u64,
-    /// One datagram in so many is lost.
+    /// One datagram in this many is lost.
     pub loses: Option<u64>,
-    /// One datagram in so many comes so late.
+    /// One datagram in this many is delayed by this time.
     pub delays: Option<(u64, Duration)>,
-    /// How old the store's word may become at entries that get requests.
+    /// Maximum proof age at entries that receive requests.
     pub proof_within: Option<Duration>,
-    /// When the operator's rows changed, with their versions.
+    /// Times at which the operator's rows changed, with the versions.
     pub changes: Vec<(Instant, u64)>,
     sent: u64,
     row: Vec<(String, SocketAddr)>,
-    /// The store's rows of requests in quarantine: since when, and whether lifted.
+    /// Quarantined requests in the store: when the quarantine began, and whether it was
+    /// lifted.
     pub quarantine_rows: BTreeMap<RequestPrint, (Instant, bool)>,
     queue: BinaryHeap<Reverse<Arrival>>,
     number: u64,
@@ -176,7 +180,7 @@
 }
 
 impl FleetWorld {
-    /// `count` entries that all start within 0.3 s.
+    /// Creates `count` entries that all start within 0.3 s.
     pub fn new(count: usize) -> Self {
         Self::with_seeds(count, &[0, 1, 5])
     }
@@ -253,7 +257,7 @@
         }
     }
 
-    /// `entry` as one that may lead.
+    /// Returns `entry` as a lead candidate.
     pub fn candidate(&self, entry: usize) -> LeadCandidate {
         self.config(entry, 1).candidate
     }
@@ -275,7 +279,7 @@
         }));
     }
 
-    /// Plays on for `span`.
+    /// Runs the simulation for `span`.
     pub fn run(&mut self, span: Duration) {
         let until = self.now + span;
         while let Some(Reverse(arrival)) = self.queue.peek() {
@@ -300,7 +304,7 @@
             .still_until
             .filter(|until| *until > self.now)
         {
-            // It waits in the process's queues.
+            // The event waits in the process's queues.
             let waits = match arrival.delivery {
                 Delivery::WatchAnswered if self.is_served(to) => Delivery::LateWatch {
                     operator: self.operator,
@@ -353,7 +357,7 @@
         }
     }
 
-    /// Gives `event` to an entry and does what it wants done.
+    /// Delivers `event` to an entry and performs the resulting actions.
     pub fn deliver_event(&mut self, entry: usize, event: FleetEvent) {
         let mut actions = Vec::new();
         let now = self.local(entry, self.now);
@@ -497,7 +501,7 @@
         let mut known = *self.entries[entry].member.known();
         let before = known.content;
         if known.registry >= log_version(self.version + 1) {
-            // No reading gave that: the log begins anew.
+            // No read can have returned that version, so the log is reset.
             self.entries[entry].servers.clear();
             known.registry = 0;
         }
@@ -506,7 +510,7 @@
         } else {
             known.registry_read + 1
         };
-        // What changed after the reading that it goes on from.
+        // Changes since the last read.
         let news: Vec<u64> = self.servers.range(first..).copied().collect();
         let stamp = log_version(self.registry).max(known.registry + 1);
         for change in news {
@@ -601,55 +605,57 @@
         self.deliver_event(entry, FleetEvent::Known(known));
     }
 
-    /// The store's own clock, which has run for a while.
+    /// Returns the store's clock, which did not start at zero.
     pub fn store_time(&self) -> StoreTime {
         StoreTime(50_000 + (self.now - self.start).as_millis() as u64)
     }
 
-    /// The time `at` by the clock of `entry`.
+    /// Converts virtual time to the clock of `entry`.
     pub fn local(&self, entry: usize, at: Instant) -> Instant {
         at - self.entries[entry].behind
     }
 
-    /// `entry` stands still for `span`; its clock does too where `suspended`.
+    /// Stops `entry` for `span`; if `suspended`, its clock stops as well.
     pub fn stand_still(&mut self, entry: usize, span: Duration, suspended: bool) {
         let until = self.now + span;
         self.entries[entry].still_until = Some(until);
         self.push(until, entry, Delivery::Resume { span, suspended });
     }
 
-    /// Whether it stands still now.
+    /// Whether the process stands still now.
     pub fn is_still(&self, entry: usize) -> bool {
         let until = self.entries[entry].still_until;
         until.is_some_and(|until| until > self.now)
     }
 
-    /// How long ago the operator changed what `entry` doesn't know, where there is such.
+    /// Returns how long ago the operator made the oldest change that `entry` does not
+    /// know; `None` if it knows all.
     pub fn lacks_since(&self, entry: usize) -> Option<Duration> {
         let known = self.entries[entry].member.known().operator;
         let missed = self.changes.iter().find(|(_, version)| *version > known);
         missed.map(|(at, _)| self.now - *at)
     }
 
-    /// Age of the store's word on the operator's rows at `entry`, by its own reckoning.
+    /// Returns the age of the proof on the operator's rows, as estimated by `entry`.
     pub fn proof_age(&self, entry: usize) -> Option<Duration> {
         let now = self.local(entry, self.now);
         self.entries[entry].member.proof_age(now)
     }
 
-    /// The mark of what `entry` knows of the registry.
+    /// Returns the content mark of the registry as known to `entry`.
     fn content(&self, entry: usize) -> ContentMark {
         let marks = self.entries[entry].servers.keys();
         let marks = marks.map(|change| ContentMark::of_foreign(&change.to_string()));
         marks.fold(ContentMark::default(), ContentMark::with)
     }
 
-    /// The registry changes, and `entry` takes the version of the change without the change.
+    /// Makes `entry` take the current registry version without its changes.
     pub fn miss(&mut self, entry: usize) {
         self.claim(entry, self.version);
     }
 
-    /// `entry` is sure to know the registry as of `version`, and learns nothing.
+    /// Makes `entry` believe it knows the registry as of `version`, without learning any
+    /// change.
     pub fn claim(&mut self, entry: usize, version: u64) {
         let mut known = *self.entries[entry].member.known();
         known.registry = log_version(version);
@@ -658,14 +664,14 @@
         self.deliver_event(entry, FleetEvent::Known(known));
     }
 
-    /// Live entries that don't know all of the registry, whatever they think.
+    /// Returns live entries that lack registry changes, whatever version they claim.
     pub fn lacking(&self) -> Vec<usize> {
         let mut live = self.live();
         live.retain(|entry| !self.entries[*entry].servers.keys().eq(&self.servers));
         live
     }
 
-    /// The registry and the operator's rows change, and no open watch is told.
+    /// Changes the registry and the operator's rows without notifying open watches.
     pub fn change_unseen(&mut self) {
         self.version += 1;
         self.registry = self.version;
@@ -673,7 +679,7 @@
         self.operator = self.version;
     }
 
-    /// The registry and the operator's rows change; open watches are told.
+    /// Changes the registry and the operator's rows, and notifies open watches.
     pub fn change(&mut self) {
         self.change_unseen();
         self.changes.push((self.now, self.version));
@@ -686,12 +692,12 @@
         }
     }
 
-    /// The process of `entry` ends without a word.
+    /// Ends the process of `entry` without a farewell message.
     pub fn kill(&mut self, entry: usize) {
         self.entries[entry].alive = false;
     }
 
-    /// The process of `entry` starts anew.
+    /// Restarts the process of `entry`.
     pub fn restart(&mut self, entry: usize) {
         let run = self.entries[entry].run + 1;
         let member = FleetMember::new(self.now, self.config(entry, run));
@@ -710,7 +716,7 @@
         self.push(self.now, entry, Delivery::Timer);
     }
 
-    /// Numbers of the live entries.
+    /// Returns the live entries.
     pub fn live(&self) -> Vec<usize> {
         let count = self.entries.len();
         (0..count)
@@ -718,7 +724,7 @@
             .collect()
     }
 
-    /// Numbers of the entries that lead `region`.
+    /// Returns the leads of `region`.
     pub fn leads(&self, region: usize) -> Vec<usize> {
         let live = self.live().into_iter();
         live.filter(|entry| region_of(*entry) == region)
@@ -731,7 +737,7 @@
         (0..REGIONS).all(|region| self.leads(region).len() == 2)
     }
 
-    /// Live entries that don't know the newest change.
+    /// Returns live entries that do not know the newest change.
     pub fn behind(&self) -> Vec<usize> {
         let mut live = self.live();
         live.retain(|entry| {
@@ -743,7 +749,7 @@
         live
     }
 
-    /// Plays until nobody is behind; how long that took, at most `most`.
+    /// Runs until no entry is behind, for at most `most`; returns the time that took.
     pub fn until_known(&mut self, most: Duration) -> Duration {
         let begun = self.now;
         while !self.behind().is_empty() && self.now < begun + most {
@@ -752,7 +758,7 @@
         self.now - begun
     }
 
-    /// Calls to the store while `span` is played.
+    /// Returns the number of store calls made while running for `span`.
     pub fn calls_in(&mut self, span: Duration) -> u64 {
         let before = self.calls;
         self.run(span);
--- a/crates/place/tests/front.rs
+++ b/crates/place/tests/front.rs
@@ -1,10 +1,10 @@
-//! Which entries callers are told to use.
+//! Selection of the entries that are advertised to callers.
 
 use place::fleet::front::{FrontEntry, RateMeter, capacity, named};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Fixed, so that each run gives the same verdict.
+/// Fixed, so that runs are reproducible.
 const SEED: u64 = 3;
 
 const NODES: [&str; 16] = [
@@ -21,7 +21,7 @@
     }
 }
 
-/// Four able entries and twelve small ones, which get `rate` together.
+/// Four large entries and twelve small ones, which receive `rate` in total.
 fn unequal(rate: f64) -> Vec<FrontEntry<'static>> {
     (0..16)
         .map(|number| entry(number, if number < 4 { 1000 } else { 50 }, rate / 16.0))
@@ -37,8 +37,8 @@
     nodes
 }
 
-/// Pattern: a region whose entries differ twentyfold. Only able ones are named, more of
-/// them where there is more to carry.
+/// In a region whose entries differ twentyfold in capacity only large ones are
+/// advertised, and more of them as the load grows.
 #[test]
 fn able_entries_take_the_callers() {
     assert_eq!(nodes(&unequal(10.0)).len(), 3);
@@ -50,8 +50,8 @@
     assert_eq!(nodes(&unequal(900.0)), ["n0", "n1", "n2", "n3"]);
 }
 
-/// Pattern: able entries are lost one after the other. Two are still better than the
-/// small ones; where only one is left, all share the callers.
+/// Large entries are lost one after another. Two of them are still better than all small
+/// ones; when only one is left, all entries share the load.
 #[test]
 fn the_others_take_over_when_able_ones_are_lost() {
     let all = unequal(700.0);
@@ -60,7 +60,7 @@
     assert_eq!(nodes(&all[4..]).len(), 12);
 }
 
-/// Promise: the loss of a failure domain leaves a named entry.
+/// The advertised entries span two failure domains, so the loss of one leaves some.
 #[test]
 fn named_entries_stand_in_two_domains() {
     let mut all = unequal(10.0);
@@ -74,7 +74,7 @@
     );
 }
 
-/// Promise: an instance's tighter resource decides.
+/// The scarcer of CPU and bandwidth determines the capacity of an instance.
 #[test]
 fn the_tighter_resource_decides() {
     assert_eq!(capacity(0.5, 200.0), 1000);
@@ -83,7 +83,7 @@
     assert!(capacity(0.0, 0.0) >= 1);
 }
 
-/// Promise: a rate follows what arrives within a few measurements.
+/// The measured rate converges within a few measurements.
 #[test]
 fn a_rate_is_followed() {
     let mut meter = RateMeter::default();
@@ -103,9 +103,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Promise, for any entries: some are named where there are any, at least two where
-    /// there are, none is less able than one that is left out of its domain, and the
-    /// order in which they are known doesn't matter.
+    /// For any entries, at least two are advertised if there are two. None has a lower
+    /// capacity than an entry of its failure domain that was left out, and the order of
+    /// the input does not matter.
     #[test]
     fn some_are_named_whatever_they_are(
         entries in prop::collection::vec((1_u32..2000, 0_u32..400), 1..16),
--- a/crates/place/tests/roster.rs
+++ b/crates/place/tests/roster.rs
@@ -1,4 +1,4 @@
-//! Which entries a lead takes as live.
+//! Liveness of entries in a lead's roster.
 
 mod common;
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Promise: an entry that fell silent is left out within three seconds.
+/// An entry counts as lost after at most three seconds without a heartbeat.
 #[test]
 fn a_silent_entry_is_left_out() {
     let now = Instant::now();
@@ -43,8 +43,8 @@
     assert_eq!(roster.live(now + ms(3000), "a").count(), 0);
 }
 
-/// Promise: a beat of an earlier run, late on the network, doesn't undo the stop
-/// or the start that came after it.
+/// A heartbeat of an earlier incarnation that arrives late does not undo a later shutdown
+/// or start.
 #[test]
 fn a_beat_of_an_earlier_run_changes_nothing() {
     let now = Instant::now();
