--- a/bin/lh-entry/src/handover.rs
+++ b/bin/lh-entry/src/handover.rs
@@ -58,7 +58,7 @@
             entry.node == node.instance.as_str() && entry.incarnation == node.incarnation.0
         });
         run.filter(|(region, _)| terms.may_pass(&state.config.region, region))
-            .map(|(_, entry)| entry.front)
+            .map(|(_, entry)| entry.caller_address)
     });
     let address = run.ok_or_else(stale)?;
     let patience = ends.saturating_duration_since(Instant::now());
--- a/bin/lh-entry/src/lookup.rs
+++ b/bin/lh-entry/src/lookup.rs
@@ -132,7 +132,7 @@
             entries.push(OpenEntry {
                 instance: entry.node.clone(),
                 region: region.to_owned(),
-                address: entry.front,
+                address: entry.caller_address,
                 stamp: entry.stamp.clone(),
             });
         }
--- a/bin/lh-entry/src/rollout.rs
+++ b/bin/lh-entry/src/rollout.rs
@@ -216,7 +216,7 @@
     };
     let mut targets = listeners.to_vec();
     state.fleet.with_regions(|now, regions| {
-        for region in regions.counted(now) {
+        for region in regions.active_regions(now) {
             let leads = regions
                 .candidates(region)
                 .iter()
--- a/bin/lh-entry/src/view.rs
+++ b/bin/lh-entry/src/view.rs
@@ -202,14 +202,14 @@
         }
     });
     if let Err(error) = &result {
-        log::info!(lead:% = target.view, error:%; "lead not followed");
+        log::info!(lead:% = target.view_address, error:%; "lead not followed");
     }
     let is_whole = target.scope.is_whole();
     state.metrics.on_pull(is_whole, result.is_ok());
     let done = result.is_ok();
     state
         .fleet
-        .on_event(FleetEvent::PullFinished(target.view, done));
+        .on_event(FleetEvent::PullFinished(target.view_address, done));
 }
 
 /// The lead's answer, and that of the entry which it names for a copy of the registry.
@@ -223,7 +223,7 @@
         return Ok(vec![answer]);
     };
     let relay = PullTarget {
-        view,
+        view_address: view,
         scope: target.scope,
     };
     let copy = ViewClient::default().ask(state, &relay, false).await;
@@ -262,10 +262,10 @@
     if !answer.registry.is_empty() {
         let delta: RegistryDelta = postcard::from_bytes(&answer.registry)?;
         let is_whole = target.scope.is_whole();
-        state.on_told_servers(target.view, &heard, &delta, is_whole);
+        state.on_told_servers(target.view_address, &heard, &delta, is_whole);
     }
     if !answer.ends.is_empty() {
-        state.on_told_ends(target.view, &answer.ends);
+        state.on_told_ends(target.view_address, &answer.ends);
     }
     state
         .fleet
@@ -291,8 +291,8 @@
         target: &PullTarget,
         insists: bool,
     ) -> Result<ViewAnswer, ViewError> {
-        if self.lead != Some(target.view) {
-            self.lead = Some(target.view);
+        if self.lead != Some(target.view_address) {
+            self.lead = Some(target.view_address);
             self.sender = None;
         }
         let known = state.fleet.known();
@@ -316,7 +316,7 @@
         } else {
             FIRST_PATIENCE
         };
-        let fetched = timeout(patience, self.fetch(target.view, &path)).await;
+        let fetched = timeout(patience, self.fetch(target.view_address, &path)).await;
         let fetched = fetched.unwrap_or(Err(ViewError::Timeout));
         if fetched.is_err() {
             self.sender = None;
--- a/crates/emulate/benches/slopes.rs
+++ b/crates/emulate/benches/slopes.rs
@@ -331,9 +331,12 @@
                 [10, 0, (number / 250) as u8, (number % 250) as u8],
                 7,
             )),
-            view: SocketAddr::from(([10, 0, (number / 250) as u8, (number % 250) as u8], 8)),
+            view_address: SocketAddr::from((
+                [10, 0, (number / 250) as u8, (number % 250) as u8],
+                8,
+            )),
             capacity: if number.is_multiple_of(11) { 1000 } else { 100 },
-            reads: true,
+            has_store_access: true,
             leads: false,
         };
         let beat = |number: usize| {
@@ -341,11 +344,11 @@
                 incarnation: 1,
                 candidate: candidate(number),
                 region: "r0".to_owned(),
-                front: candidate(number).peer_address,
+                caller_address: candidate(number).peer_address,
                 rate: (number % 9) as u32,
                 ready: true,
                 leaving: false,
-                seeks: false,
+                is_searching: false,
                 stamp: String::new(),
             }))
         };
@@ -354,7 +357,7 @@
             incarnation: 1,
             candidate: candidate(0),
             region: "r0".to_owned(),
-            front: candidate(0).peer_address,
+            caller_address: candidate(0).peer_address,
             regions: (0..REGIONS).map(|region| format!("r{region}")).collect(),
             seeds: Vec::new(),
             drain: Duration::from_millis(2500),
--- a/crates/place/src/fleet/candidate.rs
+++ b/crates/place/src/fleet/candidate.rs
@@ -29,11 +29,11 @@
         /// Address for datagrams from other entries.
         pub peer_address: SocketAddr,
         /// Address from which other entries pull data.
-        pub view: SocketAddr,
+        pub view_address: SocketAddr,
         /// Requests per second it can handle.
         pub capacity: u32,
         /// Whether its last call to the store succeeded, or it has made none yet.
-        pub reads: bool,
+        pub has_store_access: bool,
         /// Whether it is currently a lead.
         pub leads: bool,
     }
@@ -48,7 +48,12 @@
     /// rarely the busiest entries.
     pub fn rank(&self) -> CandidateRank {
         let hash = stable_hash(self.node.as_bytes());
-        (self.reads, self.capacity_class(), self.leads, hash)
+        (
+            self.has_store_access,
+            self.capacity_class(),
+            self.leads,
+            hash,
+        )
     }
 
     /// Binary logarithm of the capacity.
@@ -96,7 +101,7 @@
 fn replace_weak_leads(leading: &mut [LeadCandidate], others: &mut Vec<LeadCandidate>) {
     for lead in leading.iter_mut().rev() {
         let stronger = others.iter().position(|candidate| {
-            candidate.reads
+            candidate.has_store_access
                 && candidate.capacity_class() >= lead.capacity_class() + REPLACEMENT_CLASS_MARGIN
         });
         if let Some(index) = stronger {
--- a/crates/place/src/fleet/leads.rs
+++ b/crates/place/src/fleet/leads.rs
@@ -47,8 +47,8 @@
     }
 
     /// Returns the address from which other entries pull its data.
-    pub fn view(&self) -> SocketAddr {
-        self.candidate.view
+    pub fn view_address(&self) -> SocketAddr {
+        self.candidate.view_address
     }
 
     /// Returns its process incarnation; the smaller, the earlier the process started.
--- a/crates/place/src/fleet/list.rs
+++ b/crates/place/src/fleet/list.rs
@@ -28,7 +28,7 @@
         /// Its failure domain.
         pub domain: String,
         /// Address on which it accepts callers.
-        pub front: SocketAddr,
+        pub caller_address: SocketAddr,
         /// Address for datagrams from other entries.
         pub peer_address: SocketAddr,
         /// Whether it is advertised to callers.
@@ -82,7 +82,7 @@
             node: heartbeat.candidate.node.clone(),
             incarnation: heartbeat.incarnation,
             domain: heartbeat.candidate.domain.clone(),
-            front: heartbeat.front,
+            caller_address: heartbeat.caller_address,
             peer_address: heartbeat.candidate.peer_address,
             named,
             stamp: heartbeat.stamp.clone(),
--- a/crates/place/src/fleet/member/announce.rs
+++ b/crates/place/src/fleet/member/announce.rs
@@ -29,10 +29,10 @@
 impl FleetMember {
     /// Publishes a list of the region's entries if this entry is the reader.
     pub(super) fn update_list(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
-        let Some(since) = self.leading else {
+        let Some(since) = self.lead_since else {
             return;
         };
-        if now < self.list_due || !self.is_first(now) {
+        if now < self.list_due || !self.is_reader(now) {
             return;
         }
         self.list_due = now + HEARTBEAT_INTERVAL;
@@ -83,12 +83,12 @@
             incarnation: self.config.incarnation,
             candidate: self.own_candidate(now),
             region: self.config.region.clone(),
-            front: self.config.front,
-            rate: self.own.rate,
-            ready: self.own.ready,
-            leaving: self.own.leaving,
-            seeks: !self.hears_lead(now),
-            stamp: self.own.stamp.clone(),
+            caller_address: self.config.caller_address,
+            rate: self.local_state.rate,
+            ready: self.local_state.ready,
+            leaving: self.local_state.leaving,
+            is_searching: !self.has_live_lead(now),
+            stamp: self.local_state.stamp.clone(),
         }
     }
 
@@ -96,15 +96,15 @@
         if now < self.heartbeat_due {
             return;
         }
-        let seeks = !self.hears_lead(now);
-        let pause = if seeks && self.leading.is_none() {
+        let is_searching = !self.has_live_lead(now);
+        let pause = if is_searching && self.lead_since.is_none() {
             self.search.heartbeat_interval(now, HEARTBEAT_INTERVAL)
         } else {
             HEARTBEAT_INTERVAL
         };
         self.heartbeat_due = now + pause;
         let mut targets = self.own_region_leads(now);
-        if seeks {
+        if is_searching {
             targets.extend(
                 self.candidates
                     .iter()
@@ -115,7 +115,7 @@
         }
         let targets = self.others(targets);
         let heartbeat = PeerMessage::Heartbeat(Box::new(self.own_heartbeat(now)));
-        if self.own.leaving {
+        if self.local_state.leaving {
             // Sent twice: callers would be directed here for seconds if a lead received
             // neither.
             actions.push(FleetAction::Send(targets.clone(), heartbeat.clone()));
@@ -144,7 +144,7 @@
             incarnation: self.config.incarnation,
             candidate: self.own_candidate(now),
             region: self.config.region.clone(),
-            leaving: self.own.leaving,
+            leaving: self.local_state.leaving,
             store: self.known.word(now),
             regions: self.regions.summaries(now, to_leads),
         }))
@@ -152,7 +152,7 @@
 
     /// Returns when this lead sends its next digest unless a change occurs before.
     pub(super) fn next_digest(&self) -> Option<Instant> {
-        self.leading?;
+        self.lead_since?;
         let pause = self.digest_at.map(|at| at + MIN_DIGEST_INTERVAL);
         Some(pause.map_or(self.digest_due, |at| at.max(self.digest_due)))
     }
@@ -161,7 +161,7 @@
         let is_early = self
             .digest_at
             .is_some_and(|at| now.saturating_duration_since(at) < MIN_DIGEST_INTERVAL);
-        if self.leading.is_none() || now < self.digest_due || is_early {
+        if self.lead_since.is_none() || now < self.digest_due || is_early {
             return;
         }
         self.send_digest(now, actions);
@@ -189,10 +189,10 @@
             .live_leads(now)
             .map(|lead| lead.candidate.peer_address);
         let mut addresses: Vec<SocketAddr> = heard.collect();
-        let mut is_lost = !self.hears_lead(now);
+        let mut is_lost = !self.has_live_lead(now);
         for region in self.regions.others() {
             let candidates = self.regions.candidates(region).iter();
-            if self.regions.is_heard(now, region) {
+            if self.regions.is_reachable(now, region) {
                 addresses.extend(
                     candidates
                         .take(LEADS)
@@ -222,8 +222,8 @@
 
     /// Stores the region's leads in the store, and looks for other leads there.
     pub(super) fn maintain_lead_rows(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
-        let Some(since) = self.leading else {
-            if !self.hears_lead(now) && self.search.take_row_lookup(now) {
+        let Some(since) = self.lead_since else {
+            if !self.has_live_lead(now) && self.search.take_row_lookup(now) {
                 actions.push(FleetAction::ReadLeadRows);
             }
             return;
@@ -238,9 +238,9 @@
             } else {
                 ROW_CHECK_INTERVAL
             };
-        let is_first = self.is_first(now);
-        let is_lost = |region| !self.regions.is_heard(now, region);
-        if is_first || self.regions.others().any(is_lost) {
+        let is_reader = self.is_reader(now);
+        let is_lost = |region| !self.regions.is_reachable(now, region);
+        if is_reader || self.regions.others().any(is_lost) {
             actions.push(FleetAction::ReadLeadRows);
         }
         let leads = self
@@ -250,7 +250,7 @@
             .map(|candidate| candidate.peer_address);
         let lead_row: Vec<SocketAddr> = leads.collect();
         let is_settled = now.saturating_duration_since(since) >= ROW_WRITE_DELAY;
-        if is_settled && is_first && lead_row != self.lead_row {
+        if is_settled && is_reader && lead_row != self.lead_row {
             self.lead_row.clone_from(&lead_row);
             actions.push(FleetAction::WriteLeadRow(lead_row));
         }
--- a/crates/place/src/fleet/member/crashes.rs
+++ b/crates/place/src/fleet/member/crashes.rs
@@ -79,7 +79,7 @@
                 self.on_raised(now, word.print, word.status, actions);
             }
         }
-        if self.leading.is_some() && !new_facts.is_empty() {
+        if self.lead_since.is_some() && !new_facts.is_empty() {
             let leads = self.peer_leads(now);
             let leads = self.others(leads);
             actions.push(FleetAction::Send(leads, PeerMessage::Crash(new_facts)));
@@ -108,7 +108,7 @@
             }
         }
         self.quarantine.forget(now);
-        if self.leading.is_some() && self.is_first(now) {
+        if self.lead_since.is_some() && self.is_reader(now) {
             self.repair_quarantine_rows(now, rows, actions);
         }
     }
@@ -130,7 +130,7 @@
 
     /// Returns when reports or statuses must be sent, or crash reports evaluated.
     pub(super) fn crashes_due(&self) -> Option<Instant> {
-        let tells = self.leading.is_some() && self.has_statuses();
+        let tells = self.lead_since.is_some() && self.has_statuses();
         let statuses = tells.then_some(self.statuses_due);
         let dues = [self.outbox.due(), self.ledger.review_due(), statuses];
         dues.into_iter().flatten().min()
@@ -142,7 +142,7 @@
         if self.ledger.review_due().is_some_and(|due| now >= due) {
             self.review_ledger(now, actions);
         }
-        if self.leading.is_some() && now >= self.statuses_due {
+        if self.lead_since.is_some() && now >= self.statuses_due {
             self.send_statuses(now, actions);
         }
     }
@@ -153,7 +153,7 @@
         if word.is_empty() {
             return;
         }
-        let leads = if self.leading.is_some() {
+        let leads = if self.lead_since.is_some() {
             self.peer_leads(now)
         } else {
             self.own_region_leads(now)
@@ -166,7 +166,7 @@
     /// lead, which has reports from all entries: judging by its own reports alone, an
     /// entry could blame a request that was merely often in progress alongside the cause.
     fn review_ledger(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
-        if self.leading.is_none() && self.hears_lead(now) {
+        if self.lead_since.is_none() && self.has_live_lead(now) {
             self.ledger.leave();
             return;
         }
@@ -203,7 +203,7 @@
         let is_news = self.quarantine.clear(print, at);
         if was_held && !self.quarantine.contains(print) {
             actions.push(FleetAction::Log(FleetChange::Cleared(print)));
-            if self.leading.is_some() && self.is_first(at) {
+            if self.lead_since.is_some() && self.is_reader(at) {
                 delete_quarantine_rows(vec![print], actions);
             }
             self.statuses_due = at;
@@ -230,7 +230,7 @@
             return;
         }
         actions.push(FleetAction::Log(FleetChange::Quarantined(print)));
-        if self.leading.is_some() && self.is_first(now) {
+        if self.lead_since.is_some() && self.is_reader(now) {
             write_quarantine_rows(vec![(print, Duration::ZERO)], actions);
         }
     }
--- a/crates/place/src/fleet/member/fetch.rs
+++ b/crates/place/src/fleet/member/fetch.rs
@@ -28,7 +28,7 @@
     /// all of them disagree with it.
     pub(super) fn check_conflict(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         let mut contradicting = self.leads.contradicting(now, &self.known);
-        let first = if self.leading.is_some() {
+        let first = if self.lead_since.is_some() {
             contradicting.next()
         } else {
             let near = self.leads.live_leads_of(now, &self.config.region);
@@ -48,8 +48,8 @@
 
     /// Whether to read the whole registry from the store.
     fn reads_all(&self, now: Instant) -> bool {
-        if self.leading.is_some() {
-            return self.reads && self.conflict.is_due(now, self.config.drain);
+        if self.lead_since.is_some() {
+            return self.store_reachable && self.conflict.is_due(now, self.config.drain);
         }
         self.is_stale(now)
     }
@@ -68,22 +68,24 @@
     /// Returns the lead to refetch the registry from if the local content is in conflict
     /// and the store cannot be read.
     fn lead_to_refetch_from(&self, now: Instant) -> Option<SocketAddr> {
-        if !self.conflict.is_due(now, REFETCH_BACKOFF) || (self.leading.is_some() && self.reads) {
+        if !self.conflict.is_due(now, REFETCH_BACKOFF)
+            || (self.lead_since.is_some() && self.store_reachable)
+        {
             return None;
         }
         let contradicting = self.leads.contradicting(now, &self.known);
         let is_asked =
-            |lead: &&LeadRecord| self.leading.is_some() || lead.region == self.config.region;
+            |lead: &&LeadRecord| self.lead_since.is_some() || lead.region == self.config.region;
         let asked = contradicting.filter(is_asked);
         let newest = asked.max_by_key(|lead| (lead.known.registry_at, lead.rank()));
-        newest.map(LeadRecord::view)
+        newest.map(LeadRecord::view_address)
     }
 
     pub(super) fn start_due_pull(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         let context = PullContext {
             region: &self.config.region,
             hash: self.hash,
-            leads: self.leading.is_some(),
+            leads: self.lead_since.is_some(),
             remote_registry_delay: self.readings.pace().deputy,
         };
         let conflicting_lead = self.lead_to_refetch_from(now);
@@ -124,7 +126,7 @@
             ReadRole::Follower { stuck, .. } => stuck,
             ReadRole::Alone { used, first } => self.watches_alone(now, used, first),
         };
-        let watches = watches || self.lacks_proof(now);
+        let watches = watches || self.needs_proof(now);
         if watches != self.watches {
             self.watches = watches;
             actions.push(FleetAction::WatchOperator(watches));
@@ -133,8 +135,8 @@
 
     /// Whether an entry that receives requests will soon lack the proof these require. It
     /// then calls the store itself, whether or not others could provide the proof.
-    fn lacks_proof(&self, now: Instant) -> bool {
-        let Some(within) = self.own.proof_within.filter(|_| self.is_listed()) else {
+    fn needs_proof(&self, now: Instant) -> bool {
+        let Some(within) = self.local_state.proof_within.filter(|_| self.is_listed()) else {
             return false;
         };
         let spread = self.search.jitter(within.mul_f64(PROOF_JITTER_FRACTION));
@@ -160,14 +162,14 @@
     }
 
     fn read_role(&self, now: Instant) -> ReadRole {
-        if self.leading.is_some() {
-            return if self.is_first(now) {
+        if self.lead_since.is_some() {
+            return if self.is_reader(now) {
                 ReadRole::Reader
             } else {
                 ReadRole::Deputy
             };
         }
-        if self.hears_lead(now) {
+        if self.has_live_lead(now) {
             let mut substitutes = self.candidates.iter().skip(LEADS);
             return ReadRole::Follower {
                 substitute: substitutes
--- a/crates/place/src/fleet/member/mod.rs
+++ b/crates/place/src/fleet/member/mod.rs
@@ -51,7 +51,7 @@
     /// The entry's region.
     pub region: String,
     /// Address on which it accepts callers.
-    pub front: SocketAddr,
+    pub caller_address: SocketAddr,
     /// All regions.
     pub regions: Vec<String>,
     /// Datagram addresses of a few other entries; may be out of date.
@@ -176,8 +176,8 @@
     hash: u64,
     started: Instant,
     last_run: Instant,
-    own: LocalEntryState,
-    reads: bool,
+    local_state: LocalEntryState,
+    store_reachable: bool,
     known: KnownStore,
     clock: StoreClock,
     roster: EntryRoster,
@@ -188,10 +188,10 @@
     conflict: ContentConflict,
     readings: ReadingPlan,
     /// Time at which this entry became a lead; `None` if it is not one.
-    leading: Option<Instant>,
+    lead_since: Option<Instant>,
     /// Current leads and substitutes of the region.
     candidates: Vec<LeadCandidate>,
-    counted: Vec<String>,
+    active_regions: Vec<String>,
     is_lone: bool,
     watches: bool,
     heartbeat_due: Instant,
@@ -216,8 +216,8 @@
             hash,
             started: now,
             last_run: now,
-            own: LocalEntryState::default(),
-            reads: true,
+            local_state: LocalEntryState::default(),
+            store_reachable: true,
             known: KnownStore::default(),
             clock: StoreClock::default(),
             roster: EntryRoster::default(),
@@ -227,9 +227,9 @@
             pulls: PullState::default(),
             conflict: ContentConflict::default(),
             readings: ReadingPlan::new(now, ReadPace::new(config.drain), hash),
-            leading: None,
+            lead_since: None,
             candidates: Vec::new(),
-            counted: Vec::new(),
+            active_regions: Vec::new(),
             is_lone: true,
             watches: false,
             heartbeat_due: now,
@@ -260,11 +260,11 @@
                 self.known.on_suspended(span);
             }
             FleetEvent::RegistryRead(outcome) => {
-                self.reads = outcome != ReadOutcome::Failed;
+                self.store_reachable = outcome != ReadOutcome::Failed;
                 self.readings.on_read(now, outcome);
             }
             FleetEvent::RemovalsFinalAt(at) => self.readings.set_settles(at),
-            FleetEvent::WatchFinished(done) => self.reads = done,
+            FleetEvent::WatchFinished(done) => self.store_reachable = done,
             FleetEvent::Lists(lists) => {
                 let newer = lists
                     .into_iter()
@@ -275,7 +275,7 @@
                     actions.push(FleetAction::ListsChanged);
                 }
             }
-            FleetEvent::PullFinished(view, done) => self.pulls.on_pull_finished(now, view, done),
+            FleetEvent::PullFinished(lead, done) => self.pulls.on_pull_finished(now, lead, done),
             FleetEvent::LeadRows(rows) => self.on_rows(now, &rows),
             FleetEvent::QuarantineRows(rows) => self.on_quarantine_rows(now, &rows, actions),
             FleetEvent::Crashed(reports) => self.on_crashed(now, &reports),
@@ -289,10 +289,10 @@
     /// than this would never run them.
     pub fn due(&self, now: Instant) -> Instant {
         let silent = self.leads.timeout_at(&self.config.region);
-        let waits = self.leading.is_some() || self.pulls.is_behind();
+        let waits = self.lead_since.is_some() || self.pulls.is_behind();
         let due = match silent.filter(|at| !waits && *at > now) {
             Some(at) => self.heartbeat_due.min(at).max(now),
-            None if self.leading.is_none() => self.last_run + SEARCH_POLL_INTERVAL,
+            None if self.lead_since.is_none() => self.last_run + SEARCH_POLL_INTERVAL,
             None => self.last_run + POLL_INTERVAL,
         };
         let others = [
@@ -327,7 +327,7 @@
 
     /// Whether this entry is a lead of its region.
     pub fn leads(&self) -> bool {
-        self.leading.is_some()
+        self.lead_since.is_some()
     }
 
     /// Whether this entry is listed as receiving requests.
@@ -343,8 +343,9 @@
     }
 
     fn on_own(&mut self, now: Instant, own: LocalEntryState) {
-        let is_urgent = own.ready != self.own.ready || own.leaving != self.own.leaving;
-        self.own = own;
+        let is_urgent =
+            own.ready != self.local_state.ready || own.leaving != self.local_state.leaving;
+        self.local_state = own;
         if is_urgent {
             self.heartbeat_due = now;
             self.list_due = self.list_due.min(now);
--- a/crates/place/src/fleet/member/receive.rs
+++ b/crates/place/src/fleet/member/receive.rs
@@ -42,32 +42,32 @@
         if heartbeat.candidate.node == self.config.candidate.node {
             return;
         }
-        let (seeks, sender) = (heartbeat.seeks, heartbeat.candidate.peer_address);
+        let (is_searching, sender) = (heartbeat.is_searching, heartbeat.candidate.peer_address);
         let region = heartbeat.region.clone();
-        let is_near = region == self.config.region;
+        let is_own_region = region == self.config.region;
         let news = self.roster.on_heartbeat(now, heartbeat);
         if news == HeartbeatOutcome::Outdated {
             return;
         }
-        if is_near && self.leading.is_some() {
+        if is_own_region && self.lead_since.is_some() {
             if news == HeartbeatOutcome::Changed {
                 self.list_due = self.list_due.min(now + LIST_DEBOUNCE);
             }
-            if seeks {
+            if is_searching {
                 let digest = self.digest(now, false);
                 actions.push(FleetAction::Send(vec![sender], digest));
             }
             return;
         }
-        if seeks || is_near {
+        if is_searching || is_own_region {
             self.hint(now, &region, sender, actions);
         }
     }
 
     /// Sends hints to the entry at `sender`, which is searching for leads of `region`.
     fn hint(&self, now: Instant, region: &str, sender: SocketAddr, actions: &mut Vec<FleetAction>) {
-        let is_heard = self.regions.is_heard(now, region);
-        let mut candidates = if is_heard {
+        let is_reachable = self.regions.is_reachable(now, region);
+        let mut candidates = if is_reachable {
             self.regions.candidates(region).to_vec()
         } else {
             let mut candidates = self.roster.candidates(now, region);
@@ -82,7 +82,7 @@
             region: region.to_owned(),
             candidates,
         }];
-        if !is_heard && region != self.config.region && self.hears_lead(now) {
+        if !is_reachable && region != self.config.region && self.has_live_lead(now) {
             // The leads of the local region know those of all other regions.
             hints.push(LeadHint {
                 region: self.config.region.clone(),
@@ -100,7 +100,7 @@
             return;
         }
         for summary in &digest.regions {
-            if summary.region == self.config.region && self.leading.is_some() {
+            if summary.region == self.config.region && self.lead_since.is_some() {
                 self.find_other_leads(now, &summary.candidates);
                 continue;
             }
@@ -117,8 +117,9 @@
         {
             actions.push(FleetAction::ConfirmRegistry(at));
         }
-        let is_near = digest.region == self.config.region;
-        if self.leading.is_none() && !(is_near && self.is_followed(&digest.candidate.node)) {
+        let is_own_region = digest.region == self.config.region;
+        if self.lead_since.is_none() && !(is_own_region && self.is_followed(&digest.candidate.node))
+        {
             self.hint(
                 now,
                 &self.config.region,
@@ -126,7 +127,7 @@
                 actions,
             );
         }
-        if is_near || self.leading.is_some() {
+        if is_own_region || self.lead_since.is_some() {
             self.role_check_due = now;
         }
     }
@@ -141,11 +142,11 @@
     /// Adds leads of the local region that were reported by another region.
     fn find_other_leads(&mut self, now: Instant, candidates: &[LeadCandidate]) {
         for candidate in candidates.iter().take(LEADS) {
-            let is_heard = self
+            let is_reachable = self
                 .leads
                 .live_leads_of(now, &self.config.region)
                 .any(|lead| lead.candidate.node == candidate.node);
-            if !is_heard && candidate.node != self.config.candidate.node {
+            if !is_reachable && candidate.node != self.config.candidate.node {
                 self.search.on_address(now, candidate.peer_address);
             }
         }
@@ -161,7 +162,7 @@
             }
             return;
         }
-        if self.hears_lead(now) && self.leading.is_none() {
+        if self.has_live_lead(now) && self.lead_since.is_none() {
             return;
         }
         let own = self.own_candidate(now);
@@ -174,7 +175,8 @@
     pub(super) fn on_rows(&mut self, now: Instant, rows: &[(String, SocketAddr)]) {
         let own = self.config.candidate.peer_address;
         for (region, address) in rows {
-            let is_needed = *region == self.config.region || !self.regions.is_heard(now, region);
+            let is_needed =
+                *region == self.config.region || !self.regions.is_reachable(now, region);
             if is_needed && *address != own {
                 self.search.on_address(now, *address);
             }
--- a/crates/place/src/fleet/member/role.rs
+++ b/crates/place/src/fleet/member/role.rs
@@ -11,40 +11,44 @@
     pub(super) fn update_role(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         let own = self.own_candidate(now);
         let top = self.leads.top_lead_of(now, &self.config.region);
-        let above = top.filter(|lead| self.leading.is_none() || lead.rank() > own.rank());
+        let above = top.filter(|lead| self.lead_since.is_none() || lead.rank() > own.rank());
         if let Some(lead) = above {
-            let appointed = lead.appoints_lead(&own.node) && !self.own.leaving;
+            let appointed = lead.appoints_lead(&own.node) && !self.local_state.leaving;
             let (candidates, node) = (lead.candidates.clone(), lead.candidate.node.clone());
             self.set_candidates(now, candidates, actions);
-            match (self.leading, appointed) {
-                (None, true) => self.lead(now, "appointed by the reader", actions),
-                (None, false) if self.is_only_reader(now) && !self.own.leaving => {
-                    self.lead(now, "leads are not answered by the store", actions);
+            match (self.lead_since, appointed) {
+                (None, true) => self.become_lead(now, "selected by the reader", actions),
+                (None, false) if self.is_only_reader(now) && !self.local_state.leaving => {
+                    self.become_lead(
+                        now,
+                        "no lead of the region has access to the store",
+                        actions,
+                    );
                 }
-                (Some(_), false) => self.follow(now, node, actions),
+                (Some(_), false) => self.step_down(now, node, actions),
                 _ => {}
             }
-        } else if self.leading.is_none() && !self.own.leaving {
+        } else if self.lead_since.is_none() && !self.local_state.leaving {
             let is_lost = !self.candidates.is_empty() && top.is_none();
             let since = self.search.begin(now);
             if is_lost && since == now {
                 actions.push(FleetAction::Log(FleetChange::LeadsLost));
             }
             if self.search.should_lead(now, &own, &self.candidates) {
-                self.lead(now, "no lead heard", actions);
+                self.become_lead(now, "no lead of the region found", actions);
             }
         }
-        if self.leading.is_some() && self.is_first(now) {
+        if self.lead_since.is_some() && self.is_reader(now) {
             let near = self.leads.live_leads_of(now, &self.config.region);
             let mut leading: Vec<LeadCandidate> = near.map(|lead| lead.candidate.clone()).collect();
-            if !self.own.leaving {
+            if !self.local_state.leaving {
                 leading.push(self.own_candidate(now));
             }
             let others = self.roster.candidates(now, &self.config.region);
             let candidates = candidate::choose(leading, others);
             self.set_candidates(now, candidates, actions);
         }
-        if self.hears_lead(now) {
+        if self.has_live_lead(now) {
             self.search.end();
         }
     }
@@ -71,16 +75,16 @@
         self.candidates = candidates;
     }
 
-    fn lead(&mut self, now: Instant, reason: &'static str, actions: &mut Vec<FleetAction>) {
-        self.leading = Some(now);
+    fn become_lead(&mut self, now: Instant, reason: &'static str, actions: &mut Vec<FleetAction>) {
+        self.lead_since = Some(now);
         self.digest_due = now;
         self.list_due = now;
         self.row_lookup_due = now + ROW_WRITE_DELAY;
         actions.push(FleetAction::Log(FleetChange::StartedLeading(reason)));
     }
 
-    fn follow(&mut self, now: Instant, lead: String, actions: &mut Vec<FleetAction>) {
-        self.leading = None;
+    fn step_down(&mut self, now: Instant, lead: String, actions: &mut Vec<FleetAction>) {
+        self.lead_since = None;
         // Sent at once, so that receivers learn that this entry is no longer a lead.
         self.send_digest(now, actions);
         actions.push(FleetAction::Log(FleetChange::StoppedLeading(lead)));
@@ -88,25 +92,32 @@
 
     /// Detects regions that became silent or are heard from again.
     pub(super) fn update_regions(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
-        if self.leading.is_some() {
+        if self.lead_since.is_some() {
             let live = self.roster.live(now, &self.config.region).count() as u32 + 1;
             self.regions
                 .on_own_region(now, live, self.candidates.clone());
         }
-        let counted: Vec<String> = self.regions.counted(now).map(str::to_owned).collect();
-        let has_met = self.roster.has_entries() || self.search.has_hints() || counted.len() > 1;
-        let is_met = self.is_lone && (has_met || self.hears_lead(now));
-        if counted != self.counted || is_met {
-            self.counted = counted;
+        let active_regions: Vec<String> = self
+            .regions
+            .active_regions(now)
+            .map(str::to_owned)
+            .collect();
+        let has_met =
+            self.roster.has_entries() || self.search.has_hints() || active_regions.len() > 1;
+        let is_met = self.is_lone && (has_met || self.has_live_lead(now));
+        if active_regions != self.active_regions || is_met {
+            self.active_regions = active_regions;
             self.is_lone &= !is_met;
             actions.push(FleetAction::ListsChanged);
         }
     }
 
     /// Whether no other lead of the region ranks above this entry.
-    pub(super) fn is_first(&self, now: Instant) -> bool {
+    pub(super) fn is_reader(&self, now: Instant) -> bool {
         let first = self.leads.top_lead_of(now, &self.config.region);
-        first.is_none_or(|lead| !self.own.leaving && lead.rank() < self.own_candidate(now).rank())
+        first.is_none_or(|lead| {
+            !self.local_state.leaving && lead.rank() < self.own_candidate(now).rank()
+        })
     }
 
     /// Whether this entry has recently read the store while no lead of its region has
@@ -116,19 +127,19 @@
         let reads = read_at
             .is_some_and(|at| now.saturating_duration_since(at) < self.readings.pace().reader);
         let mut leads = self.leads.live_leads_of(now, &self.config.region);
-        reads && self.reads && leads.all(|lead| !lead.candidate.reads)
+        reads && self.store_reachable && leads.all(|lead| !lead.candidate.has_store_access)
     }
 
     /// Returns this entry as a lead candidate.
     pub(super) fn own_candidate(&self, now: Instant) -> LeadCandidate {
         LeadCandidate {
-            reads: self.reads && !self.readings.is_overdue(now),
-            leads: self.leading.is_some(),
+            has_store_access: self.store_reachable && !self.readings.is_overdue(now),
+            leads: self.lead_since.is_some(),
             ..self.config.candidate.clone()
         }
     }
 
-    pub(super) fn hears_lead(&self, now: Instant) -> bool {
+    pub(super) fn has_live_lead(&self, now: Instant) -> bool {
         let region = &self.config.region;
         self.leads.live_leads_of(now, region).next().is_some()
     }
--- a/crates/place/src/fleet/message.rs
+++ b/crates/place/src/fleet/message.rs
@@ -62,7 +62,7 @@
         /// The entry's region.
         pub region: String,
         /// Address on which it accepts callers.
-        pub front: SocketAddr,
+        pub caller_address: SocketAddr,
         /// Requests per second it receives.
         pub rate: u32,
         /// Whether it currently accepts callers.
@@ -70,7 +70,7 @@
         /// Whether its process is shutting down.
         pub leaving: bool,
         /// Whether it receives digests from no lead of its region.
-        pub seeks: bool,
+        pub is_searching: bool,
         /// Its stamp for tickets; empty if no caller uses tickets.
         pub stamp: String,
     }
--- a/crates/place/src/fleet/pull.rs
+++ b/crates/place/src/fleet/pull.rs
@@ -58,7 +58,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PullTarget {
     /// Address from which the lead serves its data.
-    pub view: SocketAddr,
+    pub view_address: SocketAddr,
     /// The requested data.
     pub scope: PullScope,
 }
@@ -90,10 +90,10 @@
 }
 
 impl PullState {
-    /// Records that the pull from the lead at `view` ended; `done` if it succeeded.
-    pub fn on_pull_finished(&mut self, now: Instant, view: SocketAddr, done: bool) {
+    /// Records that the pull from the lead at `view_address` ended; `done` if it succeeded.
+    pub fn on_pull_finished(&mut self, now: Instant, view_address: SocketAddr, done: bool) {
         self.asked = None;
-        self.failed_lead = (!done).then_some((view, now));
+        self.failed_lead = (!done).then_some((view_address, now));
     }
 
     /// Whether leads hold newer data but none has delivered it for too long.
@@ -143,13 +143,16 @@
         let failed_lead = self
             .failed_lead
             .filter(|(_, at)| is_recent(*at, FAILED_LEAD_BACKOFF));
-        let may_ask = |lead: &&LeadRecord| failed_lead.is_none_or(|(view, _)| lead.view() != view);
-        let view = match conflicting_lead {
-            Some(view) => view,
-            None if is_ahead => first?.view(),
-            None => leads_with_news.into_iter().find(may_ask)?.view(),
+        let may_ask = |lead: &&LeadRecord| {
+            failed_lead.is_none_or(|(view_address, _)| lead.view_address() != view_address)
         };
-        let is_other = scope == PullScope::Newer && first.is_some_and(|first| first.view() != view);
+        let view_address = match conflicting_lead {
+            Some(view_address) => view_address,
+            None if is_ahead => first?.view_address(),
+            None => leads_with_news.into_iter().find(may_ask)?.view_address(),
+        };
+        let is_other = scope == PullScope::Newer
+            && first.is_some_and(|first| first.view_address() != view_address);
         if is_other
             && !context.leads
             && failed_lead.is_none()
@@ -157,9 +160,12 @@
         {
             return None;
         }
-        self.asked = Some(view);
+        self.asked = Some(view_address);
         self.asked_at = Some(now);
-        Some(PullTarget { view, scope })
+        Some(PullTarget {
+            view_address,
+            scope,
+        })
     }
 
     /// Returns a pull for departed servers. An entry that starts knows none of them, and
@@ -181,14 +187,14 @@
         }
         let heard = leads.live_leads(now).filter(|lead| {
             let is_asked = context.leads || lead.region == context.region;
-            is_asked && !self.departures_asked.contains(&lead.view())
+            is_asked && !self.departures_asked.contains(&lead.view_address())
         });
-        let view = heard.min_by_key(|lead| lead.incarnation())?.view();
-        self.departures_asked.push(view);
-        self.asked = Some(view);
+        let view_address = heard.min_by_key(|lead| lead.incarnation())?.view_address();
+        self.departures_asked.push(view_address);
+        self.asked = Some(view_address);
         self.asked_at = Some(now);
         Some(PullTarget {
-            view,
+            view_address,
             scope: PullScope::Departures,
         })
     }
--- a/crates/place/src/fleet/regions.rs
+++ b/crates/place/src/fleet/regions.rs
@@ -68,7 +68,7 @@
 
     /// Adds hinted candidates for a region that is not heard from.
     pub fn on_hint(&mut self, now: Instant, region: &str, candidates: &[LeadCandidate]) {
-        if self.is_heard(now, region) {
+        if self.is_reachable(now, region) {
             return;
         }
         let Some(record) = self.regions.get_mut(region) else {
@@ -143,7 +143,7 @@
     }
 
     /// Whether a lead of `region` was heard from recently.
-    pub fn is_heard(&self, now: Instant, region: &str) -> bool {
+    pub fn is_reachable(&self, now: Instant, region: &str) -> bool {
         let last_heard = self
             .regions
             .get(region)
@@ -152,14 +152,14 @@
     }
 
     /// Returns the regions whose entries count: those heard from, and the local one.
-    pub fn counted(&self, now: Instant) -> impl Iterator<Item = &str> {
+    pub fn active_regions(&self, now: Instant) -> impl Iterator<Item = &str> {
         let names = self.regions.keys().map(String::as_str);
-        names.filter(move |name| *name == self.own || self.is_heard(now, name))
+        names.filter(move |name| *name == self.own || self.is_reachable(now, name))
     }
 
     /// Returns the entries that receive requests, with their regions.
     pub fn listed(&self, now: Instant) -> impl Iterator<Item = (&str, &ListedEntry)> {
-        self.counted(now).flat_map(move |name| {
+        self.active_regions(now).flat_map(move |name| {
             let list = self.list(name).map_or(&[][..], |list| &list.entries);
             list.iter().map(move |entry| (name, entry))
         })
@@ -167,8 +167,10 @@
 
     /// Returns the number of live entries in all regions that count.
     pub fn live(&self, now: Instant) -> u32 {
-        let counted = self.counted(now).filter_map(|name| self.regions.get(name));
-        counted.map(|record| record.live).sum()
+        let active_regions = self
+            .active_regions(now)
+            .filter_map(|name| self.regions.get(name));
+        active_regions.map(|record| record.live).sum()
     }
 
     /// Returns the last known leads and substitutes of a region.
--- a/crates/place/tests/due.rs
+++ b/crates/place/tests/due.rs
@@ -18,16 +18,16 @@
         node: "n1".to_owned(),
         domain: "a1".to_owned(),
         peer_address: address,
-        view: address,
+        view_address: address,
         capacity: 100,
-        reads: true,
+        has_store_access: true,
         leads: false,
     };
     let config = MemberConfig {
         incarnation: 1,
         candidate,
         region: "a".to_owned(),
-        front: address,
+        caller_address: address,
         regions: vec!["a".to_owned()],
         seeds: Vec::new(),
         drain: DRAIN,
@@ -89,10 +89,10 @@
                 continue;
             };
             assert_eq!(target.scope, PullScope::Departures);
-            asked.push(target.view.port());
+            asked.push(target.view_address.port());
             member.on_event(
                 now,
-                FleetEvent::PullFinished(target.view, true),
+                FleetEvent::PullFinished(target.view_address, true),
                 &mut Vec::new(),
             );
         }
@@ -109,9 +109,9 @@
             node: format!("lead-{port}"),
             domain: "a1".to_owned(),
             peer_address: address,
-            view: address,
+            view_address: address,
             capacity: 1000,
-            reads: true,
+            has_store_access: true,
             leads: true,
         },
         region: "a".to_owned(),
--- a/crates/place/tests/fleet.rs
+++ b/crates/place/tests/fleet.rs
@@ -269,16 +269,16 @@
     world.run(ms(200_000));
     world.change();
     assert!(world.until_known(ms(6000)) <= ms(1100));
-    let counted = |world: &FleetWorld, entry: usize| {
+    let active_regions = |world: &FleetWorld, entry: usize| {
         let regions = world.entries[entry].member.regions();
-        regions.counted(world.now).count()
+        regions.active_regions(world.now).count()
     };
-    assert!((0..60).all(|entry| counted(&world, entry) == 1));
+    assert!((0..60).all(|entry| active_regions(&world, entry) == 1));
     for entry in 0..60 {
         world.entries[entry].group = 0;
     }
     world.run(ms(3000));
-    assert!((0..60).all(|entry| counted(&world, entry) == REGIONS));
+    assert!((0..60).all(|entry| active_regions(&world, entry) == REGIONS));
 }
 
 /// A lost region is no longer advertised after a few seconds, and returns soon after its
@@ -296,7 +296,11 @@
         world.run(ms(6000));
         for entry in world.live() {
             let regions = world.entries[entry].member.regions();
-            assert!(!regions.counted(world.now).any(|region| region == "r1"));
+            assert!(
+                !regions
+                    .active_regions(world.now)
+                    .any(|region| region == "r1")
+            );
         }
         for entry in &gone {
             world.restart(*entry);
--- a/crates/place/tests/fleet_world/mod.rs
+++ b/crates/place/tests/fleet_world/mod.rs
@@ -244,13 +244,13 @@
                 node: format!("n{entry}"),
                 domain: domain_of(entry),
                 peer_address: address(entry),
-                view: address(entry),
+                view_address: address(entry),
                 capacity: if is_able { 1000 } else { 100 },
-                reads: true,
+                has_store_access: true,
                 leads: false,
             },
             region: format!("r{}", region_of(entry)),
-            front: address(entry),
+            caller_address: address(entry),
             regions: (0..REGIONS).map(|region| format!("r{region}")).collect(),
             seeds: self.seeds.iter().map(|seed| address(*seed)).collect(),
             drain: DRAIN,
@@ -396,8 +396,11 @@
                     self.send(entry, entry_at(target), message.clone());
                 }
             }
-            FleetAction::Pull(PullTarget { view, scope }) => {
-                let from = entry_at(view);
+            FleetAction::Pull(PullTarget {
+                view_address,
+                scope,
+            }) => {
+                let from = entry_at(view_address);
                 let delay = 2 * self.delay(entry, from);
                 let begun = self.local(entry, self.now);
                 let ends = Delivery::PullAnswered { from, scope, begun };
