--- a/bin/lh-entry/src/status.rs
+++ b/bin/lh-entry/src/status.rs
@@ -126,7 +126,9 @@
         ready: state.is_ready(),
         stopping: state.is_stopping(),
         in_flight: state.in_flight.get(),
-        instances: state.fleet.with_regions(|now, regions| regions.live(now)),
+        instances: state
+            .fleet
+            .with_regions(|now, regions| regions.live_entries(now)),
         leads: state.fleet.leads(),
         quarantined: state
             .fleet
--- a/crates/place/src/fleet/candidate.rs
+++ b/crates/place/src/fleet/candidate.rs
@@ -62,22 +62,28 @@
     }
 }
 
-/// Returns the region's leads, followed by substitutes. `leading` holds the current leads
+/// Returns the region's leads, followed by substitutes. `current_leads` holds the current leads
 /// and `others` all other candidates.
-pub fn choose(
-    mut leading: Vec<LeadCandidate>,
+pub fn select_leads(
+    mut current_leads: Vec<LeadCandidate>,
     mut others: Vec<LeadCandidate>,
 ) -> Vec<LeadCandidate> {
-    leading.sort_by_key(|candidate| Reverse(candidate.rank()));
+    current_leads.sort_by_key(|candidate| Reverse(candidate.rank()));
     others.sort_by_key(|candidate| Reverse(candidate.rank()));
-    others.retain(|candidate| leading.iter().all(|known| known.node != candidate.node));
-    leading.truncate(LEADS);
-    replace_weak_leads(&mut leading, &mut others);
-    while leading.len() < LEADS && !others.is_empty() {
-        let other_domain = others
+    others.retain(|candidate| {
+        current_leads
             .iter()
-            .position(|candidate| leading.iter().all(|known| known.domain != candidate.domain));
-        leading.push(others.remove(other_domain.unwrap_or(0)));
+            .all(|known| known.node != candidate.node)
+    });
+    current_leads.truncate(LEADS);
+    replace_weak_leads(&mut current_leads, &mut others);
+    while current_leads.len() < LEADS && !others.is_empty() {
+        let other_domain = others.iter().position(|candidate| {
+            current_leads
+                .iter()
+                .all(|known| known.domain != candidate.domain)
+        });
+        current_leads.push(others.remove(other_domain.unwrap_or(0)));
     }
     // Store access is ignored here: during a store outage, one entry after another would
     // otherwise be tried.
@@ -85,7 +91,7 @@
         let (_, capacity_class, _, hash) = candidate.rank();
         Reverse((capacity_class, hash))
     });
-    let mut candidates = leading;
+    let mut candidates = current_leads;
     for other in others {
         let substitutes = &candidates[LEADS.min(candidates.len())..];
         if substitutes.len() >= MAX_SUBSTITUTES {
@@ -98,8 +104,8 @@
     candidates
 }
 
-fn replace_weak_leads(leading: &mut [LeadCandidate], others: &mut Vec<LeadCandidate>) {
-    for lead in leading.iter_mut().rev() {
+fn replace_weak_leads(current_leads: &mut [LeadCandidate], others: &mut Vec<LeadCandidate>) {
+    for lead in current_leads.iter_mut().rev() {
         let stronger = others.iter().position(|candidate| {
             candidate.has_store_access
                 && candidate.capacity_class() >= lead.capacity_class() + REPLACEMENT_CLASS_MARGIN
--- a/crates/place/src/fleet/leads.rs
+++ b/crates/place/src/fleet/leads.rs
@@ -70,7 +70,7 @@
         if known.is_some_and(|lead| lead.incarnation > digest.incarnation) {
             return false;
         }
-        let own = digest
+        let own_summary = digest
             .regions
             .iter()
             .find(|summary| summary.region == digest.region);
@@ -84,7 +84,7 @@
                 .iter()
                 .map(|summary| (summary.region.clone(), summary.list))
                 .collect(),
-            candidates: own
+            candidates: own_summary
                 .map(|summary| summary.candidates.clone())
                 .unwrap_or_default(),
             incarnation: digest.incarnation,
--- a/crates/place/src/fleet/member/announce.rs
+++ b/crates/place/src/fleet/member/announce.rs
@@ -113,7 +113,7 @@
             targets.extend(self.search.seeds());
             targets.extend(self.search.hinted(now));
         }
-        let targets = self.others(targets);
+        let targets = self.unique_peers(targets);
         let heartbeat = PeerMessage::Heartbeat(Box::new(self.own_heartbeat(now)));
         if self.local_state.leaving {
             // Sent twice: callers would be directed here for seconds if a lead received
@@ -131,12 +131,12 @@
             .leads
             .live_leads_of(now, region)
             .map(|lead| lead.candidate.peer_address);
-        let appointed = self
+        let selected = self
             .candidates
             .iter()
             .take(LEADS)
             .map(|candidate| candidate.peer_address);
-        live_leads.chain(appointed).collect()
+        live_leads.chain(selected).collect()
     }
 
     pub(super) fn digest(&self, now: Instant, to_leads: bool) -> PeerMessage {
@@ -153,13 +153,13 @@
     /// Returns when this lead sends its next digest unless a change occurs before.
     pub(super) fn next_digest(&self) -> Option<Instant> {
         self.lead_since?;
-        let pause = self.digest_at.map(|at| at + MIN_DIGEST_INTERVAL);
+        let pause = self.last_digest_at.map(|at| at + MIN_DIGEST_INTERVAL);
         Some(pause.map_or(self.digest_due, |at| at.max(self.digest_due)))
     }
 
     pub(super) fn send_due_digest(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         let is_early = self
-            .digest_at
+            .last_digest_at
             .is_some_and(|at| now.saturating_duration_since(at) < MIN_DIGEST_INTERVAL);
         if self.lead_since.is_none() || now < self.digest_due || is_early {
             return;
@@ -169,12 +169,12 @@
 
     pub(super) fn send_digest(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         self.digest_due = now + HEARTBEAT_INTERVAL;
-        self.digest_at = Some(now);
+        self.last_digest_at = Some(now);
         let near = self.roster.addresses(now, &self.config.region);
         let leads: Vec<SocketAddr> = self.peer_leads(now);
-        let mut members = self.others(near);
+        let mut members = self.unique_peers(near);
         members.retain(|address| !leads.contains(address));
-        let leads = self.others(leads);
+        let leads = self.unique_peers(leads);
         actions.push(FleetAction::Send(members, self.digest(now, false)));
         actions.push(FleetAction::Send(leads, self.digest(now, true)));
     }
@@ -190,7 +190,7 @@
             .map(|lead| lead.candidate.peer_address);
         let mut addresses: Vec<SocketAddr> = heard.collect();
         let mut is_lost = !self.has_live_lead(now);
-        for region in self.regions.others() {
+        for region in self.regions.other_regions() {
             let candidates = self.regions.candidates(region).iter();
             if self.regions.is_reachable(now, region) {
                 addresses.extend(
@@ -213,7 +213,7 @@
     }
 
     /// Sorts and deduplicates `addresses`, and removes the local one.
-    pub(super) fn others(&self, mut addresses: Vec<SocketAddr>) -> Vec<SocketAddr> {
+    pub(super) fn unique_peers(&self, mut addresses: Vec<SocketAddr>) -> Vec<SocketAddr> {
         addresses.sort_unstable();
         addresses.dedup();
         addresses.retain(|address| *address != self.config.candidate.peer_address);
@@ -240,7 +240,7 @@
             };
         let is_reader = self.is_reader(now);
         let is_lost = |region| !self.regions.is_reachable(now, region);
-        if is_reader || self.regions.others().any(is_lost) {
+        if is_reader || self.regions.other_regions().any(is_lost) {
             actions.push(FleetAction::ReadLeadRows);
         }
         let leads = self
--- a/crates/place/src/fleet/member/crashes.rs
+++ b/crates/place/src/fleet/member/crashes.rs
@@ -81,7 +81,7 @@
         }
         if self.lead_since.is_some() && !new_facts.is_empty() {
             let leads = self.peer_leads(now);
-            let leads = self.others(leads);
+            let leads = self.unique_peers(leads);
             actions.push(FleetAction::Send(leads, PeerMessage::Crash(new_facts)));
         }
     }
@@ -158,7 +158,7 @@
         } else {
             self.own_region_leads(now)
         };
-        let leads = self.others(leads);
+        let leads = self.unique_peers(leads);
         actions.push(FleetAction::Send(leads, PeerMessage::Crash(word)));
     }
 
@@ -191,7 +191,7 @@
         }
         let mut targets = self.peer_leads(now);
         targets.extend(self.roster.addresses(now, &self.config.region));
-        let targets = self.others(targets);
+        let targets = self.unique_peers(targets);
         actions.push(FleetAction::Send(targets, PeerMessage::Crash(word)));
     }
 
--- a/crates/place/src/fleet/member/fetch.rs
+++ b/crates/place/src/fleet/member/fetch.rs
@@ -47,7 +47,7 @@
     }
 
     /// Whether to read the whole registry from the store.
-    fn reads_all(&self, now: Instant) -> bool {
+    fn should_read_all(&self, now: Instant) -> bool {
         if self.lead_since.is_some() {
             return self.store_reachable && self.conflict.is_due(now, self.config.drain);
         }
@@ -112,24 +112,24 @@
 
     pub(super) fn start_due_reading(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         let role = self.read_role(now);
-        let reads_all = self.reads_all(now);
+        let should_read_all = self.should_read_all(now);
         let known_at = self.known.registry_at;
-        if let Some(call) = self.readings.take(now, role, known_at, reads_all) {
+        if let Some(call) = self.readings.take(now, role, known_at, should_read_all) {
             if call.whole {
                 self.conflict.on_refetch(now);
                 actions.push(FleetAction::Log(FleetChange::RefetchingRegistry));
             }
             actions.push(FleetAction::ReadRegistry(call));
         }
-        let watches = match role {
+        let is_watching = match role {
             ReadRole::Reader | ReadRole::Deputy => true,
             ReadRole::Follower { stuck, .. } => stuck,
-            ReadRole::Alone { used, first } => self.watches_alone(now, used, first),
+            ReadRole::Alone { used, first } => self.should_watch_alone(now, used, first),
         };
-        let watches = watches || self.needs_proof(now);
-        if watches != self.watches {
-            self.watches = watches;
-            actions.push(FleetAction::WatchOperator(watches));
+        let is_watching = is_watching || self.needs_proof(now);
+        if is_watching != self.is_watching {
+            self.is_watching = is_watching;
+            actions.push(FleetAction::WatchOperator(is_watching));
         }
     }
 
@@ -147,7 +147,7 @@
     /// Whether an entry without a lead watches the operator's rows itself. Entries that
     /// receive requests do so soon; the others wait long enough for a new lead to be
     /// found.
-    fn watches_alone(&self, now: Instant, used: bool, first: Instant) -> bool {
+    fn should_watch_alone(&self, now: Instant, used: bool, first: Instant) -> bool {
         if !self.known.is_complete() {
             return now >= first;
         }
@@ -179,7 +179,7 @@
         }
         ReadRole::Alone {
             used: self.is_listed(),
-            first: self.started + self.search.first_read_delay(&self.config.candidate),
+            first: self.started_at + self.search.first_read_delay(&self.config.candidate),
         }
     }
 }
--- a/crates/place/src/fleet/member/mod.rs
+++ b/crates/place/src/fleet/member/mod.rs
@@ -174,7 +174,7 @@
 pub struct FleetMember {
     config: MemberConfig,
     hash: u64,
-    started: Instant,
+    started_at: Instant,
     last_run: Instant,
     local_state: LocalEntryState,
     store_reachable: bool,
@@ -193,10 +193,10 @@
     candidates: Vec<LeadCandidate>,
     active_regions: Vec<String>,
     is_lone: bool,
-    watches: bool,
+    is_watching: bool,
     heartbeat_due: Instant,
     digest_due: Instant,
-    digest_at: Option<Instant>,
+    last_digest_at: Option<Instant>,
     list_due: Instant,
     role_check_due: Instant,
     row_lookup_due: Instant,
@@ -214,7 +214,7 @@
         let hash = stable_hash(config.candidate.node.as_bytes());
         Self {
             hash,
-            started: now,
+            started_at: now,
             last_run: now,
             local_state: LocalEntryState::default(),
             store_reachable: true,
@@ -231,10 +231,10 @@
             candidates: Vec::new(),
             active_regions: Vec::new(),
             is_lone: true,
-            watches: false,
+            is_watching: false,
             heartbeat_due: now,
             digest_due: now,
-            digest_at: None,
+            last_digest_at: None,
             list_due: now,
             role_check_due: now,
             row_lookup_due: now,
@@ -252,7 +252,7 @@
         match event {
             FleetEvent::Tick => {}
             FleetEvent::Message(message) => self.on_message(now, message, actions),
-            FleetEvent::LocalState(own) => self.on_own(now, own),
+            FleetEvent::LocalState(own) => self.on_local_state(now, own),
             FleetEvent::Known(known) => self.on_known(now, known),
             FleetEvent::StoreTime(begun, time) => self.on_store_time(now, begun, time),
             FleetEvent::Suspended(span) => {
@@ -342,7 +342,7 @@
         self.is_lone
     }
 
-    fn on_own(&mut self, now: Instant, own: LocalEntryState) {
+    fn on_local_state(&mut self, now: Instant, own: LocalEntryState) {
         let is_urgent =
             own.ready != self.local_state.ready || own.leaving != self.local_state.leaving;
         self.local_state = own;
--- a/crates/place/src/fleet/member/role.rs
+++ b/crates/place/src/fleet/member/role.rs
@@ -10,13 +10,14 @@
     /// Becomes or stops being a lead as needed, and updates the region's candidates.
     pub(super) fn update_role(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         let own = self.own_candidate(now);
-        let top = self.leads.top_lead_of(now, &self.config.region);
-        let above = top.filter(|lead| self.lead_since.is_none() || lead.rank() > own.rank());
-        if let Some(lead) = above {
-            let appointed = lead.appoints_lead(&own.node) && !self.local_state.leaving;
+        let top_lead = self.leads.top_lead_of(now, &self.config.region);
+        let better_lead =
+            top_lead.filter(|lead| self.lead_since.is_none() || lead.rank() > own.rank());
+        if let Some(lead) = better_lead {
+            let selected = lead.appoints_lead(&own.node) && !self.local_state.leaving;
             let (candidates, node) = (lead.candidates.clone(), lead.candidate.node.clone());
             self.set_candidates(now, candidates, actions);
-            match (self.lead_since, appointed) {
+            match (self.lead_since, selected) {
                 (None, true) => self.become_lead(now, "selected by the reader", actions),
                 (None, false) if self.is_only_reader(now) && !self.local_state.leaving => {
                     self.become_lead(
@@ -29,7 +30,7 @@
                 _ => {}
             }
         } else if self.lead_since.is_none() && !self.local_state.leaving {
-            let is_lost = !self.candidates.is_empty() && top.is_none();
+            let is_lost = !self.candidates.is_empty() && top_lead.is_none();
             let since = self.search.begin(now);
             if is_lost && since == now {
                 actions.push(FleetAction::Log(FleetChange::LeadsLost));
@@ -39,13 +40,14 @@
             }
         }
         if self.lead_since.is_some() && self.is_reader(now) {
-            let near = self.leads.live_leads_of(now, &self.config.region);
-            let mut leading: Vec<LeadCandidate> = near.map(|lead| lead.candidate.clone()).collect();
+            let region_leads = self.leads.live_leads_of(now, &self.config.region);
+            let mut leading: Vec<LeadCandidate> =
+                region_leads.map(|lead| lead.candidate.clone()).collect();
             if !self.local_state.leaving {
                 leading.push(self.own_candidate(now));
             }
             let others = self.roster.candidates(now, &self.config.region);
-            let candidates = candidate::choose(leading, others);
+            let candidates = candidate::select_leads(leading, others);
             self.set_candidates(now, candidates, actions);
         }
         if self.has_live_lead(now) {
@@ -102,12 +104,12 @@
             .active_regions(now)
             .map(str::to_owned)
             .collect();
-        let has_met =
+        let has_peers =
             self.roster.has_entries() || self.search.has_hints() || active_regions.len() > 1;
-        let is_met = self.is_lone && (has_met || self.has_live_lead(now));
-        if active_regions != self.active_regions || is_met {
+        let is_first_contact = self.is_lone && (has_peers || self.has_live_lead(now));
+        if active_regions != self.active_regions || is_first_contact {
             self.active_regions = active_regions;
-            self.is_lone &= !is_met;
+            self.is_lone &= !is_first_contact;
             actions.push(FleetAction::ListsChanged);
         }
     }
--- a/crates/place/src/fleet/message.rs
+++ b/crates/place/src/fleet/message.rs
@@ -99,9 +99,9 @@
         /// The region.
         pub region: String,
         /// Milliseconds since a lead of the region was last heard from.
-        pub age: u32,
+        pub age_ms: u32,
         /// Number of live entries in the region.
-        pub live: u32,
+        pub live_entries: u32,
         /// Version of the newest list of entries that receive requests.
         pub list: ListVersion,
         /// The region's leads, and for the sender's own region also the substitutes.
--- a/crates/place/src/fleet/pull.rs
+++ b/crates/place/src/fleet/pull.rs
@@ -80,8 +80,8 @@
 /// Pull state of an entry, which runs one pull at a time.
 #[derive(Debug, Default)]
 pub struct PullState {
-    asked: Option<SocketAddr>,
-    asked_at: Option<Instant>,
+    active_pull: Option<SocketAddr>,
+    last_pull_at: Option<Instant>,
     failed_lead: Option<(SocketAddr, Instant)>,
     behind_since: Option<Instant>,
     ahead_since: Option<Instant>,
@@ -92,7 +92,7 @@
 impl PullState {
     /// Records that the pull from the lead at `view_address` ended; `done` if it succeeded.
     pub fn on_pull_finished(&mut self, now: Instant, view_address: SocketAddr, done: bool) {
-        self.asked = None;
+        self.active_pull = None;
         self.failed_lead = (!done).then_some((view_address, now));
     }
 
@@ -132,14 +132,14 @@
         }
         let since = *self.behind_since.get_or_insert(now);
         let is_recent = |at: Instant, span| now.saturating_duration_since(at) < span;
-        if self.asked.is_some()
+        if self.active_pull.is_some()
             || self
-                .asked_at
+                .last_pull_at
                 .is_some_and(|at| is_recent(at, MIN_PULL_INTERVAL))
         {
             return None;
         }
-        let first = region_leads.first().copied();
+        let preferred_lead = region_leads.first().copied();
         let failed_lead = self
             .failed_lead
             .filter(|(_, at)| is_recent(*at, FAILED_LEAD_BACKOFF));
@@ -148,20 +148,21 @@
         };
         let view_address = match conflicting_lead {
             Some(view_address) => view_address,
-            None if is_ahead => first?.view_address(),
+            None if is_ahead => preferred_lead?.view_address(),
             None => leads_with_news.into_iter().find(may_ask)?.view_address(),
         };
-        let is_other = scope == PullScope::Newer
-            && first.is_some_and(|first| first.view_address() != view_address);
-        if is_other
+        let is_fallback = scope == PullScope::Newer
+            && preferred_lead
+                .is_some_and(|preferred_lead| preferred_lead.view_address() != view_address);
+        if is_fallback
             && !context.leads
             && failed_lead.is_none()
             && is_recent(since, FALLBACK_LEAD_DELAY)
         {
             return None;
         }
-        self.asked = Some(view_address);
-        self.asked_at = Some(now);
+        self.active_pull = Some(view_address);
+        self.last_pull_at = Some(now);
         Some(PullTarget {
             view_address,
             scope,
@@ -178,7 +179,7 @@
         leads: &LeadTable,
     ) -> Option<PullTarget> {
         let is_early = |at: Instant| now.saturating_duration_since(at) < MIN_PULL_INTERVAL;
-        let is_asking = self.asked.is_some() || self.asked_at.is_some_and(is_early);
+        let is_asking = self.active_pull.is_some() || self.last_pull_at.is_some_and(is_early);
         if self.departures_asked.len() >= MAX_DEPARTURE_PULLS
             || is_asking
             || known.registry_at.is_none()
@@ -191,8 +192,8 @@
         });
         let view_address = heard.min_by_key(|lead| lead.incarnation())?.view_address();
         self.departures_asked.push(view_address);
-        self.asked = Some(view_address);
-        self.asked_at = Some(now);
+        self.active_pull = Some(view_address);
+        self.last_pull_at = Some(now);
         Some(PullTarget {
             view_address,
             scope: PullScope::Departures,
--- a/crates/place/src/fleet/regions.rs
+++ b/crates/place/src/fleet/regions.rs
@@ -23,28 +23,28 @@
 struct RegionRecord {
     list: EntryList,
     last_heard: Option<Instant>,
-    live: u32,
+    live_entries: u32,
     candidates: Vec<LeadCandidate>,
 }
 
 /// State of all regions.
 #[derive(Debug)]
 pub struct RegionTable {
-    own: String,
+    own_region: String,
     regions: BTreeMap<String, RegionRecord>,
 }
 
 impl RegionTable {
-    /// Creates a table of `regions`; `own` is the local region.
-    pub fn new(own: &str, regions: &[String]) -> Self {
-        let names = regions.iter().map(String::as_str).chain([own]);
+    /// Creates a table of `regions`; `own_region` is the local region.
+    pub fn new(own_region: &str, regions: &[String]) -> Self {
+        let names = regions.iter().map(String::as_str).chain([own_region]);
         let records = names.map(|name| {
             let mut record = RegionRecord::default();
             name.clone_into(&mut record.list.region);
             (name.to_owned(), record)
         });
         Self {
-            own: own.to_owned(),
+            own_region: own_region.to_owned(),
             regions: records.collect(),
         }
     }
@@ -54,12 +54,12 @@
         let Some(record) = self.regions.get_mut(&summary.region) else {
             return;
         };
-        let last_heard = now.checked_sub(Duration::from_millis(u64::from(summary.age)));
-        if summary.age == u32::MAX || last_heard.is_none() || last_heard < record.last_heard {
+        let last_heard = now.checked_sub(Duration::from_millis(u64::from(summary.age_ms)));
+        if summary.age_ms == u32::MAX || last_heard.is_none() || last_heard < record.last_heard {
             return;
         }
         record.last_heard = last_heard;
-        record.live = summary.live;
+        record.live_entries = summary.live_entries;
         if !summary.candidates.is_empty() {
             record.candidates.clone_from(&summary.candidates);
             record.candidates.truncate(MAX_CANDIDATES);
@@ -83,12 +83,17 @@
         record.candidates.truncate(MAX_CANDIDATES);
     }
 
-    /// Updates the local region, of which this entry is a lead, with `live` entries and
+    /// Updates the local region, of which this entry is a lead, with `live_entries` entries and
     /// `candidates`.
-    pub fn on_own_region(&mut self, now: Instant, live: u32, candidates: Vec<LeadCandidate>) {
-        if let Some(record) = self.regions.get_mut(&self.own) {
+    pub fn on_own_region(
+        &mut self,
+        now: Instant,
+        live_entries: u32,
+        candidates: Vec<LeadCandidate>,
+    ) {
+        if let Some(record) = self.regions.get_mut(&self.own_region) {
             record.last_heard = Some(now);
-            record.live = live;
+            record.live_entries = live_entries;
             record.candidates = candidates;
         }
     }
@@ -154,7 +159,7 @@
     /// Returns the regions whose entries count: those heard from, and the local one.
     pub fn active_regions(&self, now: Instant) -> impl Iterator<Item = &str> {
         let names = self.regions.keys().map(String::as_str);
-        names.filter(move |name| *name == self.own || self.is_reachable(now, name))
+        names.filter(move |name| *name == self.own_region || self.is_reachable(now, name))
     }
 
     /// Returns the entries that receive requests, with their regions.
@@ -166,11 +171,11 @@
     }
 
     /// Returns the number of live entries in all regions that count.
-    pub fn live(&self, now: Instant) -> u32 {
+    pub fn live_entries(&self, now: Instant) -> u32 {
         let active_regions = self
             .active_regions(now)
             .filter_map(|name| self.regions.get(name));
-        active_regions.map(|record| record.live).sum()
+        active_regions.map(|record| record.live_entries).sum()
     }
 
     /// Returns the last known leads and substitutes of a region.
@@ -181,9 +186,9 @@
     }
 
     /// Returns all regions except the local one.
-    pub fn others(&self) -> impl Iterator<Item = &str> {
+    pub fn other_regions(&self) -> impl Iterator<Item = &str> {
         let names = self.regions.keys().map(String::as_str);
-        names.filter(|name| *name != self.own)
+        names.filter(|name| *name != self.own_region)
     }
 
     /// Returns summaries of all regions for a digest. Leads of other regions are included
@@ -191,12 +196,12 @@
     pub fn summaries(&self, now: Instant, to_leads: bool) -> Vec<RegionSummary> {
         let summary = |(name, record): (&String, &RegionRecord)| RegionSummary {
             region: name.clone(),
-            age: record
+            age_ms: record
                 .last_heard
                 .map_or(u32::MAX, |at| millis(now.saturating_duration_since(at))),
-            live: record.live,
+            live_entries: record.live_entries,
             list: record.list.version,
-            candidates: if to_leads || *name == self.own {
+            candidates: if to_leads || *name == self.own_region {
                 record.candidates.clone()
             } else {
                 Vec::new()
--- a/crates/place/tests/fleet.rs
+++ b/crates/place/tests/fleet.rs
@@ -443,15 +443,15 @@
     let words = vec![
         RegionSummary {
             region: "nowhere".to_owned(),
-            age: 0,
-            live: 9,
+            age_ms: 0,
+            live_entries: 9,
             list: Default::default(),
             candidates: Vec::new(),
         },
         RegionSummary {
             region: "r1".to_owned(),
-            age: 0,
-            live: 0,
+            age_ms: 0,
+            live_entries: 0,
             list: place::fleet::list::ListVersion {
                 number: u64::MAX,
                 author: 3,
