--- a/crates/place/src/fleet/member/mod.rs
+++ b/crates/place/src/fleet/member/mod.rs
@@ -337,7 +337,7 @@
     }
 
     /// Whether this entry has heard from no other entry since startup, in which case it
-    /// answers callers itself.
+    /// advertises itself to callers once it is ready.
     pub fn is_lone(&self) -> bool {
         self.is_lone
     }
