--- a/bin/lh-entry/src/config.rs
+++ b/bin/lh-entry/src/config.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use conf::{CheckedSection, ProcessFile, schema};
-use place::fleet::front;
+use place::fleet::advertise;
 use place::limits::budget::BudgetBounds;
 use place::placing::choice::ByteCosts;
 use team::access::AccessBounds;
@@ -141,7 +141,7 @@
                 region: entry.number("region_kilobyte")?,
             },
             link_megabits: bounds.number("link_megabits")?,
-            capacity: front::capacity(
+            capacity: advertise::capacity(
                 bounds.number("processor_share")? * bounds.number("processor_speed")?,
                 bounds.number("link_megabits")?,
             ),
--- a/bin/lh-entry/src/fleet.rs
+++ b/bin/lh-entry/src/fleet.rs
@@ -108,8 +108,8 @@
     }
 
     /// Whether this entry has heard of no other since its start.
-    pub(crate) fn is_lone(&self) -> bool {
-        self.member.borrow().is_lone()
+    pub(crate) fn is_isolated(&self) -> bool {
+        self.member.borrow().is_isolated()
     }
 
     /// Whether any request may be in quarantine.
--- a/bin/lh-entry/src/lookup.rs
+++ b/bin/lh-entry/src/lookup.rs
@@ -118,7 +118,7 @@
 /// is one, an entry that has met others tells nobody, since abler ones may be found.
 fn open_entries(state: &InstanceState) -> Vec<OpenEntry> {
     let mut entries = Vec::new();
-    if state.fleet.is_lone() && !state.fleet.is_listed() && state.is_ready() {
+    if state.fleet.is_isolated() && !state.fleet.is_listed() && state.is_ready() {
         return vec![own_entry(state, Instant::now())];
     }
     state.fleet.with_regions(|now, regions| {
--- a/bin/lh-entry/src/state.rs
+++ b/bin/lh-entry/src/state.rs
@@ -9,9 +9,9 @@
 use base::prelude::{Incarnation, InstanceId, NodeId};
 use place::catalog::CatalogChange;
 use place::departure::Departure;
+use place::fleet::advertise::RateMeter;
 use place::fleet::candidate::LeadCandidate;
 use place::fleet::copies::CopyDesk;
-use place::fleet::front::RateMeter;
 use place::fleet::known::KnownStore;
 use place::fleet::log::{ReadScope, RegistryDelta, RegistryLog};
 use place::fleet::member::MemberConfig;
@@ -418,13 +418,13 @@
         let is_listed = self.fleet.is_listed();
         let listed = hashes.len() + usize::from(is_listed);
         self.rollouts
-            .set_entries(listed, is_listed || self.fleet.is_lone());
+            .set_entries(listed, is_listed || self.fleet.is_isolated());
         let pause = load_pause(near as u32);
         let now = Instant::now();
         self.quota.borrow_mut().set_entries(now, &hashes, pause);
         let mut placer = self.placer.borrow_mut();
         placer.set_entries(hashes, near);
-        let gets_requests = is_listed || self.fleet.is_lone();
+        let gets_requests = is_listed || self.fleet.is_isolated();
         placer.set_standby(!gets_requests);
     }
 
--- a/crates/place/src/fleet/front.rs
+++ b/crates/place/src/fleet/advertise.rs
@@ -12,7 +12,7 @@
 
 /// Minimum number of advertised entries, if there are enough. With three, the loss of one
 /// makes a third of the callers retry.
-const MIN_NAMED: usize = 3;
+const MIN_ADVERTISED: usize = 3;
 /// Minimum number of failure domains of the advertised entries, if there are enough.
 const MIN_DOMAINS: usize = 2;
 /// Required capacity of the advertised entries, as a multiple of the current rate: at
@@ -32,7 +32,7 @@
 
 /// An entry that accepts callers.
 #[derive(Debug, Clone, Copy)]
-pub struct FrontEntry<'a> {
+pub struct ServingEntry<'a> {
     /// The instance's name.
     pub node: &'a str,
     /// Its failure domain.
@@ -45,7 +45,7 @@
     pub rate: f64,
 }
 
-impl FrontEntry<'_> {
+impl ServingEntry<'_> {
     /// Whether it receives requests, advertised or not.
     pub fn is_used(&self) -> bool {
         self.rate >= IDLE_RATE_LIMIT
@@ -62,7 +62,7 @@
 
 /// Returns the entries to advertise to callers, region by region. The result is the same
 /// at all entries that know the same `entries`.
-pub fn named<'a>(entries: &[FrontEntry<'a>]) -> Vec<FrontEntry<'a>> {
+pub fn select_advertised<'a>(entries: &[ServingEntry<'a>]) -> Vec<ServingEntry<'a>> {
     let mut order = entries.to_vec();
     order.sort_by_key(|entry| {
         let hash = stable_hash(entry.node.as_bytes());
@@ -77,10 +77,10 @@
 
 /// Returns as many of a region's entries, ordered by capacity, as are sufficient for its
 /// rate.
-fn select_in_region<'a>(region: &[FrontEntry<'a>]) -> Vec<FrontEntry<'a>> {
+fn select_in_region<'a>(region: &[ServingEntry<'a>]) -> Vec<ServingEntry<'a>> {
     let rate: f64 = region.iter().map(|entry| entry.rate).sum();
     let total_capacity = |count: usize| f64::from(region[count - 1].capacity) * count as f64;
-    let preferred_min = MIN_NAMED.min(region.len());
+    let preferred_min = MIN_ADVERTISED.min(region.len());
     let counts = preferred_min..=region.len();
     let sufficient = counts
         .clone()
--- a/crates/place/src/fleet/candidate.rs
+++ b/crates/place/src/fleet/candidate.rs
@@ -10,7 +10,7 @@
 use crate::rank::stable_hash;
 
 /// Leads per region: the reader and its deputy.
-pub const LEADS: usize = 2;
+pub const LEADS_PER_REGION: usize = 2;
 /// Substitutes listed after the leads, at most one per failure domain. They take over
 /// when both leads are lost or unreachable.
 const MAX_SUBSTITUTES: usize = 6;
@@ -75,9 +75,9 @@
             .iter()
             .all(|known| known.node != candidate.node)
     });
-    current_leads.truncate(LEADS);
+    current_leads.truncate(LEADS_PER_REGION);
     replace_weak_leads(&mut current_leads, &mut others);
-    while current_leads.len() < LEADS && !others.is_empty() {
+    while current_leads.len() < LEADS_PER_REGION && !others.is_empty() {
         let other_domain = others.iter().position(|candidate| {
             current_leads
                 .iter()
@@ -93,7 +93,7 @@
     });
     let mut candidates = current_leads;
     for other in others {
-        let substitutes = &candidates[LEADS.min(candidates.len())..];
+        let substitutes = &candidates[LEADS_PER_REGION.min(candidates.len())..];
         if substitutes.len() >= MAX_SUBSTITUTES {
             break;
         }
--- a/crates/place/src/fleet/leads.rs
+++ b/crates/place/src/fleet/leads.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use crate::fleet::candidate::{CandidateRank, LEADS, LeadCandidate};
+use crate::fleet::candidate::{CandidateRank, LEADS_PER_REGION, LeadCandidate};
 use crate::fleet::known::KnownStore;
 use crate::fleet::list::ListVersion;
 use crate::fleet::message::RegionDigest;
@@ -58,7 +58,7 @@
 
     /// Whether `node` is a lead of the region according to this lead.
     pub fn appoints_lead(&self, node: &str) -> bool {
-        let mut leads = self.candidates.iter().take(LEADS);
+        let mut leads = self.candidates.iter().take(LEADS_PER_REGION);
         leads.any(|candidate| candidate.node == node)
     }
 }
--- a/crates/place/src/fleet/list.rs
+++ b/crates/place/src/fleet/list.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use crate::fleet::front::{self, FrontEntry};
+use crate::fleet::advertise::{self, ServingEntry};
 use crate::fleet::message::EntryHeartbeat;
 use crate::rank::stable_hash;
 
@@ -68,14 +68,14 @@
 pub fn list_entries(heartbeats: &[&EntryHeartbeat]) -> Vec<ListedEntry> {
     let staying = || heartbeats.iter().filter(|heartbeat| !heartbeat.leaving);
     let ready = staying().filter(|heartbeat| heartbeat.ready);
-    let fronts: Vec<FrontEntry<'_>> = ready.map(|heartbeat| heartbeat.as_front()).collect();
-    let named = front::named(&fronts);
+    let serving: Vec<ServingEntry<'_>> = ready.map(|heartbeat| heartbeat.as_serving()).collect();
+    let named = advertise::select_advertised(&serving);
     let mut listed = Vec::new();
     for heartbeat in staying() {
         let named = named
             .iter()
             .any(|entry| entry.node == heartbeat.candidate.node);
-        if !named && !heartbeat.as_front().is_used() && heartbeat.stamp.is_empty() {
+        if !named && !heartbeat.as_serving().is_used() && heartbeat.stamp.is_empty() {
             continue;
         }
         listed.push(ListedEntry {
--- a/crates/place/src/fleet/member/announce.rs
+++ b/crates/place/src/fleet/member/announce.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use crate::fleet::candidate::LEADS;
+use crate::fleet::candidate::LEADS_PER_REGION;
 use crate::fleet::list::{EntryList, ListVersion, list_entries};
 use crate::fleet::member::{FleetAction, FleetChange, FleetMember, HEARTBEAT_INTERVAL};
 use crate::fleet::message::{EntryHeartbeat, PeerMessage, RegionDigest};
@@ -134,7 +134,7 @@
         let selected = self
             .candidates
             .iter()
-            .take(LEADS)
+            .take(LEADS_PER_REGION)
             .map(|candidate| candidate.peer_address);
         live_leads.chain(selected).collect()
     }
@@ -195,7 +195,7 @@
             if self.regions.is_reachable(now, region) {
                 addresses.extend(
                     candidates
-                        .take(LEADS)
+                        .take(LEADS_PER_REGION)
                         .map(|candidate| candidate.peer_address),
                 );
             } else {
@@ -246,7 +246,7 @@
         let leads = self
             .candidates
             .iter()
-            .take(LEADS)
+            .take(LEADS_PER_REGION)
             .map(|candidate| candidate.peer_address);
         let lead_row: Vec<SocketAddr> = leads.collect();
         let is_settled = now.saturating_duration_since(since) >= ROW_WRITE_DELAY;
--- a/crates/place/src/fleet/member/fetch.rs
+++ b/crates/place/src/fleet/member/fetch.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use crate::fleet::candidate::LEADS;
+use crate::fleet::candidate::LEADS_PER_REGION;
 use crate::fleet::leads::LeadRecord;
 use crate::fleet::member::{FleetAction, FleetChange, FleetMember};
 use crate::fleet::pull::{PullContext, PullScope};
@@ -170,7 +170,7 @@
             };
         }
         if self.has_live_lead(now) {
-            let mut substitutes = self.candidates.iter().skip(LEADS);
+            let mut substitutes = self.candidates.iter().skip(LEADS_PER_REGION);
             return ReadRole::Follower {
                 substitute: substitutes
                     .any(|candidate| candidate.node == self.config.candidate.node),
--- a/crates/place/src/fleet/member/mod.rs
+++ b/crates/place/src/fleet/member/mod.rs
@@ -192,7 +192,7 @@
     /// Current leads and substitutes of the region.
     candidates: Vec<LeadCandidate>,
     active_regions: Vec<String>,
-    is_lone: bool,
+    is_isolated: bool,
     is_watching: bool,
     heartbeat_due: Instant,
     digest_due: Instant,
@@ -230,7 +230,7 @@
             lead_since: None,
             candidates: Vec::new(),
             active_regions: Vec::new(),
-            is_lone: true,
+            is_isolated: true,
             is_watching: false,
             heartbeat_due: now,
             digest_due: now,
@@ -338,8 +338,8 @@
 
     /// Whether this entry has heard from no other entry since startup, in which case it
     /// advertises itself to callers once it is ready.
-    pub fn is_lone(&self) -> bool {
-        self.is_lone
+    pub fn is_isolated(&self) -> bool {
+        self.is_isolated
     }
 
     fn on_local_state(&mut self, now: Instant, own: LocalEntryState) {
--- a/crates/place/src/fleet/member/receive.rs
+++ b/crates/place/src/fleet/member/receive.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use crate::fleet::candidate::{LEADS, LeadCandidate};
+use crate::fleet::candidate::{LEADS_PER_REGION, LeadCandidate};
 use crate::fleet::clock::StoreTime;
 use crate::fleet::known::KnownStore;
 use crate::fleet::member::announce::NEW_LEAD_ROW_CHECK_INTERVAL;
@@ -46,7 +46,7 @@
         let region = heartbeat.region.clone();
         let is_own_region = region == self.config.region;
         let news = self.roster.on_heartbeat(now, heartbeat);
-        if news == HeartbeatOutcome::Outdated {
+        if news == HeartbeatOutcome::Ignored {
             return;
         }
         if is_own_region && self.lead_since.is_some() {
@@ -86,7 +86,12 @@
             // The leads of the local region know those of all other regions.
             hints.push(LeadHint {
                 region: self.config.region.clone(),
-                candidates: self.candidates.iter().take(LEADS).cloned().collect(),
+                candidates: self
+                    .candidates
+                    .iter()
+                    .take(LEADS_PER_REGION)
+                    .cloned()
+                    .collect(),
             });
         }
         for hint in hints {
@@ -135,13 +140,13 @@
     /// Whether `node` is a lead of the region as far as this entry knows, or no lead is
     /// known.
     fn is_followed(&self, node: &str) -> bool {
-        let mut leads = self.candidates.iter().take(LEADS);
+        let mut leads = self.candidates.iter().take(LEADS_PER_REGION);
         self.candidates.is_empty() || leads.any(|candidate| candidate.node == node)
     }
 
     /// Adds leads of the local region that were reported by another region.
     fn find_other_leads(&mut self, now: Instant, candidates: &[LeadCandidate]) {
-        for candidate in candidates.iter().take(LEADS) {
+        for candidate in candidates.iter().take(LEADS_PER_REGION) {
             let is_reachable = self
                 .leads
                 .live_leads_of(now, &self.config.region)
@@ -187,7 +192,7 @@
         self.lead_row = listed.map(|(_, address)| *address).collect();
         let mut others = self.lead_row.iter().filter(|address| **address != own);
         let is_known = |address: &&SocketAddr| {
-            let mut candidates = self.candidates.iter().take(LEADS);
+            let mut candidates = self.candidates.iter().take(LEADS_PER_REGION);
             candidates.any(|candidate| candidate.peer_address == **address)
         };
         if !others.all(|address| is_known(&address)) {
--- a/crates/place/src/fleet/member/role.rs
+++ b/crates/place/src/fleet/member/role.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use crate::fleet::candidate::{self, LEADS, LeadCandidate};
+use crate::fleet::candidate::{self, LEADS_PER_REGION, LeadCandidate};
 use crate::fleet::member::announce::ROW_WRITE_DELAY;
 use crate::fleet::member::{FleetAction, FleetChange, FleetMember};
 
@@ -62,7 +62,7 @@
         actions: &mut Vec<FleetAction>,
     ) {
         let names = |candidates: &[LeadCandidate]| -> Vec<String> {
-            let leads = candidates.iter().take(LEADS);
+            let leads = candidates.iter().take(LEADS_PER_REGION);
             leads.map(|candidate| candidate.node.clone()).collect()
         };
         if names(&candidates) != names(&self.candidates) {
@@ -106,10 +106,10 @@
             .collect();
         let has_peers =
             self.roster.has_entries() || self.search.has_hints() || active_regions.len() > 1;
-        let is_first_contact = self.is_lone && (has_peers || self.has_live_lead(now));
+        let is_first_contact = self.is_isolated && (has_peers || self.has_live_lead(now));
         if active_regions != self.active_regions || is_first_contact {
             self.active_regions = active_regions;
-            self.is_lone &= !is_first_contact;
+            self.is_isolated &= !is_first_contact;
             actions.push(FleetAction::ListsChanged);
         }
     }
--- a/crates/place/src/fleet/message.rs
+++ b/crates/place/src/fleet/message.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use crate::crash::word::CrashWord;
+use crate::fleet::advertise::ServingEntry;
 use crate::fleet::candidate::LeadCandidate;
-use crate::fleet::front::FrontEntry;
 use crate::fleet::known::StoreWord;
 use crate::fleet::list::ListVersion;
 use crate::placing::load::LoadWord;
@@ -121,8 +121,8 @@
 
 impl EntryHeartbeat {
     /// Returns the entry as a target for callers.
-    pub fn as_front(&self) -> FrontEntry<'_> {
-        FrontEntry {
+    pub fn as_serving(&self) -> ServingEntry<'_> {
+        ServingEntry {
             node: &self.candidate.node,
             domain: &self.candidate.domain,
             region: &self.region,
--- a/crates/place/src/fleet/mod.rs
+++ b/crates/place/src/fleet/mod.rs
@@ -10,11 +10,11 @@
 //! [`member::FleetMember`] is the state machine; the other modules hold its parts and the
 //! messages.
 
+pub mod advertise;
 pub mod candidate;
 pub mod clock;
 pub mod conflict;
 pub mod copies;
-pub mod front;
 pub mod known;
 pub mod leads;
 pub mod list;
--- a/crates/place/src/fleet/roster.rs
+++ b/crates/place/src/fleet/roster.rs
@@ -31,11 +31,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatOutcome {
     /// The entry is still alive and otherwise unchanged.
-    Same,
+    Unchanged,
     /// The entry is new, changed its readiness, or is shutting down.
     Changed,
     /// The heartbeat is of an earlier incarnation, or the roster is full; it was ignored.
-    Outdated,
+    Ignored,
 }
 
 impl EntryRoster {
@@ -43,12 +43,12 @@
     pub fn on_heartbeat(&mut self, now: Instant, heartbeat: EntryHeartbeat) -> HeartbeatOutcome {
         let known = self.entries.get(&heartbeat.candidate.node);
         if known.is_some_and(|known| known.heartbeat.incarnation > heartbeat.incarnation) {
-            return HeartbeatOutcome::Outdated;
+            return HeartbeatOutcome::Ignored;
         }
         if known.is_none() && self.entries.len() >= MAX_ENTRIES {
-            return HeartbeatOutcome::Outdated;
+            return HeartbeatOutcome::Ignored;
         }
-        let is_same = known.is_some_and(|known| {
+        let is_unchanged = known.is_some_and(|known| {
             let before = &known.heartbeat;
             is_live(now, known)
                 && before.incarnation == heartbeat.incarnation
@@ -63,8 +63,8 @@
                 last_heard: now,
             },
         );
-        if is_same {
-            HeartbeatOutcome::Same
+        if is_unchanged {
+            HeartbeatOutcome::Unchanged
         } else {
             HeartbeatOutcome::Changed
         }
--- a/crates/place/src/fleet/search.rs
+++ b/crates/place/src/fleet/search.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use crate::fleet::candidate::{LEADS, LeadCandidate};
+use crate::fleet::candidate::{LEADS_PER_REGION, LeadCandidate};
 
 /// Heartbeat interval at the start of a search.
 const FAST_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
@@ -177,7 +177,7 @@
             .iter()
             .position(|candidate| candidate.node == own.node);
         if let (true, Some(place)) = (self.has_had_lead, place) {
-            return SUBSTITUTE_DELAY * place.saturating_sub(LEADS) as u32;
+            return SUBSTITUTE_DELAY * place.saturating_sub(LEADS_PER_REGION) as u32;
         }
         let first = if self.has_had_lead {
             NON_SUBSTITUTE_DELAY
--- a/crates/place/tests/copies.rs
+++ b/crates/place/tests/copies.rs
@@ -11,7 +11,7 @@
 const ROW: usize = 75;
 /// Servers for each entry.
 const SERVERS: usize = 10;
-const LEADS: usize = 2;
+const LEADS_PER_REGION: usize = 2;
 /// Links of leads and of others, in megabits a second.
 const LEAD_LINK: f64 = 1000.0;
 const LINK: f64 = 20.0;
@@ -39,24 +39,32 @@
     let start = Instant::now();
     let bytes = entries * SERVERS * ROW;
     let mut desks: Vec<CopyDesk> = (0..entries)
-        .map(|entry| CopyDesk::new(if entry < LEADS { LEAD_LINK } else { LINK }))
+        .map(|entry| {
+            CopyDesk::new(if entry < LEADS_PER_REGION {
+                LEAD_LINK
+            } else {
+                LINK
+            })
+        })
         .collect();
     let mut free: Vec<Duration> = vec![Duration::ZERO; entries];
-    let mut has: HashMap<usize, Duration> = (0..LEADS).map(|lead| (lead, Duration::ZERO)).collect();
+    let mut has: HashMap<usize, Duration> = (0..LEADS_PER_REGION)
+        .map(|lead| (lead, Duration::ZERO))
+        .collect();
     // Who asks whom at a time, and whether no relay will do.
     let mut asks: BTreeMap<(Duration, usize), (usize, bool)> = BTreeMap::new();
-    for entry in LEADS..entries {
+    for entry in LEADS_PER_REGION..entries {
         let at = Duration::from_millis((entry % 300) as u64);
-        asks.insert((at, entry), (entry % LEADS, false));
+        asks.insert((at, entry), (entry % LEADS_PER_REGION, false));
     }
     let mut last = Duration::ZERO;
     while let Some(((at, entry), (asked, insists))) = asks.pop_first() {
         if at > LAST {
             return None;
         }
-        let other = LEADS - 1 - asked % LEADS;
+        let other = LEADS_PER_REGION - 1 - asked % LEADS_PER_REGION;
         let has_copy = has.get(&asked).is_some_and(|since| at >= *since);
-        let is_lost = asked >= LEADS && asked < LEADS + lost;
+        let is_lost = asked >= LEADS_PER_REGION && asked < LEADS_PER_REGION + lost;
         if !has_copy || is_lost {
             asks.insert((at + WAY, entry), (other, true));
             continue;
@@ -67,7 +75,7 @@
         }
         match source {
             CopySource::Elsewhere(relay) => {
-                let mut others = LEADS..entries;
+                let mut others = LEADS_PER_REGION..entries;
                 let relay = others.find(|other| address(*other) == relay).unwrap();
                 asks.insert((at + WAY, entry), (relay, false));
                 continue;
@@ -78,7 +86,11 @@
             }
             CopySource::Here => {}
         }
-        let link = if asked < LEADS { LEAD_LINK } else { LINK };
+        let link = if asked < LEADS_PER_REGION {
+            LEAD_LINK
+        } else {
+            LINK
+        };
         let begins = free[asked].max(at);
         let carries = Duration::from_secs_f64(bytes as f64 * 8.0 / (link * 1e6));
         free[asked] = begins + carries;
--- a/crates/place/tests/crash_load.rs
+++ b/crates/place/tests/crash_load.rs
@@ -52,7 +52,7 @@
 /// What came of a play.
 #[derive(Debug, Default)]
 struct Tally {
-    refused: usize,
+    store_rejects: usize,
     answered: usize,
     ended: usize,
     fatal_sends: usize,
@@ -76,7 +76,7 @@
     fn new(entries: usize, seed: u64) -> Self {
         let mut world = FleetWorld::new(entries);
         world.run(ms(8000));
-        world.loses = Some(20);
+        world.loss_interval = Some(20);
         let servers = (0..SERVERS as u64).map(|run| Server {
             run,
             jobs: Vec::new(),
@@ -148,7 +148,7 @@
         let now = self.world.now;
         let member = &self.world.entries[entry].member;
         if member.quarantine_left(now, print).is_some() {
-            self.tally.refused += usize::from(print != FATAL);
+            self.tally.store_rejects += usize::from(print != FATAL);
             return;
         }
         let first = self.pick(SERVERS);
@@ -261,7 +261,7 @@
     for (entries, seed) in plays {
         let tally = Play::new(entries, seed).run(Duration::from_secs(20));
         assert_eq!(
-            tally.refused, 0,
+            tally.store_rejects, 0,
             "{entries} entries, seed {seed}: {tally:?}"
         );
         assert!(
--- a/crates/place/tests/crashes.rs
+++ b/crates/place/tests/crashes.rs
@@ -303,10 +303,10 @@
                 fatal_ends += 1;
             }
             let news = ledger.review(now, &mut book);
-            let refused = |print: &RequestPrint| {
+            let store_rejects = |print: &RequestPrint| {
                 news.contains(&(*print, PrintStatus::Quarantined)) && *print != FATAL
             };
-            prop_assert!(!bystanders.iter().any(|print| refused(&RequestPrint(*print))));
+            prop_assert!(!bystanders.iter().any(|print| store_rejects(&RequestPrint(*print))));
             // They run again on another server, and are answered.
             now += ms(200);
             for print in &bystanders {
--- a/crates/place/tests/fleet.rs
+++ b/crates/place/tests/fleet.rs
@@ -129,11 +129,11 @@
 #[test]
 fn entries_that_get_no_answers_ask_the_store() {
     let mut world = settled(300);
-    let deaf: Vec<usize> = (100..110)
+    let pulls_fail: Vec<usize> = (100..110)
         .filter(|entry| !world.entries[*entry].member.leads())
         .collect();
-    for entry in &deaf {
-        world.entries[*entry].deaf = true;
+    for entry in &pulls_fail {
+        world.entries[*entry].pulls_fail = true;
     }
     world.change();
     let took = world.until_known(ms(6000));
@@ -149,7 +149,7 @@
     world.run(ms(2000));
     let calls = world.calls_in(ms(10_000));
     assert!(
-        calls <= 70 + deaf.len() as u64 * 10 * 2,
+        calls <= 70 + pulls_fail.len() as u64 * 10 * 2,
         "{calls} calls in 10 s"
     );
 }
@@ -165,7 +165,7 @@
             let mut world = settled(count);
             let leads = world.leads(1);
             for lead in &leads {
-                world.entries[*lead].silent = true;
+                world.entries[*lead].store_times_out = true;
             }
             for entry in 0..count {
                 let is_cut = is_apart && region_of(entry) == 1;
@@ -192,10 +192,10 @@
     for count in [12, 300] {
         let mut world = settled(count);
         for entry in 0..count {
-            world.entries[entry].refused = entry % 3 == 1 && entry % 2 == 0;
+            world.entries[entry].store_rejects = entry % 3 == 1 && entry % 2 == 0;
         }
         for lead in world.leads(2) {
-            world.entries[lead].refused = true;
+            world.entries[lead].store_rejects = true;
         }
         let calls = world.calls_in(ms(1000));
         for _ in 0..4 {
@@ -507,10 +507,10 @@
             };
             world.change();
             for entry in missing {
-                world.miss(entry);
+                world.skip_changes(entry);
             }
             let begun = world.now;
-            while !world.lacking().is_empty() && world.now < begun + ms(9000) {
+            while !world.missing_changes().is_empty() && world.now < begun + ms(9000) {
                 world.run(ms(10));
             }
             let took = world.now - begun;
@@ -530,11 +530,11 @@
                 region_of(*entry) == 1 && world.entries[*entry].member.leads() == leads
             });
             let calm = world.calls_in(ms(3000));
-            world.claim(ahead.unwrap(), world.version + 6);
+            world.claim_version(ahead.unwrap(), world.version + 6);
             world.change();
             let begun = world.now;
             let calls = world.calls;
-            while !world.lacking().is_empty() && world.now < begun + ms(9000) {
+            while !world.missing_changes().is_empty() && world.now < begun + ms(9000) {
                 world.run(ms(10));
             }
             let took = world.now - begun;
@@ -560,12 +560,12 @@
     let follower = (0..12).find(|entry| !world.entries[*entry].member.leads());
     let follower = follower.unwrap();
     world.change();
-    world.miss(follower);
+    world.skip_changes(follower);
     let mut known = *world.entries[follower].member.known();
     known.operator = world.operator + 5;
     known.desired = known.operator;
     world.deliver_event(follower, FleetEvent::Known(known));
-    while world.lacking().contains(&follower) {
+    while world.missing_changes().contains(&follower) {
         world.run(ms(10));
         let now_known = world.entries[follower].member.known().operator;
         assert_eq!(now_known, known.operator);
--- a/crates/place/tests/fleet_world/mod.rs
+++ b/crates/place/tests/fleet_world/mod.rs
@@ -103,11 +103,11 @@
     pub alive: bool,
     pub run: u64,
     /// Whether the store rejects its calls.
-    pub refused: bool,
+    pub store_rejects: bool,
     /// Whether its store calls time out.
-    pub silent: bool,
+    pub store_times_out: bool,
     /// Whether its pulls from leads fail although datagrams arrive.
-    pub deaf: bool,
+    pub pulls_fail: bool,
     /// Entries of different groups cannot reach each other.
     pub group: u32,
     pub datagrams: u64,
@@ -123,7 +123,7 @@
     watching: bool,
     watch_begun: Instant,
     /// The process stands still until this time.
-    still_until: Option<Instant>,
+    paused_until: Option<Instant>,
     /// How far its clock is behind virtual time.
     behind: Duration,
 }
@@ -142,7 +142,7 @@
     pub store_down: bool,
     pub calls: u64,
     /// One datagram in this many is lost.
-    pub loses: Option<u64>,
+    pub loss_interval: Option<u64>,
     /// One datagram in this many is delayed by this time.
     pub delays: Option<(u64, Duration)>,
     /// Maximum proof age at entries that receive requests.
@@ -197,7 +197,7 @@
             operator: 10,
             store_down: false,
             calls: 0,
-            loses: None,
+            loss_interval: None,
             delays: None,
             proof_within: None,
             changes: Vec::new(),
@@ -215,9 +215,9 @@
                 member,
                 alive: true,
                 run: 1,
-                refused: false,
-                silent: false,
-                deaf: false,
+                store_rejects: false,
+                store_times_out: false,
+                pulls_fail: false,
                 group: 0,
                 datagrams: 0,
                 crash_datagrams: 0,
@@ -228,7 +228,7 @@
                 watches: false,
                 watching: false,
                 watch_begun: at,
-                still_until: None,
+                paused_until: None,
                 behind: Duration::ZERO,
             });
             world.push(at, entry, Delivery::Timer);
@@ -301,7 +301,7 @@
             return;
         }
         if let Some(until) = self.entries[to]
-            .still_until
+            .paused_until
             .filter(|until| *until > self.now)
         {
             // The event waits in the process's queues.
@@ -360,7 +360,7 @@
     /// Delivers `event` to an entry and performs the resulting actions.
     pub fn deliver_event(&mut self, entry: usize, event: FleetEvent) {
         let mut actions = Vec::new();
-        let now = self.local(entry, self.now);
+        let now = self.local_time(entry, self.now);
         self.entries[entry]
             .member
             .on_event(now, event, &mut actions);
@@ -402,17 +402,17 @@
             }) => {
                 let from = entry_at(view_address);
                 let delay = 2 * self.delay(entry, from);
-                let begun = self.local(entry, self.now);
+                let begun = self.local_time(entry, self.now);
                 let ends = Delivery::PullAnswered { from, scope, begun };
                 self.push(self.now + delay, entry, ends);
             }
             FleetAction::ReadRegistry(call) => {
                 self.calls += 1;
                 let wait = call.wait;
-                let begun = self.local(entry, self.now);
+                let begun = self.local_time(entry, self.now);
                 let span = if self.is_served(entry) {
                     wait
-                } else if self.entries[entry].silent {
+                } else if self.entries[entry].store_times_out {
                     wait + STORE_TIMEOUT
                 } else {
                     Duration::ZERO
@@ -468,7 +468,7 @@
         self.entries[from].datagrams += 1;
         self.sent += 1;
         let is_lost = self
-            .loses
+            .loss_interval
             .is_some_and(|each| self.sent.is_multiple_of(each));
         if to < self.entries.len() && self.reaches(from, to) && !is_lost {
             let late = self
@@ -493,7 +493,9 @@
     }
 
     fn is_served(&self, entry: usize) -> bool {
-        !self.store_down && !self.entries[entry].refused && !self.entries[entry].silent
+        !self.store_down
+            && !self.entries[entry].store_rejects
+            && !self.entries[entry].store_times_out
     }
 
     fn end_read(&mut self, entry: usize, begun: Instant, call: RegistryCall) {
@@ -536,12 +538,12 @@
     }
 
     fn end_pull(&mut self, entry: usize, from: usize, scope: PullScope, begun: Instant) {
-        if !self.reaches(entry, from) || self.entries[entry].deaf {
+        if !self.reaches(entry, from) || self.entries[entry].pulls_fail {
             self.deliver_event(entry, FleetEvent::PullFinished(address(from), false));
             return;
         }
         let told = *self.entries[from].member.known();
-        let answered = self.local(from, self.now) - self.delay(entry, from);
+        let answered = self.local_time(from, self.now) - self.delay(entry, from);
         let latest = self.entries[from].member.latest_store_time(answered);
         self.deliver_event(entry, FleetEvent::StoreTime(begun, latest));
         let mut known = *self.entries[entry].member.known();
@@ -575,7 +577,7 @@
     fn begin_watch(&mut self, entry: usize, wait: Duration) {
         self.calls += 1;
         self.entries[entry].watching = true;
-        self.entries[entry].watch_begun = self.local(entry, self.now);
+        self.entries[entry].watch_begun = self.local_time(entry, self.now);
         self.push(
             self.now + wait + STORE_LATENCY,
             entry,
@@ -602,7 +604,7 @@
         let mut known = *self.entries[entry].member.known();
         known.operator = known.operator.max(operator);
         known.operator_read = self.version;
-        known.operator_at = Some(self.local(entry, self.now));
+        known.operator_at = Some(self.local_time(entry, self.now));
         known.desired = known.desired.max(operator);
         known.proved = known.proved.max(time);
         self.deliver_event(entry, FleetEvent::Known(known));
@@ -614,26 +616,26 @@
     }
 
     /// Converts virtual time to the clock of `entry`.
-    pub fn local(&self, entry: usize, at: Instant) -> Instant {
+    pub fn local_time(&self, entry: usize, at: Instant) -> Instant {
         at - self.entries[entry].behind
     }
 
     /// Stops `entry` for `span`; if `suspended`, its clock stops as well.
-    pub fn stand_still(&mut self, entry: usize, span: Duration, suspended: bool) {
+    pub fn pause(&mut self, entry: usize, span: Duration, suspended: bool) {
         let until = self.now + span;
-        self.entries[entry].still_until = Some(until);
+        self.entries[entry].paused_until = Some(until);
         self.push(until, entry, Delivery::Resume { span, suspended });
     }
 
     /// Whether the process stands still now.
-    pub fn is_still(&self, entry: usize) -> bool {
-        let until = self.entries[entry].still_until;
+    pub fn is_paused(&self, entry: usize) -> bool {
+        let until = self.entries[entry].paused_until;
         until.is_some_and(|until| until > self.now)
     }
 
     /// Returns how long ago the operator made the oldest change that `entry` does not
     /// know; `None` if it knows all.
-    pub fn lacks_since(&self, entry: usize) -> Option<Duration> {
+    pub fn oldest_missed_change_age(&self, entry: usize) -> Option<Duration> {
         let known = self.entries[entry].member.known().operator;
         let missed = self.changes.iter().find(|(_, version)| *version > known);
         missed.map(|(at, _)| self.now - *at)
@@ -641,7 +643,7 @@
 
     /// Returns the age of the proof on the operator's rows, as estimated by `entry`.
     pub fn proof_age(&self, entry: usize) -> Option<Duration> {
-        let now = self.local(entry, self.now);
+        let now = self.local_time(entry, self.now);
         self.entries[entry].member.proof_age(now)
     }
 
@@ -653,22 +655,22 @@
     }
 
     /// Makes `entry` take the current registry version without its changes.
-    pub fn miss(&mut self, entry: usize) {
-        self.claim(entry, self.version);
+    pub fn skip_changes(&mut self, entry: usize) {
+        self.claim_version(entry, self.version);
     }
 
     /// Makes `entry` believe it knows the registry as of `version`, without learning any
     /// change.
-    pub fn claim(&mut self, entry: usize, version: u64) {
+    pub fn claim_version(&mut self, entry: usize, version: u64) {
         let mut known = *self.entries[entry].member.known();
         known.registry = log_version(version);
         known.registry_read = version;
-        known.registry_at = Some(self.local(entry, self.now));
+        known.registry_at = Some(self.local_time(entry, self.now));
         self.deliver_event(entry, FleetEvent::Known(known));
     }
 
     /// Returns live entries that lack registry changes, whatever version they claim.
-    pub fn lacking(&self) -> Vec<usize> {
+    pub fn missing_changes(&self) -> Vec<usize> {
         let mut live = self.live();
         live.retain(|entry| !self.entries[*entry].servers.keys().eq(&self.servers));
         live
@@ -687,7 +689,7 @@
         self.change_unseen();
         self.changes.push((self.now, self.version));
         for entry in 0..self.entries.len() {
-            let entry_is_told = self.entries[entry].alive && !self.is_still(entry);
+            let entry_is_told = self.entries[entry].alive && !self.is_paused(entry);
             if entry_is_told && self.entries[entry].watching && self.is_served(entry) {
                 let (operator, time) = (self.operator, self.store_time());
                 self.learn_operator(entry, operator, time);
@@ -714,7 +716,7 @@
         known.clock = None;
         known.watches = false;
         known.watching = false;
-        known.still_until = None;
+        known.paused_until = None;
         known.behind = Duration::ZERO;
         self.push(self.now, entry, Delivery::Timer);
     }
--- a/crates/place/tests/front.rs
+++ b/crates/place/tests/front.rs
@@ -1,6 +1,6 @@
 //! Selection of the entries that are advertised to callers.
 
-use place::fleet::front::{FrontEntry, RateMeter, capacity, named};
+use place::fleet::advertise::{RateMeter, ServingEntry, capacity, select_advertised};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -11,8 +11,8 @@
     "n0", "n1", "n2", "n3", "n4", "n5", "n6", "n7", "n8", "n9", "na", "nb", "nc", "nd", "ne", "nf",
 ];
 
-fn entry(number: usize, capacity: u32, rate: f64) -> FrontEntry<'static> {
-    FrontEntry {
+fn entry(number: usize, capacity: u32, rate: f64) -> ServingEntry<'static> {
+    ServingEntry {
         node: NODES[number],
         domain: if number.is_multiple_of(2) { "a1" } else { "a2" },
         region: "a",
@@ -22,14 +22,14 @@
 }
 
 /// Four large entries and twelve small ones, which receive `rate` in total.
-fn unequal(rate: f64) -> Vec<FrontEntry<'static>> {
+fn unequal(rate: f64) -> Vec<ServingEntry<'static>> {
     (0..16)
         .map(|number| entry(number, if number < 4 { 1000 } else { 50 }, rate / 16.0))
         .collect()
 }
 
-fn nodes(entries: &[FrontEntry<'_>]) -> Vec<String> {
-    let mut nodes: Vec<String> = named(entries)
+fn nodes(entries: &[ServingEntry<'_>]) -> Vec<String> {
+    let mut nodes: Vec<String> = select_advertised(entries)
         .iter()
         .map(|one| one.node.to_owned())
         .collect();
@@ -67,7 +67,10 @@
     for entry in &mut all[..4] {
         entry.domain = "a1";
     }
-    let domains: Vec<&str> = named(&all).iter().map(|entry| entry.domain).collect();
+    let domains: Vec<&str> = select_advertised(&all)
+        .iter()
+        .map(|entry| entry.domain)
+        .collect();
     assert!(
         domains.contains(&"a1") && domains.contains(&"a2"),
         "{domains:?}"
@@ -110,7 +113,7 @@
     fn some_are_named_whatever_they_are(
         entries in prop::collection::vec((1_u32..2000, 0_u32..400), 1..16),
     ) {
-        let all: Vec<FrontEntry<'_>> = entries
+        let all: Vec<ServingEntry<'_>> = entries
             .iter()
             .enumerate()
             .map(|(number, (capacity, rate))| entry(number, *capacity, f64::from(*rate)))
--- a/crates/place/tests/proofs.rs
+++ b/crates/place/tests/proofs.rs
@@ -54,14 +54,17 @@
 /// Fails where an entry's knowledge seems younger than a change that it lacks.
 fn check_claims(world: &FleetWorld) {
     for entry in world.live() {
-        if world.is_still(entry) {
+        if world.is_paused(entry) {
             continue;
         }
-        let (lacks, claim) = (world.lacks_since(entry), world.proof_age(entry));
-        if let (Some(lacks), Some(claim)) = (lacks, claim) {
+        let (lacks, claim_version) = (
+            world.oldest_missed_change_age(entry),
+            world.proof_age(entry),
+        );
+        if let (Some(lacks), Some(claim_version)) = (lacks, claim_version) {
             assert!(
-                claim >= lacks,
-                "entry {entry} lacks what was set {lacks:?} ago and claims {claim:?}"
+                claim_version >= lacks,
+                "entry {entry} lacks what was set {lacks:?} ago and claims {claim_version:?}"
             );
         }
     }
@@ -96,11 +99,11 @@
         assert!(age + MARGIN < REVOKE, "{count}, leads ended: {age:?}");
         for is_silent in [false, true] {
             let mut world = settled(count);
-            let mut refused: Vec<usize> = (0..count).filter(|entry| entry % 7 < 2).collect();
-            refused.extend(world.leads(2));
-            for entry in refused {
-                world.entries[entry].refused = !is_silent;
-                world.entries[entry].silent = is_silent;
+            let mut store_rejects: Vec<usize> = (0..count).filter(|entry| entry % 7 < 2).collect();
+            store_rejects.extend(world.leads(2));
+            for entry in store_rejects {
+                world.entries[entry].store_rejects = !is_silent;
+                world.entries[entry].store_times_out = is_silent;
             }
             let used = listed(&world);
             let age = oldest(&mut world, &used, ms(9000));
@@ -120,7 +123,7 @@
         let mut world = settled(64);
         let cut = listed(&world)[0];
         world.entries[cut].group = 9;
-        world.entries[cut].silent = !keeps_store;
+        world.entries[cut].store_times_out = !keeps_store;
         world.run(ms(500));
         world.change();
         let mut oldest_claim = Duration::ZERO;
@@ -167,15 +170,15 @@
         world.delays = Some((5, ms(4000)));
         for turn in 0..6 {
             let still = listed(&world)[turn % 3];
-            world.stand_still(still, ms(7000), suspended);
-            world.entries[still].silent = true;
+            world.pause(still, ms(7000), suspended);
+            world.entries[still].store_times_out = true;
             world.run(ms(300));
             world.change();
             for _ in 0..450 {
                 world.run(ms(20));
                 check_claims(&world);
             }
-            world.entries[still].silent = false;
+            world.entries[still].store_times_out = false;
             world.run(ms(1000));
         }
     }
@@ -210,7 +213,7 @@
     let heard = world.entries[follower].member.known().proved;
     let old = digest(&world, heard);
     world.entries[follower].group = 9;
-    world.entries[follower].silent = true;
+    world.entries[follower].store_times_out = true;
     for turn in 0..30 {
         world.run(ms(200));
         let ahead = StoreTime(world.store_time().0 + 5_000 + turn);
@@ -271,17 +274,17 @@
         Trouble::Change => world.change(),
         Trouble::Kill(entry) => world.kill(entry),
         Trouble::StandStill(entry, span, suspended) if world.entries[entry].alive => {
-            if !world.is_still(entry) {
-                world.stand_still(entry, ms(span), suspended);
+            if !world.is_paused(entry) {
+                world.pause(entry, ms(span), suspended);
             }
         }
         Trouble::StandStill(entry, ..) => world.restart(entry),
-        Trouble::Refuse(entry) => world.entries[entry].refused = true,
-        Trouble::Silence(entry) => world.entries[entry].silent = true,
+        Trouble::Refuse(entry) => world.entries[entry].store_rejects = true,
+        Trouble::Silence(entry) => world.entries[entry].store_times_out = true,
         Trouble::Cut(entry) => world.entries[entry].group = 1 + (entry % REGIONS) as u32,
         Trouble::Heal => {
             for entry in &mut world.entries {
-                (entry.refused, entry.silent, entry.group) = (false, false, 0);
+                (entry.store_rejects, entry.store_times_out, entry.group) = (false, false, 0);
             }
         }
         Trouble::StoreDown(is_down) => world.store_down = is_down,
--- a/crates/place/tests/roster.rs
+++ b/crates/place/tests/roster.rs
@@ -54,7 +54,7 @@
     roster.on_heartbeat(now, stopping);
     assert_eq!(
         roster.on_heartbeat(now + ms(1), heartbeat(1)),
-        HeartbeatOutcome::Outdated
+        HeartbeatOutcome::Ignored
     );
     assert!(roster.candidates(now + ms(2), "a").is_empty());
     assert_eq!(
@@ -64,6 +64,6 @@
     assert_eq!(roster.candidates(now + ms(4), "a").len(), 1);
     assert_eq!(
         roster.on_heartbeat(now + ms(5), heartbeat(3)),
-        HeartbeatOutcome::Same
+        HeartbeatOutcome::Unchanged
     );
 }
