--- a/crates/place/src/fleet/advertise.rs
+++ b/crates/place/src/fleet/advertise.rs
@@ -21,8 +21,8 @@
 /// CPU time per request in seconds: three times the measured mean, to allow for callers
 /// with large headers and bodies.
 const CPU_SECONDS_PER_REQUEST: f64 = 0.000_25;
-/// Bits per request and response on an entry's link, in both directions together: a
-/// response of 12 kB, the mean of a mix with one large response in ten.
+/// Bits per request on an entry's link, counted on the way in and on the way out: a response
+/// of 12 kB, the mean of a mix with one large response in ten.
 const BITS_PER_REQUEST: f64 = 200_000.0;
 /// Requests per second below which an entry that is not advertised counts as idle. Health
 /// checks and callers with an outdated lookup cause a few.
