--- a/crates/place/src/fleet/member/announce.rs
+++ b/crates/place/src/fleet/member/announce.rs
@@ -41,13 +41,13 @@
             .regions
             .list(region)
             .map_or(ListVersion::default(), |list| list.version);
-        let wait = if version == ListVersion::default() {
+        let delay = if version == ListVersion::default() {
             FIRST_LIST_DELAY
         } else {
             LIST_DELAY
         };
-        if now.saturating_duration_since(since) < wait {
-            self.list_due = since + wait;
+        if now.saturating_duration_since(since) < delay {
+            self.list_due = since + delay;
             return;
         }
         let own = self.own_heartbeat(now);
@@ -97,12 +97,12 @@
             return;
         }
         let is_searching = !self.has_live_lead(now);
-        let pause = if is_searching && self.lead_since.is_none() {
+        let interval = if is_searching && self.lead_since.is_none() {
             self.search.heartbeat_interval(now, HEARTBEAT_INTERVAL)
         } else {
             HEARTBEAT_INTERVAL
         };
-        self.heartbeat_due = now + pause;
+        self.heartbeat_due = now + interval;
         let mut targets = self.own_region_leads(now);
         if is_searching {
             targets.extend(
@@ -153,8 +153,8 @@
     /// Returns when this lead sends its next digest unless a change occurs before.
     pub(super) fn next_digest(&self) -> Option<Instant> {
         self.lead_since?;
-        let pause = self.last_digest_at.map(|at| at + MIN_DIGEST_INTERVAL);
-        Some(pause.map_or(self.digest_due, |at| at.max(self.digest_due)))
+        let earliest = self.last_digest_at.map(|at| at + MIN_DIGEST_INTERVAL);
+        Some(earliest.map_or(self.digest_due, |at| at.max(self.digest_due)))
     }
 
     pub(super) fn send_due_digest(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
@@ -170,9 +170,9 @@
     pub(super) fn send_digest(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         self.digest_due = now + HEARTBEAT_INTERVAL;
         self.last_digest_at = Some(now);
-        let near = self.roster.addresses(now, &self.config.region);
+        let members = self.roster.addresses(now, &self.config.region);
         let leads: Vec<SocketAddr> = self.peer_leads(now);
-        let mut members = self.unique_peers(near);
+        let mut members = self.unique_peers(members);
         members.retain(|address| !leads.contains(address));
         let leads = self.unique_peers(leads);
         actions.push(FleetAction::Send(members, self.digest(now, false)));
--- a/crates/place/src/fleet/member/crashes.rs
+++ b/crates/place/src/fleet/member/crashes.rs
@@ -76,7 +76,7 @@
         for word in &word.statuses {
             let since = instant_before(now, word.age);
             if self.quarantine.raise(word.print, word.status, since) {
-                self.on_raised(now, word.print, word.status, actions);
+                self.on_status_raised(now, word.print, word.status, actions);
             }
         }
         if self.lead_since.is_some() && !new_facts.is_empty() {
@@ -122,18 +122,18 @@
         let prints = rows.iter().map(|row| row.print);
         let has_lapsed = |print: &RequestPrint| self.quarantine_left(now, *print).is_none();
         delete_quarantine_rows(prints.filter(has_lapsed).collect(), actions);
-        let is_kept = |print| rows.iter().any(|row| row.print == print);
+        let is_stored = |print| rows.iter().any(|row| row.print == print);
         let quarantines = self.quarantines(now);
-        let missing = quarantines.filter(|(print, _)| !is_kept(*print));
+        let missing = quarantines.filter(|(print, _)| !is_stored(*print));
         write_quarantine_rows(missing.collect(), actions);
     }
 
     /// Returns when reports or statuses must be sent, or crash reports evaluated.
     pub(super) fn crashes_due(&self) -> Option<Instant> {
-        let tells = self.lead_since.is_some() && self.has_statuses();
-        let statuses = tells.then_some(self.statuses_due);
-        let dues = [self.outbox.due(), self.ledger.review_due(), statuses];
-        dues.into_iter().flatten().min()
+        let is_sending = self.lead_since.is_some() && self.has_statuses();
+        let statuses = is_sending.then_some(self.statuses_due);
+        let times = [self.outbox.due(), self.ledger.review_due(), statuses];
+        times.into_iter().flatten().min()
     }
 
     pub(super) fn process_crashes(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
@@ -172,7 +172,7 @@
         }
         let new_facts = self.ledger.review(now, &mut self.quarantine);
         for (print, status) in &new_facts {
-            self.on_raised(now, *print, *status, actions);
+            self.on_status_raised(now, *print, *status, actions);
             self.statuses_due = now;
         }
     }
@@ -218,7 +218,7 @@
     }
 
     /// Handles a request that became suspected or quarantined.
-    fn on_raised(
+    fn on_status_raised(
         &mut self,
         now: Instant,
         print: RequestPrint,
--- a/crates/place/src/fleet/member/fetch.rs
+++ b/crates/place/src/fleet/member/fetch.rs
@@ -31,12 +31,15 @@
         let first = if self.lead_since.is_some() {
             contradicting.next()
         } else {
-            let near = self.leads.live_leads_of(now, &self.config.region);
-            let all = near.count();
+            let region_leads = self.leads.live_leads_of(now, &self.config.region);
+            let all = region_leads.count();
             let region = &self.config.region;
-            let near = contradicting.filter(|lead| lead.region == *region);
-            let near: Vec<&LeadRecord> = near.collect();
-            near.first().copied().filter(|_| near.len() == all)
+            let region_leads = contradicting.filter(|lead| lead.region == *region);
+            let region_leads: Vec<&LeadRecord> = region_leads.collect();
+            region_leads
+                .first()
+                .copied()
+                .filter(|_| region_leads.len() == all)
         };
         let lead = first.map(|lead| lead.candidate.node.clone());
         if self.conflict.on_check(now, lead.is_some())
@@ -57,12 +60,13 @@
     /// Whether a follower's registry was not confirmed for too long although its leads
     /// have newer readings. Whatever the cause, it then reads the store itself.
     fn is_stale(&self, now: Instant) -> bool {
-        let most = self.readings.pace().member;
+        let max_age = self.readings.pace().member;
         let is_old =
-            |at: Option<Instant>| at.is_some_and(|at| now.saturating_duration_since(at) >= most);
-        let mut near = self.leads.live_leads_of(now, &self.config.region);
+            |at: Option<Instant>| at.is_some_and(|at| now.saturating_duration_since(at) >= max_age);
+        let mut region_leads = self.leads.live_leads_of(now, &self.config.region);
         is_old(self.known.registry_at)
-            && near.any(|lead| lead.known.registry_at.is_some() && !is_old(lead.known.registry_at))
+            && region_leads
+                .any(|lead| lead.known.registry_at.is_some() && !is_old(lead.known.registry_at))
     }
 
     /// Returns the lead to refetch the registry from if the local content is in conflict
@@ -139,9 +143,9 @@
         let Some(within) = self.local_state.proof_within.filter(|_| self.is_listed()) else {
             return false;
         };
-        let spread = self.search.jitter(within.mul_f64(PROOF_JITTER_FRACTION));
-        let most = within.mul_f64(PROOF_RENEWAL_FRACTION) + spread;
-        self.proof_age(now).is_none_or(|age| age >= most)
+        let jitter = self.search.jitter(within.mul_f64(PROOF_JITTER_FRACTION));
+        let max_age = within.mul_f64(PROOF_RENEWAL_FRACTION) + jitter;
+        self.proof_age(now).is_none_or(|age| age >= max_age)
     }
 
     /// Whether an entry without a lead watches the operator's rows itself. Entries that
@@ -151,14 +155,14 @@
         if !self.known.is_complete() {
             return now >= first;
         }
-        let spread = if used {
+        let jitter = if used {
             Duration::ZERO
         } else {
             LONE_WATCH_JITTER
         };
-        let wait = LONE_WATCH_DELAY + self.search.jitter(spread);
+        let delay = LONE_WATCH_DELAY + self.search.jitter(jitter);
         let since = self.search.since();
-        since.is_some_and(|since| now.saturating_duration_since(since) >= wait)
+        since.is_some_and(|since| now.saturating_duration_since(since) >= delay)
     }
 
     fn read_role(&self, now: Instant) -> ReadRole {
--- a/crates/place/src/fleet/member/mod.rs
+++ b/crates/place/src/fleet/member/mod.rs
@@ -276,7 +276,7 @@
                 }
             }
             FleetEvent::PullFinished(lead, done) => self.pulls.on_pull_finished(now, lead, done),
-            FleetEvent::LeadRows(rows) => self.on_rows(now, &rows),
+            FleetEvent::LeadRows(rows) => self.on_lead_rows(now, &rows),
             FleetEvent::QuarantineRows(rows) => self.on_quarantine_rows(now, &rows, actions),
             FleetEvent::Crashed(reports) => self.on_crashed(now, &reports),
             FleetEvent::Cleared(print) => self.on_cleared(now, print, actions),
--- a/crates/place/src/fleet/member/receive.rs
+++ b/crates/place/src/fleet/member/receive.rs
@@ -28,7 +28,7 @@
             PeerMessage::Heartbeat(heartbeat) => self.on_heartbeat(now, *heartbeat, actions),
             PeerMessage::Digest(digest) => self.on_digest(now, &digest, actions),
             PeerMessage::Hint(hint) => self.on_hint(now, &hint),
-            PeerMessage::Crash(summary) => self.on_crash_word(now, &summary, actions),
+            PeerMessage::Crash(word) => self.on_crash_word(now, &word, actions),
             PeerMessage::Load(_) | PeerMessage::Rollout(_) => {}
         }
     }
@@ -45,12 +45,12 @@
         let (is_searching, sender) = (heartbeat.is_searching, heartbeat.candidate.peer_address);
         let region = heartbeat.region.clone();
         let is_own_region = region == self.config.region;
-        let news = self.roster.on_heartbeat(now, heartbeat);
-        if news == HeartbeatOutcome::Ignored {
+        let outcome = self.roster.on_heartbeat(now, heartbeat);
+        if outcome == HeartbeatOutcome::Ignored {
             return;
         }
         if is_own_region && self.lead_since.is_some() {
-            if news == HeartbeatOutcome::Changed {
+            if outcome == HeartbeatOutcome::Changed {
                 self.list_due = self.list_due.min(now + LIST_DEBOUNCE);
             }
             if is_searching {
@@ -123,7 +123,8 @@
             actions.push(FleetAction::ConfirmRegistry(at));
         }
         let is_own_region = digest.region == self.config.region;
-        if self.lead_since.is_none() && !(is_own_region && self.is_followed(&digest.candidate.node))
+        if self.lead_since.is_none()
+            && !(is_own_region && self.is_followed_lead(&digest.candidate.node))
         {
             self.hint(
                 now,
@@ -139,7 +140,7 @@
 
     /// Whether `node` is a lead of the region as far as this entry knows, or no lead is
     /// known.
-    fn is_followed(&self, node: &str) -> bool {
+    fn is_followed_lead(&self, node: &str) -> bool {
         let mut leads = self.candidates.iter().take(LEADS_PER_REGION);
         self.candidates.is_empty() || leads.any(|candidate| candidate.node == node)
     }
@@ -147,11 +148,11 @@
     /// Adds leads of the local region that were reported by another region.
     fn find_other_leads(&mut self, now: Instant, candidates: &[LeadCandidate]) {
         for candidate in candidates.iter().take(LEADS_PER_REGION) {
-            let is_reachable = self
+            let is_live = self
                 .leads
                 .live_leads_of(now, &self.config.region)
                 .any(|lead| lead.candidate.node == candidate.node);
-            if !is_reachable && candidate.node != self.config.candidate.node {
+            if !is_live && candidate.node != self.config.candidate.node {
                 self.search.on_address(now, candidate.peer_address);
             }
         }
@@ -177,7 +178,7 @@
         }
     }
 
-    pub(super) fn on_rows(&mut self, now: Instant, rows: &[(String, SocketAddr)]) {
+    pub(super) fn on_lead_rows(&mut self, now: Instant, rows: &[(String, SocketAddr)]) {
         let own = self.config.candidate.peer_address;
         for (region, address) in rows {
             let is_needed =
--- a/crates/place/src/fleet/search.rs
+++ b/crates/place/src/fleet/search.rs
@@ -148,10 +148,10 @@
     /// Returns the time until the next heartbeat; `regular` is the interval outside a
     /// search.
     pub fn heartbeat_interval(&self, now: Instant, regular: Duration) -> Duration {
-        let fast = self
+        let is_fast = self
             .since
             .is_some_and(|since| now.saturating_duration_since(since) < FAST_HEARTBEAT_PERIOD);
-        if fast {
+        if is_fast {
             FAST_HEARTBEAT_INTERVAL
         } else {
             regular
@@ -173,11 +173,11 @@
     }
 
     fn election_delay(&self, own: &LeadCandidate, candidates: &[LeadCandidate]) -> Duration {
-        let place = candidates
+        let position = candidates
             .iter()
             .position(|candidate| candidate.node == own.node);
-        if let (true, Some(place)) = (self.has_had_lead, place) {
-            return SUBSTITUTE_DELAY * place.saturating_sub(LEADS_PER_REGION) as u32;
+        if let (true, Some(position)) = (self.has_had_lead, position) {
+            return SUBSTITUTE_DELAY * position.saturating_sub(LEADS_PER_REGION) as u32;
         }
         let first = if self.has_had_lead {
             NON_SUBSTITUTE_DELAY
@@ -196,11 +196,11 @@
     /// it has received nothing from others. Entries with a high capacity read at once,
     /// because callers are directed to them.
     pub fn first_read_delay(&self, own: &LeadCandidate) -> Duration {
-        let election_delay = capacity_delay(own);
-        if election_delay.is_zero() {
+        let delay = capacity_delay(own);
+        if delay.is_zero() {
             return Duration::ZERO;
         }
-        STARTUP_DELAY + election_delay + self.jitter(JITTER)
+        STARTUP_DELAY + delay + self.jitter(JITTER)
     }
 
     /// Returns whether to look up leads in the store now, and if so schedules the next
--- a/crates/place/tests/due.rs
+++ b/crates/place/tests/due.rs
@@ -54,13 +54,13 @@
         }
         assert!(
             now - looked_at <= LATE_MOST,
-            "not looked since {looked_at:?}"
+            "no periodic tasks since {looked_at:?}"
         );
     }
     let reads = actions
         .iter()
         .any(|action| matches!(action, FleetAction::ReadRegistry(_)));
-    assert!(reads, "it asks the store itself");
+    assert!(reads, "the entry must read the store itself");
 }
 
 /// An entry that starts asks each live lead once which servers have departed, beginning
--- a/crates/place/tests/fleet_world/mod.rs
+++ b/crates/place/tests/fleet_world/mod.rs
@@ -174,7 +174,7 @@
 
 fn entry_at(address: SocketAddr) -> usize {
     let SocketAddr::V4(address) = address else {
-        panic!("an address of the fleet");
+        panic!("not an address of the simulated fleet");
     };
     u32::from_be_bytes(address.ip().octets()) as usize & 0x00ff_ffff
 }
@@ -266,7 +266,7 @@
         let waiting = self.queue.len();
         assert!(
             waiting < MAX_QUEUED_MESSAGES,
-            "{waiting} messages are on their way at once"
+            "{waiting} messages are queued"
         );
         self.number += 1;
         let run = self.entries.get(to).map_or(1, |entry| entry.run);
