--- a/bin/lh-entry/src/state.rs
+++ b/bin/lh-entry/src/state.rs
@@ -9,11 +9,11 @@
 use base::prelude::{Incarnation, InstanceId, NodeId};
 use place::catalog::CatalogChange;
 use place::departure::Departure;
+use place::fleet::advertise::RateMeter;
+use place::fleet::candidate::LeadCandidate;
 use place::fleet::copies::CopyScheduler;
-use place::fleet::front::RateMeter;
 use place::fleet::log::{ReadScope, RegistryDelta, RegistryLog};
 use place::fleet::member::MemberConfig;
-use place::fleet::seat::LeadSeat;
 use place::fleet::store_progress::StoreProgress;
 use place::placing::load::load_interval;
 use place::prelude::*;
@@ -365,7 +365,8 @@
     /// Tells the fleet when servers whose rows vanished are gone.
     pub(crate) fn note_settles(&self) {
         let next_removal_at = self.placer.borrow().catalog.next_removal_at();
-        self.fleet.on_event(FleetEvent::Settles(next_removal_at));
+        self.fleet
+            .on_event(FleetEvent::RemovalsFinalAt(next_removal_at));
     }
 
     /// Tells the rollouts of the versions of servers that joined.
@@ -418,13 +419,13 @@
         let is_listed = self.fleet.is_listed();
         let listed = hashes.len() + usize::from(is_listed);
         self.rollouts
-            .set_entries(listed, is_listed || self.fleet.is_lone());
+            .set_entries(listed, is_listed || self.fleet.is_isolated());
         let pause = load_interval(near as u32);
         let now = Instant::now();
         self.quota.borrow_mut().set_entries(now, &hashes, pause);
         let mut placer = self.placer.borrow_mut();
         placer.set_entries(hashes, near);
-        let gets_requests = is_listed || self.fleet.is_lone();
+        let gets_requests = is_listed || self.fleet.is_isolated();
         placer.set_standby(!gets_requests);
     }
 
@@ -482,17 +483,17 @@
 fn member_config(config: &EntryConfig, incarnation: u64) -> MemberConfig {
     MemberConfig {
         incarnation,
-        seat: LeadSeat {
+        candidate: LeadCandidate {
             node: config.instance.clone(),
             domain: config.domain.clone(),
-            beat: config.beat_address,
-            view: config.view_address,
+            peer_address: config.beat_address,
+            view_address: config.view_address,
             capacity: config.capacity,
-            reads: true,
+            has_store_access: true,
             leads: false,
         },
         region: config.region.clone(),
-        front: config.caller_address,
+        caller_address: config.caller_address,
         regions: config.domains.values().cloned().collect(),
         seeds: config.seeds.clone(),
         drain: config.drain,
--- a/bin/lh-entry/src/view.rs
+++ b/bin/lh-entry/src/view.rs
@@ -17,9 +17,9 @@
 use place::fleet::clock::StoreTime;
 use place::fleet::content_hash::ContentHash;
 use place::fleet::copies::CopySource;
-use place::fleet::follow::{PullScope, PullTarget};
 use place::fleet::list::{EntryList, ListVersion};
 use place::fleet::log::{RegistryDelta, RegistryLog};
+use place::fleet::pull::{PullScope, PullTarget};
 use place::fleet::store_progress::{StoreProgress, StoreProgressMessage};
 use place::prelude::FleetEvent;
 use quick_error::quick_error;
@@ -203,12 +203,14 @@
         }
     });
     if let Err(error) = &result {
-        log::info!(lead:% = target.view, error:%; "lead not followed");
+        log::info!(lead:% = target.view_address, error:%; "lead not followed");
     }
     let is_whole = target.scope.is_whole();
     state.metrics.on_pull(is_whole, result.is_ok());
     let done = result.is_ok();
-    state.fleet.on_event(FleetEvent::Pulled(target.view, done));
+    state
+        .fleet
+        .on_event(FleetEvent::PullFinished(target.view_address, done));
 }
 
 /// The lead's answer, and that of the entry which it names for a copy of the registry.
@@ -222,7 +224,7 @@
         return Ok(vec![answer]);
     };
     let relay = PullTarget {
-        view,
+        view_address: view,
         scope: target.scope,
     };
     let copy = ViewClient::default().ask(state, &relay, false).await;
@@ -261,10 +263,10 @@
     if !answer.registry.is_empty() {
         let delta: RegistryDelta = postcard::from_bytes(&answer.registry)?;
         let is_whole = target.scope.is_whole();
-        state.on_told_servers(target.view, &heard, &delta, is_whole);
+        state.on_told_servers(target.view_address, &heard, &delta, is_whole);
     }
     if !answer.ends.is_empty() {
-        state.on_told_ends(target.view, &answer.ends);
+        state.on_told_ends(target.view_address, &answer.ends);
     }
     state
         .fleet
@@ -290,13 +292,13 @@
         target: &PullTarget,
         insists: bool,
     ) -> Result<ViewAnswer, ViewError> {
-        if self.lead != Some(target.view) {
-            self.lead = Some(target.view);
+        if self.lead != Some(target.view_address) {
+            self.lead = Some(target.view_address);
             self.sender = None;
         }
         let known = state.fleet.known();
         let (registry, operator) = match target.scope {
-            PullScope::News | PullScope::Ends => (known.registry, known.operator),
+            PullScope::Newer | PullScope::Departures => (known.registry, known.operator),
             PullScope::Registry => (0, known.operator),
             PullScope::All => (0, 0),
         };
@@ -307,7 +309,7 @@
             lists: state.fleet.with_regions(|_, regions| regions.versions()),
             view: state.config.view_address,
             insists,
-            ends: target.scope == PullScope::Ends,
+            ends: target.scope == PullScope::Departures,
         });
         let path = format!("{VIEW_PATH}?{}", URL_SAFE_NO_PAD.encode(query));
         let patience = if known.is_complete() {
@@ -315,7 +317,7 @@
         } else {
             FIRST_PATIENCE
         };
-        let fetched = timeout(patience, self.fetch(target.view, &path)).await;
+        let fetched = timeout(patience, self.fetch(target.view_address, &path)).await;
         let fetched = fetched.unwrap_or(Err(ViewError::Timeout));
         if fetched.is_err() {
             self.sender = None;
--- a/bin/lh-entry/src/words.rs
+++ b/bin/lh-entry/src/words.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use place::fleet::message::{LoadBeat, PeerMessage};
+use place::fleet::message::{LoadReport, PeerMessage};
 use place::placing::load::{LoadUpdate, is_sent_to_other_regions, load_interval};
 use place::rank::stable_hash;
 use team::quota::QuotaWord;
@@ -104,9 +104,9 @@
                 continue;
             }
             if region == state.config.region {
-                near.push(entry.beat);
+                near.push(entry.peer_address);
             } else {
-                far.push(entry.beat);
+                far.push(entry.peer_address);
             }
         }
     });
@@ -118,7 +118,7 @@
 }
 
 fn message(state: &InstanceState, word: LoadUpdate, quota: Option<QuotaWord>) -> PeerMessage {
-    PeerMessage::Load(LoadBeat {
+    PeerMessage::Load(LoadReport {
         entry: stable_hash(state.config.instance.as_bytes()),
         word,
         quota,
--- a/crates/emulate/benches/slopes.rs
+++ b/crates/emulate/benches/slopes.rs
@@ -9,10 +9,10 @@
 use place::blocks::BlockTableBuilder;
 use place::desired::{DesiredState, RequestKind, RouteSpec, ServiceSpec, SplitPart};
 use place::directory::ordered_entries;
+use place::fleet::candidate::LeadCandidate;
 use place::fleet::log::{ReadScope, RegistryDelta, RegistryLog};
 use place::fleet::member::MemberConfig;
-use place::fleet::message::{EntryBeat, PeerMessage};
-use place::fleet::seat::LeadSeat;
+use place::fleet::message::{EntryHeartbeat, PeerMessage};
 use place::fleet::store_progress::StoreProgress;
 use place::limits::budget::BudgetBounds;
 use place::placing::choice::ByteCosts;
@@ -324,34 +324,40 @@
 fn leads() {
     println!("\nentries of a region   a beat at the lead   a digest and a list");
     for entries in [33, 98, 370, 1000] {
-        let seat = |number: usize| LeadSeat {
+        let candidate = |number: usize| LeadCandidate {
             node: format!("edge-lhr-a-{number}"),
             domain: format!("d{}", number % 3),
-            beat: SocketAddr::from(([10, 0, (number / 250) as u8, (number % 250) as u8], 7)),
-            view: SocketAddr::from(([10, 0, (number / 250) as u8, (number % 250) as u8], 8)),
+            peer_address: SocketAddr::from((
+                [10, 0, (number / 250) as u8, (number % 250) as u8],
+                7,
+            )),
+            view_address: SocketAddr::from((
+                [10, 0, (number / 250) as u8, (number % 250) as u8],
+                8,
+            )),
             capacity: if number.is_multiple_of(11) { 1000 } else { 100 },
-            reads: true,
+            has_store_access: true,
             leads: false,
         };
         let beat = |number: usize| {
-            PeerMessage::Beat(Box::new(EntryBeat {
+            PeerMessage::Heartbeat(Box::new(EntryHeartbeat {
                 incarnation: 1,
-                seat: seat(number),
+                candidate: candidate(number),
                 region: "r0".to_owned(),
-                front: seat(number).beat,
+                caller_address: candidate(number).peer_address,
                 rate: (number % 9) as u32,
                 ready: true,
                 leaving: false,
-                seeks: false,
+                is_searching: false,
                 stamp: String::new(),
             }))
         };
         let start = Instant::now();
         let config = MemberConfig {
             incarnation: 1,
-            seat: seat(0),
+            candidate: candidate(0),
             region: "r0".to_owned(),
-            front: seat(0).beat,
+            caller_address: candidate(0).peer_address,
             regions: (0..REGIONS).map(|region| format!("r{region}")).collect(),
             seeds: Vec::new(),
             drain: Duration::from_millis(2500),
@@ -364,7 +370,7 @@
         };
         lead.on_event(start, FleetEvent::Known(known), &mut actions);
         let mut now = start + Duration::from_secs(2);
-        lead.on_event(now, FleetEvent::Clock, &mut actions);
+        lead.on_event(now, FleetEvent::Tick, &mut actions);
         for number in 1..entries {
             lead.on_event(now, FleetEvent::Message(beat(number)), &mut actions);
         }
--- a/crates/place/src/fleet/leads.rs
+++ b/crates/place/src/fleet/leads.rs
@@ -1,138 +1,142 @@
-//! The leads that an entry hears, by their digests.
+//! Leads known from their digests.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
+use crate::fleet::candidate::{CandidateRank, LEADS_PER_REGION, LeadCandidate};
 use crate::fleet::list::ListVersion;
 use crate::fleet::message::RegionDigest;
-use crate::fleet::seat::{LEADS, LeadSeat, SeatOrder};
 use crate::fleet::store_progress::StoreProgress;
 
-/// A lead that was silent for this long is done without: two digests may get lost.
-pub const LEAD_SILENT: Duration = Duration::from_millis(1500);
-/// A silent lead is forgotten after this time.
-const REMEMBERED_FOR: Duration = Duration::from_secs(60);
+/// Time without a digest after which a lead counts as lost. Two digests in a row may be
+/// lost in transit.
+pub const LEAD_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Time without a digest after which a lead is removed from the table.
+const RETENTION: Duration = Duration::from_secs(60);
 
-/// A lead as it was heard last.
+/// A lead according to its last digest.
 #[derive(Debug, Clone)]
-pub struct HeardLead {
-    /// The lead.
-    pub seat: LeadSeat,
-    /// Its region.
+pub struct LeadRecord {
+    /// The lead as a candidate.
+    pub candidate: LeadCandidate,
+    /// The lead's region.
     pub region: String,
-    /// Whether its process is about to end.
+    /// Whether its process is shutting down, or it is no longer a lead.
     pub leaving: bool,
-    /// What it knows of the store.
+    /// Its state of the store.
     pub known: StoreProgress,
-    /// The lists of entries that it knows.
+    /// Versions of its lists of entries, by region.
     pub lists: Vec<(String, ListVersion)>,
-    /// Who leads its region by its word, and substitutes.
-    pub seats: Vec<LeadSeat>,
+    /// The leads and substitutes of its region according to this lead.
+    pub candidates: Vec<LeadCandidate>,
     incarnation: u64,
     at: Instant,
 }
 
-/// All leads that were heard.
+/// All known leads.
 #[derive(Debug, Default)]
 pub struct LeadTable {
-    leads: HashMap<String, HeardLead>,
+    leads: HashMap<String, LeadRecord>,
 }
 
-impl HeardLead {
-    /// Its place among others.
-    pub fn order(&self) -> SeatOrder {
-        self.seat.order()
+impl LeadRecord {
+    /// Returns its rank among candidates.
+    pub fn rank(&self) -> CandidateRank {
+        self.candidate.rank()
     }
 
-    /// Where it tells what it knows.
-    pub fn view(&self) -> SocketAddr {
-        self.seat.view
+    /// Returns the address from which other entries pull its data.
+    pub fn view_address(&self) -> SocketAddr {
+        self.candidate.view_address
     }
 
-    /// Its run: smaller the earlier it began.
+    /// Returns its process incarnation; the smaller, the earlier the process started.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Whether `node` leads the region by this one's word.
-    pub fn appoints(&self, node: &str) -> bool {
-        let mut leads = self.seats.iter().take(LEADS);
-        leads.any(|seat| seat.node == node)
+    /// Whether `node` is a lead of the region according to this lead.
+    pub fn appoints_lead(&self, node: &str) -> bool {
+        let mut leads = self.candidates.iter().take(LEADS_PER_REGION);
+        leads.any(|candidate| candidate.node == node)
     }
 }
 
 impl LeadTable {
-    /// Takes in a digest; one of an earlier run changes nothing and gives `false`.
+    /// Applies a digest. Ignores a digest of an earlier incarnation and returns `false`.
     pub fn on_digest(&mut self, now: Instant, digest: &RegionDigest) -> bool {
-        let known = self.leads.get(&digest.seat.node);
+        let known = self.leads.get(&digest.candidate.node);
         if known.is_some_and(|lead| lead.incarnation > digest.incarnation) {
             return false;
         }
-        let own = digest
+        let own_summary = digest
             .regions
             .iter()
-            .find(|word| word.region == digest.region);
-        let lead = HeardLead {
-            seat: digest.seat.clone(),
+            .find(|summary| summary.region == digest.region);
+        let lead = LeadRecord {
+            candidate: digest.candidate.clone(),
             region: digest.region.clone(),
-            leaving: digest.leaving || !digest.seat.leads,
+            leaving: digest.leaving || !digest.candidate.leads,
             known: StoreProgress::from_message(now, &digest.store),
             lists: digest
                 .regions
                 .iter()
-                .map(|word| (word.region.clone(), word.list))
+                .map(|summary| (summary.region.clone(), summary.list))
                 .collect(),
-            seats: own.map(|word| word.seats.clone()).unwrap_or_default(),
+            candidates: own_summary
+                .map(|summary| summary.candidates.clone())
+                .unwrap_or_default(),
             incarnation: digest.incarnation,
             at: now,
         };
-        self.leads.insert(lead.seat.node.clone(), lead);
+        self.leads.insert(lead.candidate.node.clone(), lead);
         true
     }
 
-    /// The leads that are heard and stay.
-    pub fn fresh(&self, now: Instant) -> impl Iterator<Item = &HeardLead> {
+    /// Returns the leads that are neither silent nor stepping down.
+    pub fn live_leads(&self, now: Instant) -> impl Iterator<Item = &LeadRecord> {
         self.leads.values().filter(move |lead| {
-            !lead.leaving && now.saturating_duration_since(lead.at) < LEAD_SILENT
+            !lead.leaving && now.saturating_duration_since(lead.at) < LEAD_TIMEOUT
         })
     }
 
-    /// Those of `region`.
-    pub fn fresh_of<'a>(
+    /// Returns the live leads of `region`.
+    pub fn live_leads_of<'a>(
         &'a self,
         now: Instant,
         region: &'a str,
-    ) -> impl Iterator<Item = &'a HeardLead> {
-        self.fresh(now).filter(move |lead| lead.region == region)
+    ) -> impl Iterator<Item = &'a LeadRecord> {
+        self.live_leads(now)
+            .filter(move |lead| lead.region == region)
     }
 
-    /// The leads that contradict what is `known`.
+    /// Returns the live leads whose registry content conflicts with `known`.
     pub fn contradicting<'a>(
         &'a self,
         now: Instant,
         known: &'a StoreProgress,
-    ) -> impl Iterator<Item = &'a HeardLead> {
-        self.fresh(now)
+    ) -> impl Iterator<Item = &'a LeadRecord> {
+        self.live_leads(now)
             .filter(|lead| known.contradicts(&lead.known))
     }
 
-    /// When the last lead of `region` will have been silent for too long.
-    pub fn silent_at(&self, region: &str) -> Option<Instant> {
+    /// Returns when the last lead of `region` times out unless another digest arrives.
+    pub fn timeout_at(&self, region: &str) -> Option<Instant> {
         let near = self.leads.values().filter(|lead| lead.region == region);
         let staying = near.filter(|lead| !lead.leaving);
-        staying.map(|lead| lead.at + LEAD_SILENT).max()
+        staying.map(|lead| lead.at + LEAD_TIMEOUT).max()
     }
 
-    /// The first of them.
-    pub fn first_of(&self, now: Instant, region: &str) -> Option<&HeardLead> {
-        let near = self.fresh(now).filter(|lead| lead.region == region);
-        near.max_by_key(|lead| lead.order())
+    /// Returns the live lead of `region` with the highest rank.
+    pub fn top_lead_of(&self, now: Instant, region: &str) -> Option<&LeadRecord> {
+        let near = self.live_leads(now).filter(|lead| lead.region == region);
+        near.max_by_key(|lead| lead.rank())
     }
 
-    /// Forgets leads that were silent for long.
+    /// Removes leads that have been silent for longer than `RETENTION`.
     pub fn forget(&mut self, now: Instant) {
         self.leads
-            .retain(|_, lead| now.saturating_duration_since(lead.at) < REMEMBERED_FOR);
+            .retain(|_, lead| now.saturating_duration_since(lead.at) < RETENTION);
     }
 }
--- a/crates/place/src/fleet/member/crashes.rs
+++ b/crates/place/src/fleet/member/crashes.rs
@@ -1,14 +1,14 @@
-//! What an entry makes of requests under which servers ended, and whom it tells.
+//! Exchange of reports on requests that crash servers, and their quarantine.
 
 use std::time::{Duration, Instant};
 
 use crate::crash::print::RequestFingerprint;
 use crate::crash::word::{CrashMessage, CrashReport, RequestStatus, StoredQuarantine};
-use crate::fleet::member::{BEAT_EVERY, FleetAction, FleetMember, FleetNote};
+use crate::fleet::member::{FleetAction, FleetChange, FleetMember, HEARTBEAT_INTERVAL};
 use crate::fleet::message::PeerMessage;
 
 impl FleetMember {
-    /// How much longer the request is refused; `None` where it isn't.
+    /// Returns how much longer the request is rejected; `None` if it is not quarantined.
     pub fn quarantine_left(
         &self,
         now: Instant,
@@ -17,23 +17,23 @@
         self.quarantine.quarantine_left(now, fingerprint)
     }
 
-    /// Whether any request may be in quarantine.
+    /// Whether any request may be suspected or quarantined.
     pub fn has_statuses(&self) -> bool {
         !self.quarantine.is_empty()
     }
 
-    /// Whether good answers are to be compared with the suspects now. Callers need make no
-    /// prints otherwise.
+    /// Whether successful answers must be checked against suspected requests. If not,
+    /// callers of this can skip computing fingerprints.
     pub fn has_suspects(&self, now: Instant) -> bool {
         self.has_statuses() || self.ledger.has_recent_reports(now)
     }
 
-    /// Whether a good answer to the request is news.
+    /// Whether a successful answer to this request must be reported.
     pub fn suspects(&self, fingerprint: RequestFingerprint) -> bool {
         self.quarantine.contains(fingerprint) || self.ledger.is_suspect(fingerprint)
     }
 
-    /// The requests in quarantine.
+    /// Returns the quarantined requests.
     pub fn quarantined(&self) -> impl Iterator<Item = RequestFingerprint> {
         self.quarantine.quarantined()
     }
@@ -57,41 +57,43 @@
         self.clear(now, fingerprint, actions);
     }
 
-    /// Takes in what another entry says; what is news to a lead goes to the other leads.
+    /// Applies a message from another entry. A lead forwards new facts to the other
+    /// leads.
     pub(super) fn on_crash_word(
         &mut self,
         now: Instant,
         word: &CrashMessage,
         actions: &mut Vec<FleetAction>,
     ) {
-        let mut news = CrashMessage::default();
+        let mut new_facts = CrashMessage::default();
         for cleared in &word.cleared {
-            let at = ago(now, cleared.age);
+            let at = instant_before(now, cleared.age);
             if self.clear(at, cleared.print, actions) {
-                news.cleared.push(*cleared);
+                new_facts.cleared.push(*cleared);
             }
         }
         for report in &word.reports {
             if self.ledger.on_report(now, *report) {
-                news.reports.push(*report);
+                new_facts.reports.push(*report);
             }
         }
         for word in &word.statuses {
-            let since = ago(now, word.age);
+            let since = instant_before(now, word.age);
             if self.quarantine.raise(word.print, word.status, since) {
-                self.on_raised(now, word.print, word.status, actions);
+                self.on_status_raised(now, word.print, word.status, actions);
             }
         }
-        if self.leading.is_some() && !news.is_empty() {
-            let leads = self.far_leads(now);
-            let leads = self.others(leads);
-            actions.push(FleetAction::Send(leads, PeerMessage::Crash(news)));
+        if self.lead_since.is_some() && !new_facts.is_empty() {
+            let leads = self.peer_leads(now);
+            let leads = self.unique_peers(leads);
+            actions.push(FleetAction::Send(leads, PeerMessage::Crash(new_facts)));
         }
     }
 
-    /// Takes in what the store keeps, so that a quarantine outlives all entries and an
-    /// operator can lift it; the first lead of a region mends rows that are missing or over.
-    pub(super) fn on_kept(
+    /// Applies the quarantined requests stored in the store. The store keeps them so that
+    /// a quarantine survives a loss of all entries and an operator can lift it. The
+    /// reader of a region adds missing rows and deletes lapsed ones.
+    pub(super) fn on_quarantine_rows(
         &mut self,
         now: Instant,
         rows: &[StoredQuarantine],
@@ -105,79 +107,85 @@
                 .quarantine
                 .raise(row.print, RequestStatus::Quarantined, since)
             {
-                actions.push(FleetAction::Note(FleetNote::Quarantined(row.print)));
+                actions.push(FleetAction::Log(FleetChange::Quarantined(row.print)));
                 self.statuses_due = now;
             }
         }
         self.quarantine.drop_expired(now);
-        if self.leading.is_some() && self.is_first(now) {
-            self.mend_rows(now, rows, actions);
+        if self.lead_since.is_some() && self.is_reader(now) {
+            self.repair_quarantine_rows(now, rows, actions);
         }
     }
 
-    fn mend_rows(&self, now: Instant, rows: &[StoredQuarantine], actions: &mut Vec<FleetAction>) {
+    fn repair_quarantine_rows(
+        &self,
+        now: Instant,
+        rows: &[StoredQuarantine],
+        actions: &mut Vec<FleetAction>,
+    ) {
         let prints = rows.iter().map(|row| row.print);
-        let is_over =
+        let has_lapsed =
             |fingerprint: &RequestFingerprint| self.quarantine_left(now, *fingerprint).is_none();
-        drop_rows(prints.filter(is_over).collect(), actions);
-        let is_kept = |fingerprint| rows.iter().any(|row| row.print == fingerprint);
+        delete_quarantine_rows(prints.filter(has_lapsed).collect(), actions);
+        let is_stored = |fingerprint| rows.iter().any(|row| row.print == fingerprint);
         let quarantines = self.quarantines(now);
-        let missing = quarantines.filter(|(fingerprint, _)| !is_kept(*fingerprint));
-        keep(missing.collect(), actions);
+        let missing = quarantines.filter(|(fingerprint, _)| !is_stored(*fingerprint));
+        write_quarantine_rows(missing.collect(), actions);
     }
 
-    /// When something about such requests is to be told or reviewed.
+    /// Returns when reports or statuses must be sent, or crash reports evaluated.
     pub(super) fn crashes_due(&self) -> Option<Instant> {
-        let tells = self.leading.is_some() && self.has_statuses();
-        let statuses = tells.then_some(self.statuses_due);
-        let dues = [self.outbox.due(), self.ledger.review_due(), statuses];
-        dues.into_iter().flatten().min()
+        let is_sending = self.lead_since.is_some() && self.has_statuses();
+        let statuses = is_sending.then_some(self.statuses_due);
+        let times = [self.outbox.due(), self.ledger.review_due(), statuses];
+        times.into_iter().flatten().min()
     }
 
-    pub(super) fn review_crashes(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
+    pub(super) fn process_crashes(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         self.quarantine.drop_expired(now);
-        self.tell_reports(now, actions);
+        self.send_reports(now, actions);
         if self.ledger.review_due().is_some_and(|due| now >= due) {
             self.review_ledger(now, actions);
         }
-        if self.leading.is_some() && now >= self.statuses_due {
-            self.tell_statuses(now, actions);
+        if self.lead_since.is_some() && now >= self.statuses_due {
+            self.send_statuses(now, actions);
         }
     }
 
-    /// Tells the leads what this entry saw itself.
-    fn tell_reports(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
+    /// Sends this entry's own reports to the leads.
+    fn send_reports(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         let word = self.outbox.take_due(now);
         if word.is_empty() {
             return;
         }
-        let leads = if self.leading.is_some() {
-            self.far_leads(now)
+        let leads = if self.lead_since.is_some() {
+            self.peer_leads(now)
         } else {
-            self.near_leads(now)
+            self.own_region_leads(now)
         };
-        let leads = self.others(leads);
+        let leads = self.unique_peers(leads);
         actions.push(FleetAction::Send(leads, PeerMessage::Crash(word)));
     }
 
-    /// Looks for the cause. An entry that hears a lead leaves it to that one, which knows
-    /// what others saw: by what one entry saw, a request that was often caught beside the
-    /// cause would seem to be it.
+    /// Determines which requests cause crashes. An entry with a lead leaves this to the
+    /// lead, which has reports from all entries: judging by its own reports alone, an
+    /// entry could blame a request that was merely often in progress alongside the cause.
     fn review_ledger(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
-        if self.leading.is_none() && self.hears_lead(now) {
+        if self.lead_since.is_none() && self.has_live_lead(now) {
             self.ledger.cancel_review();
             return;
         }
-        let news = self.ledger.review(now, &mut self.quarantine);
-        for (fingerprint, status) in &news {
-            self.on_raised(now, *fingerprint, *status, actions);
+        let new_facts = self.ledger.review(now, &mut self.quarantine);
+        for (fingerprint, status) in &new_facts {
+            self.on_status_raised(now, *fingerprint, *status, actions);
             self.statuses_due = now;
         }
     }
 
-    /// Tells the entries of the region and the other leads what is held of requests.
-    fn tell_statuses(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
-        self.statuses_due = now + BEAT_EVERY;
+    /// Sends the statuses of suspected and quarantined requests to the entries of the
+    /// region and to the other leads.
+    fn send_statuses(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
+        self.statuses_due = now + HEARTBEAT_INTERVAL;
         let word = CrashMessage {
             reports: Vec::new(),
             cleared: self.quarantine.cleared_requests(now),
@@ -186,13 +194,14 @@
         if word.is_empty() {
             return;
         }
-        let mut targets = self.far_leads(now);
+        let mut targets = self.peer_leads(now);
         targets.extend(self.roster.addresses(now, &self.config.region));
-        let targets = self.others(targets);
+        let targets = self.unique_peers(targets);
         actions.push(FleetAction::Send(targets, PeerMessage::Crash(word)));
     }
 
-    /// The request was answered well at `at`; whether that is news.
+    /// Records that the request was answered successfully at `at`; returns whether this
+    /// is new.
     fn clear(
         &mut self,
         at: Instant,
@@ -203,24 +212,24 @@
         let was_suspect = self.ledger.clear(fingerprint);
         let is_news = self.quarantine.clear(fingerprint, at);
         if was_held && !self.quarantine.contains(fingerprint) {
-            actions.push(FleetAction::Note(FleetNote::Cleared(fingerprint)));
-            if self.leading.is_some() && self.is_first(at) {
-                drop_rows(vec![fingerprint], actions);
+            actions.push(FleetAction::Log(FleetChange::Cleared(fingerprint)));
+            if self.lead_since.is_some() && self.is_reader(at) {
+                delete_quarantine_rows(vec![fingerprint], actions);
             }
             self.statuses_due = at;
         }
         is_news || was_suspect
     }
 
-    /// The requests in quarantine, and how long ago they were put there.
+    /// Returns the quarantined requests with the age of their quarantine.
     fn quarantines(&self, now: Instant) -> impl Iterator<Item = (RequestFingerprint, Duration)> {
         let quarantines = self.quarantine.quarantines();
         quarantines
             .map(move |(fingerprint, since)| (fingerprint, now.saturating_duration_since(since)))
     }
 
-    /// A request is treated more strictly from now on.
-    fn on_raised(
+    /// Handles a request that became suspected or quarantined.
+    fn on_status_raised(
         &mut self,
         now: Instant,
         fingerprint: RequestFingerprint,
@@ -228,29 +237,32 @@
         actions: &mut Vec<FleetAction>,
     ) {
         if status == RequestStatus::Suspect {
-            actions.push(FleetAction::Note(FleetNote::Suspected(fingerprint)));
+            actions.push(FleetAction::Log(FleetChange::Suspected(fingerprint)));
             return;
         }
-        actions.push(FleetAction::Note(FleetNote::Quarantined(fingerprint)));
-        if self.leading.is_some() && self.is_first(now) {
-            keep(vec![(fingerprint, Duration::ZERO)], actions);
+        actions.push(FleetAction::Log(FleetChange::Quarantined(fingerprint)));
+        if self.lead_since.is_some() && self.is_reader(now) {
+            write_quarantine_rows(vec![(fingerprint, Duration::ZERO)], actions);
         }
     }
 }
 
-fn keep(quarantines: Vec<(RequestFingerprint, Duration)>, actions: &mut Vec<FleetAction>) {
+fn write_quarantine_rows(
+    quarantines: Vec<(RequestFingerprint, Duration)>,
+    actions: &mut Vec<FleetAction>,
+) {
     if !quarantines.is_empty() {
-        actions.push(FleetAction::KeepQuarantines(quarantines));
+        actions.push(FleetAction::WriteQuarantineRows(quarantines));
     }
 }
 
-fn drop_rows(prints: Vec<RequestFingerprint>, actions: &mut Vec<FleetAction>) {
+fn delete_quarantine_rows(prints: Vec<RequestFingerprint>, actions: &mut Vec<FleetAction>) {
     if !prints.is_empty() {
-        actions.push(FleetAction::DropQuarantines(prints));
+        actions.push(FleetAction::DeleteQuarantineRows(prints));
     }
 }
 
-fn ago(now: Instant, millis: u32) -> Instant {
+fn instant_before(now: Instant, millis: u32) -> Instant {
     let span = Duration::from_millis(u64::from(millis));
     now.checked_sub(span).unwrap_or(now)
 }
--- a/crates/place/src/fleet/member/mod.rs
+++ b/crates/place/src/fleet/member/mod.rs
@@ -1,14 +1,14 @@
-//! One entry's part in the fleet: whom it hears, whether it leads its region, what it
-//! tells, and when it asks the store.
+//! State machine of an entry in the fleet: its connections to leads, its own role, what
+//! it publishes and when it calls the store.
 //!
-//! Events in, actions out; [`FleetMember::review`] reads top to bottom. What it hears, who
-//! leads, what it tells and whom it asks are the modules below.
+//! It consumes [`FleetEvent`]s and emits [`FleetAction`]s. [`FleetMember::run_due_tasks`]
+//! lists the periodic tasks in order; the submodules implement them.
 
-mod asking;
+mod announce;
 mod crashes;
-mod hearing;
+mod fetch;
+mod receive;
 mod role;
-mod telling;
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -18,188 +18,190 @@
 use crate::crash::print::RequestFingerprint;
 use crate::crash::quarantine::QuarantineTable;
 use crate::crash::word::{CrashReport, StoredQuarantine};
+use crate::fleet::candidate::LeadCandidate;
 use crate::fleet::clock::{StoreClock, StoreTime};
-use crate::fleet::doubt::ContentDoubt;
-use crate::fleet::follow::{PullState, PullTarget};
+use crate::fleet::conflict::ContentConflict;
 use crate::fleet::leads::LeadTable;
 use crate::fleet::list::EntryList;
 use crate::fleet::message::PeerMessage;
 use crate::fleet::pace::ReadIntervals;
+use crate::fleet::pull::{PullState, PullTarget};
 use crate::fleet::reading::{ReadOutcome, ReadScheduler, RegistryRead};
-use crate::fleet::regions::RegionBook;
+use crate::fleet::regions::RegionTable;
 use crate::fleet::roster::EntryRoster;
-use crate::fleet::seat::LeadSeat;
-use crate::fleet::seek::LeadSearch;
+use crate::fleet::search::LeadSearch;
 use crate::fleet::store_progress::StoreProgress;
 use crate::rank::stable_hash;
 
-/// Time between beats, and between digests of a lead: four in the time after which a
-/// silent entry is taken as gone.
-pub const BEAT_EVERY: Duration = Duration::from_millis(600);
-/// Time between two looks while something is waited for.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// The same for an entry that hears no lead: each part of a second without one costs
-/// callers answers in time after a loss of all entries.
-const SEARCH_EVERY: Duration = Duration::from_millis(50);
-/// What an entry must know of itself and its place.
+/// Interval of heartbeats and of a lead's digests. Four of them fit into the time after
+/// which a silent entry counts as lost.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(600);
+/// Interval of the periodic tasks while something is pending.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval of the periodic tasks while no lead is heard from. Short, because after a
+/// loss of all entries every delay in finding a lead delays answers to callers.
+const SEARCH_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Static configuration of an entry.
 #[derive(Debug, Clone)]
 pub struct MemberConfig {
-    /// This run of its process.
+    /// Process incarnation.
     pub incarnation: u64,
-    /// The entry as one that may lead.
-    pub seat: LeadSeat,
-    /// Its region.
+    /// The entry as a lead candidate.
+    pub candidate: LeadCandidate,
+    /// The entry's region.
     pub region: String,
-    /// Where it takes callers.
-    pub front: SocketAddr,
+    /// Address on which it accepts callers.
+    pub caller_address: SocketAddr,
     /// All regions.
     pub regions: Vec<String>,
-    /// Where a few other entries take datagrams; may be out of date.
+    /// Datagram addresses of a few other entries; may be out of date.
     pub seeds: Vec<SocketAddr>,
-    /// Time within which a leaving server must get no more requests.
+    /// Time within which a draining server must stop receiving requests.
     pub drain: Duration,
 }
 
-/// What changes in an entry and is told to others.
+/// Variable state of the local entry that is published to others.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct OwnState {
-    /// Whether it takes callers now.
+pub struct LocalEntryState {
+    /// Whether it currently accepts callers.
     pub ready: bool,
-    /// Whether its process is about to end.
+    /// Whether its process is shutting down.
     pub leaving: bool,
-    /// Requests a second that it gets.
+    /// Requests per second it receives.
     pub rate: u32,
-    /// Its stamp for tickets; empty where no caller uses tickets.
+    /// Its stamp for tickets; empty if no caller uses tickets.
     pub stamp: String,
-    /// How old the store's word on the operator's rows may become here; `None` where
-    /// nothing depends on that.
+    /// Maximum age of the proof that its copy of the operator's rows is current; `None`
+    /// if nothing depends on that.
     pub proof_within: Option<Duration>,
 }
 
-/// What an entry hears or does.
+/// Input to the state machine.
 #[derive(Debug)]
 pub enum FleetEvent {
     /// Time has passed.
-    Clock,
-    /// A datagram came.
+    Tick,
+    /// A datagram was received.
     Message(PeerMessage),
-    /// Something of its own changed.
-    Own(OwnState),
-    /// It knows more of the store, by whatever way.
+    /// The local entry's state changed.
+    LocalState(LocalEntryState),
+    /// The state of the store known here changed, from any source.
     Known(StoreProgress),
-    /// The store answered a call that began then with its own time; or another entry told
-    /// the latest time that the store's clock can show.
+    /// Upper bound of the store's clock, with the local time at which the call began. It
+    /// comes from an answer of the store or from another entry.
     StoreTime(Instant, StoreTime),
-    /// The process stood still for so long without its clock moving.
+    /// The process was suspended for this long without its clock advancing.
     Suspended(Duration),
-    /// What came of a reading of the registry that this entry was to make.
-    Read(ReadOutcome),
-    /// Servers that are missing in the registry are gone at this time, where there are such.
-    Settles(Option<Instant>),
-    /// The store has answered a watch of the operator's rows, or not.
-    Watched(bool),
-    /// Lists of entries were told.
+    /// Result of a registry read requested by [`FleetAction::ReadRegistry`].
+    RegistryRead(ReadOutcome),
+    /// Time at which servers missing from the registry become final removals, if there
+    /// are any.
+    RemovalsFinalAt(Option<Instant>),
+    /// A watch of the operator's rows ended; whether the store answered.
+    WatchFinished(bool),
+    /// Lists of entries were pulled.
     Lists(Vec<EntryList>),
-    /// The lead at the address has answered a question, or not.
-    Pulled(SocketAddr, bool),
-    /// The store's rows of leads: regions and addresses.
-    Rows(Vec<(String, SocketAddr)>),
-    /// The store's rows of requests in quarantine.
-    Kept(Vec<StoredQuarantine>),
-    /// Requests of this entry that were at a server when it ended.
+    /// A pull from the lead at this address ended; whether it succeeded.
+    PullFinished(SocketAddr, bool),
+    /// Leads stored in the store, as regions and addresses.
+    LeadRows(Vec<(String, SocketAddr)>),
+    /// Quarantined requests stored in the store.
+    QuarantineRows(Vec<StoredQuarantine>),
+    /// Requests of this entry that were in progress at a server when it crashed.
     Crashed(Vec<CrashReport>),
-    /// A server answered a request well that had been at one that ended.
+    /// A server successfully answered a request that had been in progress at a crash.
     Cleared(RequestFingerprint),
 }
 
-/// What the entry is to do.
+/// Output of the state machine.
 #[derive(Debug)]
 pub enum FleetAction {
-    /// Send a datagram.
+    /// Send a datagram to these addresses.
     Send(Vec<SocketAddr>, PeerMessage),
-    /// Ask a lead for what it knows more.
+    /// Pull newer data from a lead.
     Pull(PullTarget),
-    /// Read the registry, and tell the outcome.
+    /// Read the registry, and report the result as [`FleetEvent::RegistryRead`].
     ReadRegistry(RegistryRead),
-    /// Watch the operator's rows from now on, or no longer.
+    /// Start or stop watching the operator's rows.
     WatchOperator(bool),
-    /// Look at the store's rows of leads.
-    ReadRows,
-    /// Write the region's row of leads.
-    WriteRow(Vec<SocketAddr>),
-    /// Write rows of requests in quarantine, and how long ago they were put there.
-    KeepQuarantines(Vec<(RequestFingerprint, Duration)>),
-    /// Delete the rows of requests that are in quarantine no longer.
-    DropQuarantines(Vec<RequestFingerprint>),
-    /// What is known of the registry is as fresh as of this time.
-    Confirm(Instant),
-    /// The entries that get requests have changed.
+    /// Read the leads stored in the store.
+    ReadLeadRows,
+    /// Write the region's leads to the store.
+    WriteLeadRow(Vec<SocketAddr>),
+    /// Write quarantined requests to the store, each with the age of its quarantine.
+    WriteQuarantineRows(Vec<(RequestFingerprint, Duration)>),
+    /// Delete requests that are no longer quarantined from the store.
+    DeleteQuarantineRows(Vec<RequestFingerprint>),
+    /// The local copy of the registry was confirmed to be current as of this time.
+    ConfirmRegistry(Instant),
+    /// The set of entries that receive requests changed.
     ListsChanged,
-    /// Something to be logged.
-    Note(FleetNote),
+    /// Log a change.
+    Log(FleetChange),
 }
 
-/// What changed in the fleet, for the log.
+/// Changes in the fleet to be logged.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum FleetNote {
-    /// This entry leads its region from now on, and why.
-    Leads(&'static str),
-    /// It leads no longer, for the entry that is named.
-    Follows(String),
-    /// A request was at two servers when they ended.
+pub enum FleetChange {
+    /// This entry became a lead, for this reason.
+    StartedLeading(&'static str),
+    /// This entry stopped being a lead in favor of the named one.
+    StoppedLeading(String),
+    /// A request was in progress at two servers when they crashed.
     Suspected(RequestFingerprint),
-    /// A request has ended servers and is refused from now on.
+    /// A request crashed servers and is rejected from now on.
     Quarantined(RequestFingerprint),
-    /// A request that something was held of was answered well.
+    /// A suspected or quarantined request was answered successfully.
     Cleared(RequestFingerprint),
-    /// Its region's reader and deputy.
-    Leaders(Vec<String>),
-    /// The region's leads are silent.
+    /// The names of the region's reader and deputy changed.
+    LeadsChanged(Vec<String>),
+    /// No lead of the region is heard from any more.
     LeadsLost,
-    /// This entry told a new list with so many entries, so many of them named.
-    Listed(usize, usize),
-    /// The lead that is named knows other things of the registry than this entry, though
-    /// both have read it.
-    Contradicted(String),
-    /// What is known of the registry is in doubt and is asked for anew.
-    Doubted,
-    /// What was known of the store was ahead of it and is asked for anew.
-    Ahead,
+    /// This entry published a new list with this number of entries, and this number of
+    /// entries advertised to callers.
+    ListPublished(usize, usize),
+    /// The named lead holds different registry content, although both it and this entry
+    /// have read that version.
+    ConflictingLead(String),
+    /// The local copy of the registry may be wrong and is refetched.
+    RefetchingRegistry,
+    /// The local state was ahead of the store and is refetched.
+    RefetchingAll,
 }
 
-/// One entry in the fleet.
+/// State machine of an entry in the fleet.
 #[derive(Debug)]
 pub struct FleetMember {
     config: MemberConfig,
     hash: u64,
-    started: Instant,
-    reviewed_at: Instant,
-    own: OwnState,
-    reads: bool,
+    started_at: Instant,
+    last_run: Instant,
+    local_state: LocalEntryState,
+    store_reachable: bool,
     known: StoreProgress,
     clock: StoreClock,
     roster: EntryRoster,
     leads: LeadTable,
-    regions: RegionBook,
+    regions: RegionTable,
     search: LeadSearch,
     pulls: PullState,
-    doubt: ContentDoubt,
+    conflict: ContentConflict,
     readings: ReadScheduler,
-    /// Since when it leads its region.
-    leading: Option<Instant>,
-    /// Leads and substitutes of the region as known now.
-    seats: Vec<LeadSeat>,
-    counted: Vec<String>,
-    is_lone: bool,
-    watches: bool,
-    beat_due: Instant,
+    /// Time at which this entry became a lead; `None` if it is not one.
+    lead_since: Option<Instant>,
+    /// Current leads and substitutes of the region.
+    candidates: Vec<LeadCandidate>,
+    active_regions: Vec<String>,
+    is_isolated: bool,
+    is_watching: bool,
+    heartbeat_due: Instant,
     digest_due: Instant,
-    digest_at: Option<Instant>,
+    last_digest_at: Option<Instant>,
     list_due: Instant,
-    seats_due: Instant,
-    rows_due: Instant,
-    row: Vec<SocketAddr>,
-    /// Which requests were at servers when these ended.
+    role_check_due: Instant,
+    row_lookup_due: Instant,
+    lead_row: Vec<SocketAddr>,
+    /// Requests in progress at server crashes.
     ledger: CrashLedger,
     quarantine: QuarantineTable,
     outbox: CrashOutbox,
@@ -207,36 +209,36 @@
 }
 
 impl FleetMember {
-    /// An entry that starts at `now` and knows nobody.
+    /// Creates an entry that starts at `now` without any knowledge of others.
     pub fn new(now: Instant, config: MemberConfig) -> Self {
-        let hash = stable_hash(config.seat.node.as_bytes());
+        let hash = stable_hash(config.candidate.node.as_bytes());
         Self {
             hash,
-            started: now,
-            reviewed_at: now,
-            own: OwnState::default(),
-            reads: true,
+            started_at: now,
+            last_run: now,
+            local_state: LocalEntryState::default(),
+            store_reachable: true,
             known: StoreProgress::default(),
             clock: StoreClock::default(),
             roster: EntryRoster::default(),
             leads: LeadTable::default(),
-            regions: RegionBook::new(&config.region, &config.regions),
+            regions: RegionTable::new(&config.region, &config.regions),
             search: LeadSearch::new(&config.seeds, hash),
             pulls: PullState::default(),
-            doubt: ContentDoubt::default(),
+            conflict: ContentConflict::default(),
             readings: ReadScheduler::new(now, ReadIntervals::new(config.drain), hash),
-            leading: None,
-            seats: Vec::new(),
-            counted: Vec::new(),
-            is_lone: true,
-            watches: false,
-            beat_due: now,
+            lead_since: None,
+            candidates: Vec::new(),
+            active_regions: Vec::new(),
+            is_isolated: true,
+            is_watching: false,
+            heartbeat_due: now,
             digest_due: now,
-            digest_at: None,
+            last_digest_at: None,
             list_due: now,
-            seats_due: now,
-            rows_due: now,
-            row: Vec::new(),
+            role_check_due: now,
+            row_lookup_due: now,
+            lead_row: Vec::new(),
             ledger: CrashLedger::default(),
             quarantine: QuarantineTable::default(),
             outbox: CrashOutbox::default(),
@@ -245,24 +247,24 @@
         }
     }
 
-    /// Takes in `event`; what is to be done is added to `actions`.
+    /// Processes `event`, appending the resulting actions to `actions`.
     pub fn on_event(&mut self, now: Instant, event: FleetEvent, actions: &mut Vec<FleetAction>) {
         match event {
-            FleetEvent::Clock => {}
+            FleetEvent::Tick => {}
             FleetEvent::Message(message) => self.on_message(now, message, actions),
-            FleetEvent::Own(own) => self.on_own(now, own),
+            FleetEvent::LocalState(own) => self.on_local_state(now, own),
             FleetEvent::Known(known) => self.on_known(now, known),
             FleetEvent::StoreTime(begun, time) => self.on_store_time(now, begun, time),
             FleetEvent::Suspended(span) => {
                 self.clock.on_suspended(now, span);
                 self.known.on_suspended(span);
             }
-            FleetEvent::Read(outcome) => {
-                self.reads = outcome != ReadOutcome::Failed;
+            FleetEvent::RegistryRead(outcome) => {
+                self.store_reachable = outcome != ReadOutcome::Failed;
                 self.readings.on_read(now, outcome);
             }
-            FleetEvent::Settles(at) => self.readings.set_settles(at),
-            FleetEvent::Watched(done) => self.reads = done,
+            FleetEvent::RemovalsFinalAt(at) => self.readings.set_settles(at),
+            FleetEvent::WatchFinished(done) => self.store_reachable = done,
             FleetEvent::Lists(lists) => {
                 let newer = lists
                     .into_iter()
@@ -273,76 +275,79 @@
                     actions.push(FleetAction::ListsChanged);
                 }
             }
-            FleetEvent::Pulled(view, done) => self.pulls.on_pulled(now, view, done),
-            FleetEvent::Rows(rows) => self.on_rows(now, &rows),
-            FleetEvent::Kept(rows) => self.on_kept(now, &rows, actions),
+            FleetEvent::PullFinished(lead, done) => self.pulls.on_pull_finished(now, lead, done),
+            FleetEvent::LeadRows(rows) => self.on_lead_rows(now, &rows),
+            FleetEvent::QuarantineRows(rows) => self.on_quarantine_rows(now, &rows, actions),
             FleetEvent::Crashed(reports) => self.on_crashed(now, &reports),
             FleetEvent::Cleared(print) => self.on_cleared(now, print, actions),
         }
-        self.review(now, actions);
+        self.run_due_tasks(now, actions);
     }
 
-    /// When to look again if nothing happens before. It doesn't move while time passes: an
-    /// entry that is woken by other things more often than it looks would never look.
+    /// Returns when the periodic tasks must run if no event arrives before. The value
+    /// does not move as time passes: otherwise an entry woken by other events more often
+    /// than this would never run them.
     pub fn due(&self, now: Instant) -> Instant {
-        let silent = self.leads.silent_at(&self.config.region);
-        let waits = self.leading.is_some() || self.pulls.is_behind();
+        let silent = self.leads.timeout_at(&self.config.region);
+        let waits = self.lead_since.is_some() || self.pulls.is_behind();
         let due = match silent.filter(|at| !waits && *at > now) {
-            Some(at) => self.beat_due.min(at).max(now),
-            None if self.leading.is_none() => self.reviewed_at + SEARCH_EVERY,
-            None => self.reviewed_at + LOOK_EVERY,
+            Some(at) => self.heartbeat_due.min(at).max(now),
+            None if self.lead_since.is_none() => self.last_run + SEARCH_POLL_INTERVAL,
+            None => self.last_run + POLL_INTERVAL,
         };
         let others = [
             self.crashes_due(),
-            self.doubt.due().filter(|at| *at > now),
+            self.conflict.due().filter(|at| *at > now),
             self.next_digest(),
         ];
         let others = others.into_iter().flatten().map(|at| at.max(now));
         others.fold(due, Instant::min)
     }
 
-    /// What is known of all regions.
-    pub fn regions(&self) -> &RegionBook {
+    /// Returns the state of all regions.
+    pub fn regions(&self) -> &RegionTable {
         &self.regions
     }
 
-    /// What this entry knows of the store.
+    /// Returns the state of the store known to this entry.
     pub fn known(&self) -> &StoreProgress {
         &self.known
     }
 
-    /// How long ago the store may have shown, at most, that nothing newer was set than what
-    /// this entry knows of the operator's rows; `None` where that can't be told.
+    /// Returns the maximum time since the store confirmed that the local copy of the
+    /// operator's rows is current; `None` if unknown.
     pub fn proof_age(&self, now: Instant) -> Option<Duration> {
         self.clock.age(now, self.known.proved)
     }
 
-    /// The store's time that its clock has not passed, as far as this entry can tell.
+    /// Returns an upper bound of the store's clock, as known to this entry.
     pub fn latest_store_time(&self, now: Instant) -> StoreTime {
         self.clock.latest(now).unwrap_or_default()
     }
 
-    /// Whether it leads its region.
+    /// Whether this entry is a lead of its region.
     pub fn leads(&self) -> bool {
-        self.leading.is_some()
+        self.lead_since.is_some()
     }
 
-    /// Whether it is listed as one that gets requests.
+    /// Whether this entry is listed as receiving requests.
     pub fn is_listed(&self) -> bool {
         let list = self.regions.list(&self.config.region);
-        list.is_some_and(|list| list.find(&self.config.seat.node).is_some())
+        list.is_some_and(|list| list.find(&self.config.candidate.node).is_some())
     }
 
-    /// Whether it has heard of nobody since its start, so that callers are its own.
-    pub fn is_lone(&self) -> bool {
-        self.is_lone
+    /// Whether this entry has heard from no other entry since startup, in which case it
+    /// advertises itself to callers once it is ready.
+    pub fn is_isolated(&self) -> bool {
+        self.is_isolated
     }
 
-    fn on_own(&mut self, now: Instant, own: OwnState) {
-        let is_urgent = own.ready != self.own.ready || own.leaving != self.own.leaving;
-        self.own = own;
+    fn on_local_state(&mut self, now: Instant, own: LocalEntryState) {
+        let is_urgent =
+            own.ready != self.local_state.ready || own.leaving != self.local_state.leaving;
+        self.local_state = own;
         if is_urgent {
-            self.beat_due = now;
+            self.heartbeat_due = now;
             self.list_due = self.list_due.min(now);
             self.digest_due = self.digest_due.min(now);
         }
@@ -361,26 +366,26 @@
     fn on_store_time(&mut self, now: Instant, begun: Instant, time: StoreTime) {
         self.clock.on_answer(begun, time);
         if self.proof_age(now).is_none() {
-            // The store's clock has begun anew.
+            // The store's clock was reset.
             self.known.proved = StoreTime::default();
         }
     }
 
-    fn review(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
-        self.reviewed_at = now;
-        if now >= self.seats_due {
-            self.seats_due = now + SEARCH_EVERY;
+    fn run_due_tasks(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
+        self.last_run = now;
+        if now >= self.role_check_due {
+            self.role_check_due = now + SEARCH_POLL_INTERVAL;
             self.leads.forget(now);
-            self.review_role(now, actions);
-            self.review_regions(now, actions);
+            self.update_role(now, actions);
+            self.update_regions(now, actions);
         }
-        self.review_list(now, actions);
-        self.review_beat(now, actions);
-        self.review_digest(now, actions);
-        self.review_rows(now, actions);
-        self.review_doubt(now, actions);
-        self.review_pull(now, actions);
-        self.review_reading(now, actions);
-        self.review_crashes(now, actions);
+        self.update_list(now, actions);
+        self.send_due_heartbeat(now, actions);
+        self.send_due_digest(now, actions);
+        self.maintain_lead_rows(now, actions);
+        self.check_conflict(now, actions);
+        self.start_due_pull(now, actions);
+        self.start_due_reading(now, actions);
+        self.process_crashes(now, actions);
     }
 }
--- a/crates/place/src/fleet/member/role.rs
+++ b/crates/place/src/fleet/member/role.rs
@@ -1,126 +1,148 @@
-//! Whether an entry leads its region, and who does.
+//! The local entry's role, and the leads of its region.
 
 use std::time::Instant;
 
-use crate::fleet::member::telling::ROW_WAIT;
-use crate::fleet::member::{FleetAction, FleetMember, FleetNote};
-use crate::fleet::seat::{self, LEADS, LeadSeat};
+use crate::fleet::candidate::{self, LEADS_PER_REGION, LeadCandidate};
+use crate::fleet::member::announce::ROW_WRITE_DELAY;
+use crate::fleet::member::{FleetAction, FleetChange, FleetMember};
 
 impl FleetMember {
-    /// Begins or ends to lead.
-    pub(super) fn review_role(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
-        let own = self.own_seat(now);
-        let top = self.leads.first_of(now, &self.config.region);
-        let above = top.filter(|lead| self.leading.is_none() || lead.order() > own.order());
-        if let Some(lead) = above {
-            let appointed = lead.appoints(&own.node) && !self.own.leaving;
-            let (seats, node) = (lead.seats.clone(), lead.seat.node.clone());
-            self.set_seats(now, seats, actions);
-            match (self.leading, appointed) {
-                (None, true) => self.lead(now, "appointed by the reader", actions),
-                (None, false) if self.reads_alone(now) && !self.own.leaving => {
-                    self.lead(now, "leads are not answered by the store", actions);
+    /// Becomes or stops being a lead as needed, and updates the region's candidates.
+    pub(super) fn update_role(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
+        let own = self.own_candidate(now);
+        let top_lead = self.leads.top_lead_of(now, &self.config.region);
+        let better_lead =
+            top_lead.filter(|lead| self.lead_since.is_none() || lead.rank() > own.rank());
+        if let Some(lead) = better_lead {
+            let selected = lead.appoints_lead(&own.node) && !self.local_state.leaving;
+            let (candidates, node) = (lead.candidates.clone(), lead.candidate.node.clone());
+            self.set_candidates(now, candidates, actions);
+            match (self.lead_since, selected) {
+                (None, true) => self.become_lead(now, "selected by the reader", actions),
+                (None, false) if self.is_only_reader(now) && !self.local_state.leaving => {
+                    self.become_lead(
+                        now,
+                        "no lead of the region has access to the store",
+                        actions,
+                    );
                 }
-                (Some(_), false) => self.follow(now, node, actions),
+                (Some(_), false) => self.step_down(now, node, actions),
                 _ => {}
             }
-        } else if self.leading.is_none() && !self.own.leaving {
-            let is_lost = !self.seats.is_empty() && top.is_none();
+        } else if self.lead_since.is_none() && !self.local_state.leaving {
+            let is_lost = !self.candidates.is_empty() && top_lead.is_none();
             let since = self.search.begin(now);
             if is_lost && since == now {
-                actions.push(FleetAction::Note(FleetNote::LeadsLost));
+                actions.push(FleetAction::Log(FleetChange::LeadsLost));
             }
-            if self.search.may_lead(now, &own, &self.seats) {
-                self.lead(now, "no lead heard", actions);
+            if self.search.should_lead(now, &own, &self.candidates) {
+                self.become_lead(now, "no lead of the region found", actions);
             }
         }
-        if self.leading.is_some() && self.is_first(now) {
-            let near = self.leads.fresh_of(now, &self.config.region);
-            let mut leading: Vec<LeadSeat> = near.map(|lead| lead.seat.clone()).collect();
-            if !self.own.leaving {
-                leading.push(self.own_seat(now));
+        if self.lead_since.is_some() && self.is_reader(now) {
+            let region_leads = self.leads.live_leads_of(now, &self.config.region);
+            let mut leading: Vec<LeadCandidate> =
+                region_leads.map(|lead| lead.candidate.clone()).collect();
+            if !self.local_state.leaving {
+                leading.push(self.own_candidate(now));
             }
-            let others = self.roster.seats(now, &self.config.region);
-            let seats = seat::choose(leading, others);
-            self.set_seats(now, seats, actions);
+            let others = self.roster.candidates(now, &self.config.region);
+            let candidates = candidate::select_leads(leading, others);
+            self.set_candidates(now, candidates, actions);
         }
-        if self.hears_lead(now) {
+        if self.has_live_lead(now) {
             self.search.end();
         }
     }
 
-    fn set_seats(&mut self, now: Instant, seats: Vec<LeadSeat>, actions: &mut Vec<FleetAction>) {
-        let names = |seats: &[LeadSeat]| -> Vec<String> {
-            let leads = seats.iter().take(LEADS);
-            leads.map(|seat| seat.node.clone()).collect()
+    fn set_candidates(
+        &mut self,
+        now: Instant,
+        candidates: Vec<LeadCandidate>,
+        actions: &mut Vec<FleetAction>,
+    ) {
+        let names = |candidates: &[LeadCandidate]| -> Vec<String> {
+            let leads = candidates.iter().take(LEADS_PER_REGION);
+            leads.map(|candidate| candidate.node.clone()).collect()
         };
-        if names(&seats) != names(&self.seats) {
-            actions.push(FleetAction::Note(FleetNote::Leaders(names(&seats))));
-            // At once: new leads know nobody, and nobody knows them.
-            self.beat_due = self.beat_due.min(now);
+        if names(&candidates) != names(&self.candidates) {
+            actions.push(FleetAction::Log(FleetChange::LeadsChanged(names(
+                &candidates,
+            ))));
+            // Sent at once, because new leads and the other entries do not know each
+            // other yet.
+            self.heartbeat_due = self.heartbeat_due.min(now);
             self.digest_due = self.digest_due.min(now);
         }
-        self.seats = seats;
+        self.candidates = candidates;
     }
 
-    fn lead(&mut self, now: Instant, reason: &'static str, actions: &mut Vec<FleetAction>) {
-        self.leading = Some(now);
+    fn become_lead(&mut self, now: Instant, reason: &'static str, actions: &mut Vec<FleetAction>) {
+        self.lead_since = Some(now);
         self.digest_due = now;
         self.list_due = now;
-        self.rows_due = now + ROW_WAIT;
-        actions.push(FleetAction::Note(FleetNote::Leads(reason)));
+        self.row_lookup_due = now + ROW_WRITE_DELAY;
+        actions.push(FleetAction::Log(FleetChange::StartedLeading(reason)));
     }
 
-    fn follow(&mut self, now: Instant, lead: String, actions: &mut Vec<FleetAction>) {
-        self.leading = None;
-        // Those that hear it know at once that it leads no longer.
+    fn step_down(&mut self, now: Instant, lead: String, actions: &mut Vec<FleetAction>) {
+        self.lead_since = None;
+        // Sent at once, so that receivers learn that this entry is no longer a lead.
         self.send_digest(now, actions);
-        actions.push(FleetAction::Note(FleetNote::Follows(lead)));
+        actions.push(FleetAction::Log(FleetChange::StoppedLeading(lead)));
     }
 
-    /// Notices regions that fell silent or are heard again.
-    pub(super) fn review_regions(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
-        if self.leading.is_some() {
+    /// Detects regions that became silent or are heard from again.
+    pub(super) fn update_regions(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
+        if self.lead_since.is_some() {
             let live = self.roster.live(now, &self.config.region).count() as u32 + 1;
-            self.regions.on_own(now, live, self.seats.clone());
+            self.regions
+                .on_own_region(now, live, self.candidates.clone());
         }
-        let counted: Vec<String> = self.regions.counted(now).map(str::to_owned).collect();
-        let has_met = self.roster.has_any() || self.search.has_hints() || counted.len() > 1;
-        let is_met = self.is_lone && (has_met || self.hears_lead(now));
-        if counted != self.counted || is_met {
-            self.counted = counted;
-            self.is_lone &= !is_met;
+        let active_regions: Vec<String> = self
+            .regions
+            .active_regions(now)
+            .map(str::to_owned)
+            .collect();
+        let has_peers =
+            self.roster.has_entries() || self.search.has_hints() || active_regions.len() > 1;
+        let is_first_contact = self.is_isolated && (has_peers || self.has_live_lead(now));
+        if active_regions != self.active_regions || is_first_contact {
+            self.active_regions = active_regions;
+            self.is_isolated &= !is_first_contact;
             actions.push(FleetAction::ListsChanged);
         }
     }
 
-    /// Whether no other lead of the region comes before this one.
-    pub(super) fn is_first(&self, now: Instant) -> bool {
-        let first = self.leads.first_of(now, &self.config.region);
-        first.is_none_or(|lead| !self.own.leaving && lead.order() < self.own_seat(now).order())
+    /// Whether no other lead of the region ranks above this entry.
+    pub(super) fn is_reader(&self, now: Instant) -> bool {
+        let first = self.leads.top_lead_of(now, &self.config.region);
+        first.is_none_or(|lead| {
+            !self.local_state.leaving && lead.rank() < self.own_candidate(now).rank()
+        })
     }
 
-    /// Whether this entry has read the store itself just now, though no lead of its
-    /// region is answered.
-    fn reads_alone(&self, now: Instant) -> bool {
+    /// Whether this entry has recently read the store while no lead of its region has
+    /// store access.
+    fn is_only_reader(&self, now: Instant) -> bool {
         let read_at = self.readings.last_success_at();
         let reads = read_at
             .is_some_and(|at| now.saturating_duration_since(at) < self.readings.intervals().reader);
-        let mut leads = self.leads.fresh_of(now, &self.config.region);
-        reads && self.reads && leads.all(|lead| !lead.seat.reads)
+        let mut leads = self.leads.live_leads_of(now, &self.config.region);
+        reads && self.store_reachable && leads.all(|lead| !lead.candidate.has_store_access)
     }
 
-    /// This entry as one that leads or may lead.
-    pub(super) fn own_seat(&self, now: Instant) -> LeadSeat {
-        LeadSeat {
-            reads: self.reads && !self.readings.is_read_overdue(now),
-            leads: self.leading.is_some(),
-            ..self.config.seat.clone()
+    /// Returns this entry as a lead candidate.
+    pub(super) fn own_candidate(&self, now: Instant) -> LeadCandidate {
+        LeadCandidate {
+            has_store_access: self.store_reachable && !self.readings.is_read_overdue(now),
+            leads: self.lead_since.is_some(),
+            ..self.config.candidate.clone()
         }
     }
 
-    pub(super) fn hears_lead(&self, now: Instant) -> bool {
+    pub(super) fn has_live_lead(&self, now: Instant) -> bool {
         let region = &self.config.region;
-        self.leads.fresh_of(now, region).next().is_some()
+        self.leads.live_leads_of(now, region).next().is_some()
     }
 }
--- a/crates/place/src/fleet/regions.rs
+++ b/crates/place/src/fleet/regions.rs
@@ -1,116 +1,124 @@
-//! What an entry knows of each region's entries and leads.
+//! State of each region's entries and leads.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
+use crate::fleet::candidate::LeadCandidate;
 use crate::fleet::list::{EntryList, ListVersion, ListedEntry};
-use crate::fleet::message::RegionWord;
-use crate::fleet::seat::LeadSeat;
+use crate::fleet::message::RegionSummary;
 use crate::fleet::store_progress::millis;
 
-/// A region whose leads were silent for this long counts as lost: its entries are told
-/// to no caller and take no part in shared rates. Longer than a region without leads
-/// takes to find new ones.
-const REGION_SILENT: Duration = Duration::from_millis(3500);
-/// No list is so many versions ahead of the one before it: one that is comes from a
-/// damaged message, and would bar all that follow.
-const STEP_MOST: u64 = 1 << 20;
-/// Leads of a region that are remembered, silent ones among them.
-const SEATS_KEPT: usize = 8;
-
-/// What is known of one region.
+/// Time without a digest from its leads after which a region counts as lost. Its entries
+/// are then neither advertised to callers nor counted in shared rate limits. Longer than
+/// a region needs to replace lost leads.
+const REGION_TIMEOUT: Duration = Duration::from_millis(3500);
+/// Largest accepted increase of a list version. A larger one comes from a corrupt
+/// message, and accepting it would block all later lists.
+const MAX_VERSION_STEP: u64 = 1 << 20;
+/// Maximum number of leads remembered per region, including silent ones.
+const MAX_CANDIDATES: usize = 8;
+
+/// State of one region.
 #[derive(Debug, Default)]
 struct RegionRecord {
     list: EntryList,
-    heard: Option<Instant>,
-    live: u32,
-    seats: Vec<LeadSeat>,
+    last_heard: Option<Instant>,
+    live_entries: u32,
+    candidates: Vec<LeadCandidate>,
 }
 
-/// What is known of all regions.
+/// State of all regions.
 #[derive(Debug)]
-pub struct RegionBook {
-    own: String,
+pub struct RegionTable {
+    own_region: String,
     regions: BTreeMap<String, RegionRecord>,
 }
 
-impl RegionBook {
-    /// A book of `regions`, of which `own` is this entry's.
-    pub fn new(own: &str, regions: &[String]) -> Self {
-        let names = regions.iter().map(String::as_str).chain([own]);
+impl RegionTable {
+    /// Creates a table of `regions`; `own_region` is the local region.
+    pub fn new(own_region: &str, regions: &[String]) -> Self {
+        let names = regions.iter().map(String::as_str).chain([own_region]);
         let records = names.map(|name| {
             let mut record = RegionRecord::default();
             name.clone_into(&mut record.list.region);
             (name.to_owned(), record)
         });
         Self {
-            own: own.to_owned(),
+            own_region: own_region.to_owned(),
             regions: records.collect(),
         }
     }
 
-    /// Takes in what a lead said of a region, unless something later is known.
-    pub fn on_word(&mut self, now: Instant, word: &RegionWord) {
-        let Some(record) = self.regions.get_mut(&word.region) else {
+    /// Applies a lead's summary of a region unless newer information is known.
+    pub fn on_summary(&mut self, now: Instant, summary: &RegionSummary) {
+        let Some(record) = self.regions.get_mut(&summary.region) else {
             return;
         };
-        let heard = now.checked_sub(Duration::from_millis(u64::from(word.age)));
-        if word.age == u32::MAX || heard.is_none() || heard < record.heard {
+        let last_heard = now.checked_sub(Duration::from_millis(u64::from(summary.age_ms)));
+        if summary.age_ms == u32::MAX || last_heard.is_none() || last_heard < record.last_heard {
             return;
         }
-        record.heard = heard;
-        record.live = word.live;
-        if !word.seats.is_empty() {
-            record.seats.clone_from(&word.seats);
-            record.seats.truncate(SEATS_KEPT);
+        record.last_heard = last_heard;
+        record.live_entries = summary.live_entries;
+        if !summary.candidates.is_empty() {
+            record.candidates.clone_from(&summary.candidates);
+            record.candidates.truncate(MAX_CANDIDATES);
         }
     }
 
-    /// Takes in who may lead a region that isn't heard.
-    pub fn on_hint(&mut self, now: Instant, region: &str, seats: &[LeadSeat]) {
-        if self.is_heard(now, region) {
+    /// Adds hinted candidates for a region that is not heard from.
+    pub fn on_hint(&mut self, now: Instant, region: &str, candidates: &[LeadCandidate]) {
+        if self.is_reachable(now, region) {
             return;
         }
         let Some(record) = self.regions.get_mut(region) else {
             return;
         };
-        for seat in seats {
-            record.seats.retain(|known| known.node != seat.node);
-            record.seats.insert(0, seat.clone());
+        for candidate in candidates {
+            record
+                .candidates
+                .retain(|known| known.node != candidate.node);
+            record.candidates.insert(0, candidate.clone());
         }
-        record.seats.truncate(SEATS_KEPT);
-    }
-
-    /// This entry leads its region, with `live` entries and `seats`.
-    pub fn on_own(&mut self, now: Instant, live: u32, seats: Vec<LeadSeat>) {
-        if let Some(record) = self.regions.get_mut(&self.own) {
-            record.heard = Some(now);
-            record.live = live;
-            record.seats = seats;
+        record.candidates.truncate(MAX_CANDIDATES);
+    }
+
+    /// Updates the local region, of which this entry is a lead, with `live_entries` entries and
+    /// `candidates`.
+    pub fn on_own_region(
+        &mut self,
+        now: Instant,
+        live_entries: u32,
+        candidates: Vec<LeadCandidate>,
+    ) {
+        if let Some(record) = self.regions.get_mut(&self.own_region) {
+            record.last_heard = Some(now);
+            record.live_entries = live_entries;
+            record.candidates = candidates;
         }
     }
 
-    /// Takes in a list; whether it is newer than the one known.
+    /// Applies a list; returns whether it is newer than the known one.
     pub fn on_list(&mut self, list: EntryList) -> bool {
         let Some(record) = self.regions.get_mut(&list.region) else {
             return false;
         };
         let known = record.list.version;
-        let is_absurd =
-            known.number > 0 && list.version.number > known.number.saturating_add(STEP_MOST);
-        if list.version <= known || is_absurd {
+        let is_implausible =
+            known.number > 0 && list.version.number > known.number.saturating_add(MAX_VERSION_STEP);
+        if list.version <= known || is_implausible {
             return false;
         }
         record.list = list;
         true
     }
 
-    /// The newest list of a region's entries.
+    /// Returns the newest list of a region's entries.
     pub fn list(&self, region: &str) -> Option<&EntryList> {
         self.regions.get(region).map(|record| &record.list)
     }
 
-    /// The lists that are newer than `known`.
+    /// Returns the lists that are newer than the versions in `known`.
     pub fn lists_since(&self, known: &[(String, ListVersion)]) -> Vec<EntryList> {
         let version_of = |region: &str| {
             let found = known.iter().find(|(name, _)| name == region);
@@ -123,7 +131,7 @@
             .collect()
     }
 
-    /// The versions of all lists.
+    /// Returns the versions of all lists.
     pub fn versions(&self) -> Vec<(String, ListVersion)> {
         let lists = self.regions.values().map(|record| &record.list);
         lists
@@ -131,7 +139,7 @@
             .collect()
     }
 
-    /// Whether one of `lists` is newer than the one known.
+    /// Whether any version in `lists` is newer than the local one.
     pub fn is_behind(&self, lists: &[(String, ListVersion)]) -> bool {
         lists.iter().any(|(region, version)| {
             let known = self.regions.get(region);
@@ -139,60 +147,66 @@
         })
     }
 
-    /// Whether a lead of `region` was heard lately.
-    pub fn is_heard(&self, now: Instant, region: &str) -> bool {
-        let heard = self.regions.get(region).and_then(|record| record.heard);
-        heard.is_some_and(|at| now.saturating_duration_since(at) < REGION_SILENT)
+    /// Whether a lead of `region` was heard from recently.
+    pub fn is_reachable(&self, now: Instant, region: &str) -> bool {
+        let last_heard = self
+            .regions
+            .get(region)
+            .and_then(|record| record.last_heard);
+        last_heard.is_some_and(|at| now.saturating_duration_since(at) < REGION_TIMEOUT)
     }
 
-    /// The regions whose entries count: those that are heard, and the own one.
-    pub fn counted(&self, now: Instant) -> impl Iterator<Item = &str> {
+    /// Returns the regions whose entries count: those heard from, and the local one.
+    pub fn active_regions(&self, now: Instant) -> impl Iterator<Item = &str> {
         let names = self.regions.keys().map(String::as_str);
-        names.filter(move |name| *name == self.own || self.is_heard(now, name))
+        names.filter(move |name| *name == self.own_region || self.is_reachable(now, name))
     }
 
-    /// The entries that get requests, with their regions.
+    /// Returns the entries that receive requests, with their regions.
     pub fn listed(&self, now: Instant) -> impl Iterator<Item = (&str, &ListedEntry)> {
-        self.counted(now).flat_map(move |name| {
+        self.active_regions(now).flat_map(move |name| {
             let list = self.list(name).map_or(&[][..], |list| &list.entries);
             list.iter().map(move |entry| (name, entry))
         })
     }
 
-    /// Live entries of all regions that are heard.
-    pub fn live(&self, now: Instant) -> u32 {
-        let counted = self.counted(now).filter_map(|name| self.regions.get(name));
-        counted.map(|record| record.live).sum()
+    /// Returns the number of live entries in all regions that count.
+    pub fn live_entries(&self, now: Instant) -> u32 {
+        let active_regions = self
+            .active_regions(now)
+            .filter_map(|name| self.regions.get(name));
+        active_regions.map(|record| record.live_entries).sum()
     }
 
-    /// Leads and substitutes of a region, as heard or hinted last.
-    pub fn seats(&self, region: &str) -> &[LeadSeat] {
+    /// Returns the last known leads and substitutes of a region.
+    pub fn candidates(&self, region: &str) -> &[LeadCandidate] {
         self.regions
             .get(region)
-            .map_or(&[][..], |record| &record.seats)
+            .map_or(&[][..], |record| &record.candidates)
     }
 
-    /// The other regions.
-    pub fn others(&self) -> impl Iterator<Item = &str> {
+    /// Returns all regions except the local one.
+    pub fn other_regions(&self) -> impl Iterator<Item = &str> {
         let names = self.regions.keys().map(String::as_str);
-        names.filter(|name| *name != self.own)
+        names.filter(|name| *name != self.own_region)
     }
 
-    /// What this entry says of all regions; with the leads of others if `to_leads`.
-    pub fn words(&self, now: Instant, to_leads: bool) -> Vec<RegionWord> {
-        let word = |(name, record): (&String, &RegionRecord)| RegionWord {
+    /// Returns summaries of all regions for a digest. Leads of other regions are included
+    /// only if `to_leads` is set.
+    pub fn summaries(&self, now: Instant, to_leads: bool) -> Vec<RegionSummary> {
+        let summary = |(name, record): (&String, &RegionRecord)| RegionSummary {
             region: name.clone(),
-            age: record
-                .heard
+            age_ms: record
+                .last_heard
                 .map_or(u32::MAX, |at| millis(now.saturating_duration_since(at))),
-            live: record.live,
+            live_entries: record.live_entries,
             list: record.list.version,
-            seats: if to_leads || *name == self.own {
-                record.seats.clone()
+            candidates: if to_leads || *name == self.own_region {
+                record.candidates.clone()
             } else {
                 Vec::new()
             },
         };
-        self.regions.iter().map(word).collect()
+        self.regions.iter().map(summary).collect()
     }
 }
--- a/crates/place/src/fleet/roster.rs
+++ b/crates/place/src/fleet/roster.rs
@@ -1,107 +1,118 @@
-//! The entries that send this one their beats.
+//! Entries known from their heartbeats.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use crate::fleet::message::EntryBeat;
-use crate::fleet::seat::LeadSeat;
+use crate::fleet::candidate::LeadCandidate;
+use crate::fleet::message::EntryHeartbeat;
 
-/// An entry counts as live for this long after its last beat: several beats, since
-/// datagrams get lost.
-pub const LIVE_FOR: Duration = Duration::from_millis(2600);
-/// A silent entry is forgotten after this time.
-const REMEMBERED_FOR: Duration = Duration::from_secs(60);
-/// Entries kept at most: a region at the largest fleet has a tenth of it.
-const KEPT: usize = 8192;
+/// Time without a heartbeat after which an entry counts as lost. Spans several
+/// heartbeats, because datagrams may be lost.
+pub const LIVENESS_TIMEOUT: Duration = Duration::from_millis(2600);
+/// Time without a heartbeat after which an entry is removed from the roster.
+const RETENTION: Duration = Duration::from_secs(60);
+/// Maximum number of entries; a region of the largest supported fleet has a tenth of it.
+const MAX_ENTRIES: usize = 8192;
 
 #[derive(Debug)]
-struct HeardEntry {
-    beat: EntryBeat,
-    at: Instant,
+struct EntryRecord {
+    heartbeat: EntryHeartbeat,
+    last_heard: Instant,
 }
 
-/// All entries that were heard.
+/// All entries that have sent heartbeats.
 #[derive(Debug, Default)]
 pub struct EntryRoster {
-    entries: HashMap<String, HeardEntry>,
+    entries: HashMap<String, EntryRecord>,
 }
 
-/// What a beat changed.
+/// Effect of a heartbeat on the roster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BeatNews {
-    /// Nothing but that the entry is still there.
-    Same,
-    /// The entry is new, takes callers or no longer does, or is about to end.
+pub enum HeartbeatOutcome {
+    /// The entry is still alive and otherwise unchanged.
+    Unchanged,
+    /// The entry is new, changed its readiness, or is shutting down.
     Changed,
-    /// It is of an earlier run, and counts nothing.
-    Outdated,
+    /// The heartbeat is of an earlier incarnation, or the roster is full; it was ignored.
+    Ignored,
 }
 
 impl EntryRoster {
-    /// Takes in a beat.
-    pub fn on_beat(&mut self, now: Instant, beat: EntryBeat) -> BeatNews {
-        let known = self.entries.get(&beat.seat.node);
-        if known.is_some_and(|known| known.beat.incarnation > beat.incarnation) {
-            return BeatNews::Outdated;
+    /// Applies a heartbeat.
+    pub fn on_heartbeat(&mut self, now: Instant, heartbeat: EntryHeartbeat) -> HeartbeatOutcome {
+        let known = self.entries.get(&heartbeat.candidate.node);
+        if known.is_some_and(|known| known.heartbeat.incarnation > heartbeat.incarnation) {
+            return HeartbeatOutcome::Ignored;
         }
-        if known.is_none() && self.entries.len() >= KEPT {
-            return BeatNews::Outdated;
+        if known.is_none() && self.entries.len() >= MAX_ENTRIES {
+            return HeartbeatOutcome::Ignored;
         }
-        let is_same = known.is_some_and(|known| {
-            let before = &known.beat;
+        let is_unchanged = known.is_some_and(|known| {
+            let before = &known.heartbeat;
             is_live(now, known)
-                && before.incarnation == beat.incarnation
-                && before.ready == beat.ready
-                && before.leaving == beat.leaving
+                && before.incarnation == heartbeat.incarnation
+                && before.ready == heartbeat.ready
+                && before.leaving == heartbeat.leaving
         });
-        let node = beat.seat.node.clone();
-        self.entries.insert(node, HeardEntry { beat, at: now });
-        if is_same {
-            BeatNews::Same
+        let node = heartbeat.candidate.node.clone();
+        self.entries.insert(
+            node,
+            EntryRecord {
+                heartbeat,
+                last_heard: now,
+            },
+        );
+        if is_unchanged {
+            HeartbeatOutcome::Unchanged
         } else {
-            BeatNews::Changed
+            HeartbeatOutcome::Changed
         }
     }
 
-    /// Whether anybody was heard.
-    pub fn has_any(&self) -> bool {
+    /// Whether any entry is known.
+    pub fn has_entries(&self) -> bool {
         !self.entries.is_empty()
     }
 
-    /// The live entries of `region`, also those about to end.
+    /// Returns the live entries of `region`, including those shutting down.
     pub fn live<'a>(
         &'a self,
         now: Instant,
         region: &'a str,
-    ) -> impl Iterator<Item = &'a EntryBeat> {
+    ) -> impl Iterator<Item = &'a EntryHeartbeat> {
         let live = self
             .entries
             .values()
             .filter(move |known| is_live(now, known));
-        live.map(|known| &known.beat)
-            .filter(move |beat| beat.region == region)
+        live.map(|known| &known.heartbeat)
+            .filter(move |heartbeat| heartbeat.region == region)
     }
 
-    /// Those of `region` that may lead it.
-    pub fn seats(&self, now: Instant, region: &str) -> Vec<LeadSeat> {
-        let staying = self.live(now, region).filter(|beat| !beat.leaving);
-        staying.map(|beat| beat.seat.clone()).collect()
+    /// Returns the lead candidates of `region`.
+    pub fn candidates(&self, now: Instant, region: &str) -> Vec<LeadCandidate> {
+        let staying = self
+            .live(now, region)
+            .filter(|heartbeat| !heartbeat.leaving);
+        staying
+            .map(|heartbeat| heartbeat.candidate.clone())
+            .collect()
     }
 
-    /// Where the live entries of `region` take datagrams.
+    /// Returns the datagram addresses of the live entries of `region`.
     pub fn addresses(&self, now: Instant, region: &str) -> Vec<SocketAddr> {
         let live = self.live(now, region);
-        live.map(|beat| beat.seat.beat).collect()
+        live.map(|heartbeat| heartbeat.candidate.peer_address)
+            .collect()
     }
 
-    /// Forgets entries that were silent for long.
+    /// Removes entries that have been silent for longer than `RETENTION`.
     pub fn forget(&mut self, now: Instant) {
         self.entries
-            .retain(|_, known| now.saturating_duration_since(known.at) < REMEMBERED_FOR);
+            .retain(|_, known| now.saturating_duration_since(known.last_heard) < RETENTION);
     }
 }
 
-fn is_live(now: Instant, known: &HeardEntry) -> bool {
-    now.saturating_duration_since(known.at) < LIVE_FOR
+fn is_live(now: Instant, known: &EntryRecord) -> bool {
+    now.saturating_duration_since(known.last_heard) < LIVENESS_TIMEOUT
 }
--- a/crates/place/tests/copies.rs
+++ b/crates/place/tests/copies.rs
@@ -11,7 +11,7 @@
 const ROW_BYTES: usize = 75;
 /// Servers per entry.
 const SERVERS_PER_ENTRY: usize = 10;
-const LEADS: usize = 2;
+const LEADS_PER_REGION: usize = 2;
 /// Bandwidth of the links of leads and of other entries, in megabits per second.
 const LEAD_LINK_MEGABITS: f64 = 1000.0;
 const LINK_MEGABITS: f64 = 20.0;
@@ -43,7 +43,7 @@
     let bytes = entries * SERVERS_PER_ENTRY * ROW_BYTES;
     let mut schedulers: Vec<CopyScheduler> = (0..entries)
         .map(|entry| {
-            CopyScheduler::new(if entry < LEADS {
+            CopyScheduler::new(if entry < LEADS_PER_REGION {
                 LEAD_LINK_MEGABITS
             } else {
                 LINK_MEGABITS
@@ -51,22 +51,24 @@
         })
         .collect();
     let mut free: Vec<Duration> = vec![Duration::ZERO; entries];
-    let mut has: HashMap<usize, Duration> = (0..LEADS).map(|lead| (lead, Duration::ZERO)).collect();
+    let mut has: HashMap<usize, Duration> = (0..LEADS_PER_REGION)
+        .map(|lead| (lead, Duration::ZERO))
+        .collect();
     // Pending requests by time and requester: the entry asked, and whether a direct copy is
     // required.
     let mut asks: BTreeMap<(Duration, usize), (usize, bool)> = BTreeMap::new();
-    for entry in LEADS..entries {
+    for entry in LEADS_PER_REGION..entries {
         let at = Duration::from_millis((entry % 300) as u64);
-        asks.insert((at, entry), (entry % LEADS, false));
+        asks.insert((at, entry), (entry % LEADS_PER_REGION, false));
     }
     let mut last = Duration::ZERO;
     while let Some(((at, entry), (asked, requires_direct))) = asks.pop_first() {
         if at > END_TIME {
             return None;
         }
-        let other = LEADS - 1 - asked % LEADS;
+        let other = LEADS_PER_REGION - 1 - asked % LEADS_PER_REGION;
         let has_copy = has.get(&asked).is_some_and(|since| at >= *since);
-        let is_lost = asked >= LEADS && asked < LEADS + lost;
+        let is_lost = asked >= LEADS_PER_REGION && asked < LEADS_PER_REGION + lost;
         if !has_copy || is_lost {
             asks.insert((at + NETWORK_DELAY, entry), (other, true));
             continue;
@@ -82,7 +84,7 @@
         }
         match source {
             CopySource::Relay(relay) => {
-                let mut others = LEADS..entries;
+                let mut others = LEADS_PER_REGION..entries;
                 let relay = others.find(|other| address(*other) == relay).unwrap();
                 asks.insert((at + NETWORK_DELAY, entry), (relay, false));
                 continue;
@@ -93,7 +95,7 @@
             }
             CopySource::Direct => {}
         }
-        let link = if asked < LEADS {
+        let link = if asked < LEADS_PER_REGION {
             LEAD_LINK_MEGABITS
         } else {
             LINK_MEGABITS
--- a/crates/place/tests/crash_load.rs
+++ b/crates/place/tests/crash_load.rs
@@ -53,7 +53,7 @@
 /// Counters of a simulation.
 #[derive(Debug, Default)]
 struct Counters {
-    refused: usize,
+    store_rejects: usize,
     answered: usize,
     crashed: usize,
     fatal_sends: usize,
@@ -77,7 +77,7 @@
     fn new(entries: usize, seed: u64) -> Self {
         let mut world = FleetWorld::new(entries);
         world.run(ms(8000));
-        world.loses = Some(20);
+        world.loss_interval = Some(20);
         let servers = (0..SERVERS as u64).map(|run| Server {
             run,
             jobs: Vec::new(),
@@ -155,7 +155,7 @@
         let now = self.world.now;
         let member = &self.world.entries[entry].member;
         if member.quarantine_left(now, fingerprint).is_some() {
-            self.counters.refused += usize::from(fingerprint != FATAL);
+            self.counters.store_rejects += usize::from(fingerprint != FATAL);
             return;
         }
         let first = self.pick(SERVERS);
@@ -212,7 +212,7 @@
         let member = &self.world.entries[job.entry].member;
         if member.has_suspects(self.world.now) && member.suspects(job.fingerprint) {
             self.world
-                .tell(job.entry, FleetEvent::Cleared(job.fingerprint));
+                .deliver_event(job.entry, FleetEvent::Cleared(job.fingerprint));
         }
     }
 
@@ -256,7 +256,8 @@
         let (ready, left) = self.reports.drain(..).partition(due);
         self.reports = left;
         for (_, entry, report) in ready {
-            self.world.tell(entry, FleetEvent::Crashed(vec![report]));
+            self.world
+                .deliver_event(entry, FleetEvent::Crashed(vec![report]));
         }
     }
 }
@@ -270,7 +271,7 @@
     for (entries, seed) in simulations {
         let counters = Simulation::new(entries, seed).run(Duration::from_secs(20));
         assert_eq!(
-            counters.refused, 0,
+            counters.store_rejects, 0,
             "{entries} entries, seed {seed}: {counters:?}"
         );
         assert!(
--- a/crates/place/tests/due.rs
+++ b/crates/place/tests/due.rs
@@ -1,12 +1,12 @@
-//! When an entry looks again at what it knows of others.
+//! Timing of a member's periodic tasks.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use place::fleet::follow::PullScope;
+use place::fleet::candidate::LeadCandidate;
 use place::fleet::member::MemberConfig;
 use place::fleet::message::{PeerMessage, RegionDigest};
-use place::fleet::seat::LeadSeat;
+use place::fleet::pull::PullScope;
 use place::fleet::store_progress::StoreProgress;
 use place::prelude::*;
 
@@ -14,20 +14,20 @@
 
 fn member(now: Instant) -> FleetMember {
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
-    let seat = LeadSeat {
+    let candidate = LeadCandidate {
         node: "n1".to_owned(),
         domain: "a1".to_owned(),
-        beat: address,
-        view: address,
+        peer_address: address,
+        view_address: address,
         capacity: 100,
-        reads: true,
+        has_store_access: true,
         leads: false,
     };
     let config = MemberConfig {
         incarnation: 1,
-        seat,
+        candidate,
         region: "a".to_owned(),
-        front: address,
+        caller_address: address,
         regions: vec!["a".to_owned()],
         seeds: Vec::new(),
         drain: DRAIN,
@@ -35,8 +35,8 @@
     FleetMember::new(now, config)
 }
 
-/// Promise: an entry that hears no lead looks for one in time, though other datagrams wake its
-/// loop more often than it looks.
+/// Guards against a due time that moves with each call: an entry whose loop was woken by
+/// other datagrams more often than its search interval never searched for a lead.
 #[test]
 fn an_entry_that_is_woken_often_looks_in_time() {
     const WOKEN_EVERY: Duration = Duration::from_millis(5);
@@ -44,27 +44,27 @@
     let start = Instant::now();
     let mut member = member(start);
     let mut actions = Vec::new();
-    member.on_event(start, FleetEvent::Clock, &mut actions);
+    member.on_event(start, FleetEvent::Tick, &mut actions);
     let (mut now, mut looked_at) = (start, start);
     for _ in 0..1000 {
         now += WOKEN_EVERY;
         if now >= member.due(now) {
-            member.on_event(now, FleetEvent::Clock, &mut actions);
+            member.on_event(now, FleetEvent::Tick, &mut actions);
             looked_at = now;
         }
         assert!(
             now - looked_at <= LATE_MOST,
-            "not looked since {looked_at:?}"
+            "no periodic tasks since {looked_at:?}"
         );
     }
     let reads = actions
         .iter()
         .any(|action| matches!(action, FleetAction::ReadRegistry(_)));
-    assert!(reads, "it asks the store itself");
+    assert!(reads, "the entry must read the store itself");
 }
 
-/// Promise: an entry that starts asks the leads that it hears which servers have left, the one
-/// that has run longest first, and no lead twice.
+/// An entry that starts asks each live lead once which servers have departed, beginning
+/// with the lead that has run longest.
 #[test]
 fn an_entry_that_starts_asks_which_servers_have_left() {
     let start = Instant::now();
@@ -88,26 +88,30 @@
             let FleetAction::Pull(target) = action else {
                 continue;
             };
-            assert_eq!(target.scope, PullScope::Ends);
-            asked.push(target.view.port());
-            member.on_event(now, FleetEvent::Pulled(target.view, true), &mut Vec::new());
+            assert_eq!(target.scope, PullScope::Departures);
+            asked.push(target.view_address.port());
+            member.on_event(
+                now,
+                FleetEvent::PullFinished(target.view_address, true),
+                &mut Vec::new(),
+            );
         }
     }
     assert_eq!(asked, [22, 21]);
 }
 
-/// The digest of a lead of the same region that knows nothing of the store.
+/// A digest of a lead of the same region that knows nothing of the store.
 fn digest_of(port: u16, incarnation: u64) -> PeerMessage {
     let address = SocketAddr::from(([127, 0, 0, 1], port));
     PeerMessage::Digest(Box::new(RegionDigest {
         incarnation,
-        seat: LeadSeat {
+        candidate: LeadCandidate {
             node: format!("lead-{port}"),
             domain: "a1".to_owned(),
-            beat: address,
-            view: address,
+            peer_address: address,
+            view_address: address,
             capacity: 1000,
-            reads: true,
+            has_store_access: true,
             leads: true,
         },
         region: "a".to_owned(),
--- a/crates/place/tests/fleet.rs
+++ b/crates/place/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! How a fleet finds its leads and hears what the store holds, in virtual time.
+//! Lead selection and state dissemination of a simulated fleet, in virtual time.
 
 mod fleet_world;
 
@@ -6,15 +6,14 @@
 
 use fleet_world::{DRAIN, FleetWorld, REGIONS, domain_of, ms, region_of};
 use place::fleet::log::log_version;
-use place::fleet::message::{PeerMessage, RegionDigest, RegionWord};
+use place::fleet::message::{PeerMessage, RegionDigest, RegionSummary};
 use place::fleet::store_progress::StoreProgressMessage;
 use place::prelude::*;
 
-/// Until a request that was placed is at a server of another region, over a connection that
-/// is made for it.
+/// Time until a placed request reaches a server of another region over a new connection.
 const FAR_SEND: Duration = ms(3 * 35);
 
-/// A fleet of `count` that has run for a while.
+/// Creates a fleet of `count` entries and runs it until its leads are stable.
 fn settled(count: usize) -> FleetWorld {
     let mut world = FleetWorld::new(count);
     world.run(ms(8000));
@@ -22,8 +21,9 @@
     world
 }
 
-/// Promise: where all entries start at once each region has two able leads in different
-/// failure domains and everybody knows what the store holds within 1.5 s, at few calls.
+/// When all entries start at once, each region gets two leads with a high capacity in
+/// different failure domains, and all entries know the state of the store within 1.5 s
+/// with few calls.
 #[test]
 fn a_fleet_that_starts_knows_everything_soon() {
     for count in [12, 300, 1000] {
@@ -39,7 +39,8 @@
             assert!(count < 100 || leads.iter().all(able), "{leads:?}");
         }
         let able = count as u64 / 11 + 3;
-        // Able entries read both tables at once, the others hear of them.
+        // Entries with a high capacity read both tables at once; the others get them from
+        // leads.
         assert!(
             world.calls <= 3 * able + 60,
             "{count}: {} calls",
@@ -48,8 +49,8 @@
     }
 }
 
-/// Promise: on calm days a fleet makes the same calls to the store whatever its size, and
-/// an entry that doesn't lead sends and hears the same few datagrams.
+/// Without failures a fleet makes the same number of store calls whatever its size, and
+/// an entry that is not a lead exchanges the same few datagrams.
 #[test]
 fn calm_costs_do_not_grow_with_the_fleet() {
     let mut seen = Vec::new();
@@ -60,7 +61,7 @@
         let before = world.entries[follower.unwrap()].datagrams;
         world.run(ms(20_000));
         let datagrams = world.entries[follower.unwrap()].datagrams - before;
-        // Beats to two leads and their digests.
+        // Heartbeats to two leads and their digests.
         assert!(datagrams <= 9 * 20, "{count}: {datagrams} datagrams");
         seen.push(calls);
     }
@@ -72,7 +73,7 @@
     assert!(many <= 7 * 20, "{many} calls in 20 s");
 }
 
-/// Promise: a change is known everywhere at once.
+/// A change in the store reaches all entries within 1.1 s.
 #[test]
 fn a_change_is_known_everywhere_at_once() {
     for count in [12, 300, 1000] {
@@ -86,8 +87,8 @@
     }
 }
 
-/// Promise: the loss of a region's reader, its deputy or both makes nobody late by more
-/// than the time in which a leaving server must get no more requests.
+/// If a region loses its reader, its deputy or both, every entry still learns of a change
+/// before the drain time of a server is over.
 #[test]
 fn lost_leads_make_nobody_late() {
     for count in [12, 300] {
@@ -97,7 +98,7 @@
             leads.sort_by_key(|entry| {
                 !matches!(
                     world.entries[*entry].notes.last(),
-                    Some(FleetNote::Leads(_))
+                    Some(FleetChange::StartedLeading(_))
                 )
             });
             for index in lost {
@@ -110,7 +111,7 @@
             assert!(took <= DRAIN, "{count} entries, {lost:?} lost: {took:?}");
             world.run(ms(4000));
             assert!(world.is_settled(), "{count}, {lost:?}");
-            // Followers read for themselves only while nobody leads.
+            // Followers read the store themselves only while there is no lead.
             let calls = world.calls - before;
             let most = 50
                 + if lost.len() == 2 {
@@ -123,21 +124,21 @@
     }
 }
 
-/// Promise: entries whose questions to leads get no answer, though digests tell of changes,
-/// ask the store in time, and no more often than a reader does.
+/// Entries whose pulls fail although digests announce changes read the store in time, and
+/// no more often than a reader.
 #[test]
 fn entries_that_get_no_answers_ask_the_store() {
     let mut world = settled(300);
-    let deaf: Vec<usize> = (100..110)
+    let pulls_fail: Vec<usize> = (100..110)
         .filter(|entry| !world.entries[*entry].member.leads())
         .collect();
-    for entry in &deaf {
-        world.entries[*entry].deaf = true;
+    for entry in &pulls_fail {
+        world.entries[*entry].pulls_fail = true;
     }
     world.change();
     let took = world.until_known(ms(6000));
     assert!(took <= DRAIN, "{took:?}");
-    // A list that they lack keeps them waiting for answers.
+    // A missing list keeps these entries waiting for an answer.
     for lead in 0..REGIONS {
         let lead = world.leads(lead)[0];
         let mut own = world.entries[lead].own.clone();
@@ -148,14 +149,15 @@
     world.run(ms(2000));
     let calls = world.calls_in(ms(10_000));
     assert!(
-        calls <= 70 + deaf.len() as u64 * 10 * 2,
+        calls <= 70 + pulls_fail.len() as u64 * 10 * 2,
         "{calls} calls in 10 s"
     );
 }
 
-/// Promise: where both leads of a region get no answers of the store any more, though they
-/// live and are heard, nobody else of the region is late: they hear from other regions'
-/// leads, and where these are out of reach a substitute reads and leads.
+/// If the store answers neither lead of a region although both are alive and heard from,
+/// the other entries of the region learn of changes in time: from leads of other regions
+/// or, if those are unreachable, from a substitute that reads the store and becomes a
+/// lead.
 #[test]
 fn blind_leads_make_nobody_late() {
     for count in [12, 300] {
@@ -163,7 +165,7 @@
             let mut world = settled(count);
             let leads = world.leads(1);
             for lead in &leads {
-                world.entries[*lead].silent = true;
+                world.entries[*lead].store_times_out = true;
             }
             for entry in 0..count {
                 let is_cut = is_apart && region_of(entry) == 1;
@@ -183,22 +185,22 @@
     }
 }
 
-/// Promise: while the store refuses a third of the entries, the leads of one region among
-/// them, everybody hears of changes in time, and no more calls are made than by leads.
+/// While the store rejects a third of the entries, including the leads of one region, all
+/// entries learn of changes in time, with no more calls than leads make.
 #[test]
 fn refused_entries_hear_of_changes() {
     for count in [12, 300] {
         let mut world = settled(count);
         for entry in 0..count {
-            world.entries[entry].refused = entry % 3 == 1 && entry % 2 == 0;
+            world.entries[entry].store_rejects = entry % 3 == 1 && entry % 2 == 0;
         }
         for lead in world.leads(2) {
-            world.entries[lead].refused = true;
+            world.entries[lead].store_rejects = true;
         }
         let calls = world.calls_in(ms(1000));
         for _ in 0..4 {
             world.change();
-            // The first change may meet leads that don't know yet that they are refused.
+            // The first change may come before the leads notice that they are rejected.
             let took = world.until_known(ms(6000));
             assert!(took <= ms(4000), "{count} entries took {took:?}");
             world.run(ms(1000));
@@ -208,8 +210,8 @@
     }
 }
 
-/// Promise: a store that is down is asked by the leads and a substitute or two only, and
-/// everybody knows what it holds soon after its return.
+/// During a store outage only the leads and one or two substitutes call the store. All
+/// entries know its state soon after it is back.
 #[test]
 fn a_store_that_is_down_is_not_pressed() {
     let mut seen = Vec::new();
@@ -228,8 +230,8 @@
     );
 }
 
-/// Promise: entries that are cut off from the rest, but not from the store, hear of
-/// changes in time, and are one fleet again soon after the cut.
+/// Entries that are partitioned from the rest, but not from the store, learn of changes
+/// in time, and rejoin the fleet soon after the partition ends.
 #[test]
 fn a_part_that_is_cut_off_hears_of_changes() {
     for count in [12, 300] {
@@ -256,8 +258,8 @@
     }
 }
 
-/// Promise: regions that lose each other for minutes drop each other's entries, go on by
-/// themselves and find each other again within seconds.
+/// Regions partitioned for minutes drop each other's entries, keep running on their own
+/// and find each other again within seconds.
 #[test]
 fn regions_find_each_other_again() {
     let mut world = settled(60);
@@ -267,20 +269,20 @@
     world.run(ms(200_000));
     world.change();
     assert!(world.until_known(ms(6000)) <= ms(1100));
-    let counted = |world: &FleetWorld, entry: usize| {
+    let active_regions = |world: &FleetWorld, entry: usize| {
         let regions = world.entries[entry].member.regions();
-        regions.counted(world.now).count()
+        regions.active_regions(world.now).count()
     };
-    assert!((0..60).all(|entry| counted(&world, entry) == 1));
+    assert!((0..60).all(|entry| active_regions(&world, entry) == 1));
     for entry in 0..60 {
         world.entries[entry].group = 0;
     }
     world.run(ms(3000));
-    assert!((0..60).all(|entry| counted(&world, entry) == REGIONS));
+    assert!((0..60).all(|entry| active_regions(&world, entry) == REGIONS));
 }
 
-/// Promise: a region that is lost is told to nobody within seconds, and is back soon
-/// after its return; so is the whole fleet after a loss of all.
+/// A lost region is no longer advertised after a few seconds, and returns soon after its
+/// restart. The same holds for the whole fleet after a loss of all entries.
 #[test]
 fn a_lost_region_and_a_lost_fleet_come_back() {
     for lost in [vec![1], vec![0, 1, 2]] {
@@ -294,7 +296,11 @@
         world.run(ms(6000));
         for entry in world.live() {
             let regions = world.entries[entry].member.regions();
-            assert!(!regions.counted(world.now).any(|region| region == "r1"));
+            assert!(
+                !regions
+                    .active_regions(world.now)
+                    .any(|region| region == "r1")
+            );
         }
         for entry in &gone {
             world.restart(*entry);
@@ -306,8 +312,7 @@
     }
 }
 
-/// Promise: an entry that is about to end is told to no caller any more within a tenth of
-/// a second, also where it leads its region.
+/// An entry that shuts down is no longer advertised within 150 ms, even if it is a lead.
 #[test]
 fn a_leaving_entry_is_told_to_nobody() {
     for leads in [false, true] {
@@ -322,7 +327,7 @@
             let is_named = listed(&world, 0, &format!("n{entry}"));
             is_named && world.entries[*entry].member.leads() == leads
         });
-        // Where no lead is named, any that leads serves as well.
+        // If no lead is advertised, use any lead.
         let leaving = named.unwrap_or_else(|| world.leads(0)[0]);
         let node = format!("n{leaving}");
         let mut own = world.entries[leaving].own.clone();
@@ -342,8 +347,8 @@
     }
 }
 
-/// Promise: a rolling restart of half the entries loses no region its leads for longer
-/// than a moment, and an entry that starts knows everything within half a second.
+/// During a rolling restart of half the entries no region is without a lead at the end,
+/// and all entries know the state of the store within half a second.
 #[test]
 fn a_rolling_restart_is_not_noticed() {
     let mut world = settled(300);
@@ -370,8 +375,8 @@
     assert!(world.is_settled());
 }
 
-/// Promise: an entry that is left alone in its region asks for others at its own pace,
-/// though everybody answers that those lead which are gone.
+/// The last entry of a region searches for leads at a bounded rate, although all hints
+/// name leads that are gone.
 #[test]
 fn a_lone_entry_asks_at_its_own_pace() {
     let mut world = settled(60);
@@ -387,7 +392,7 @@
     assert!(datagrams <= 10 * 60, "{datagrams} datagrams in 10 s");
 }
 
-/// Promise: where no seed answers, the leads are found by their rows in the store.
+/// If no seed answers, leads are found through their rows in the store.
 #[test]
 fn leads_are_found_without_seeds() {
     let mut world = FleetWorld::with_seeds(60, &[100_000, 100_001, 100_002]);
@@ -402,7 +407,8 @@
     assert!(world.until_known(ms(6000)) <= ms(1100));
 }
 
-/// Promise: a digest that tells what no reading gave is overcome within seconds.
+/// An entry that claims a registry version which no read returned recovers within
+/// seconds.
 #[test]
 fn a_forged_digest_is_overcome() {
     let mut world = settled(300);
@@ -412,7 +418,7 @@
         let mut known = *world.entries[*victim].member.known();
         if *victim != liar && !world.entries[*victim].member.leads() {
             known.registry = u64::MAX - 7;
-            world.tell(*victim, FleetEvent::Known(known));
+            world.deliver_event(*victim, FleetEvent::Known(known));
         }
     }
     world.run(ms(6000));
@@ -428,37 +434,37 @@
     }
 }
 
-/// Promise: nonsense from another entry changes nothing for good: unknown regions, lists
-/// of the far future, a digest of a region by one that doesn't lead it.
+/// Invalid messages have no lasting effect: unknown regions, list versions far ahead, and
+/// a digest for a region by an entry that is not its lead.
 #[test]
 fn nonsense_changes_nothing() {
     let mut world = settled(60);
     let sender = world.leads(2)[0];
     let words = vec![
-        RegionWord {
+        RegionSummary {
             region: "nowhere".to_owned(),
-            age: 0,
-            live: 9,
+            age_ms: 0,
+            live_entries: 9,
             list: Default::default(),
-            seats: Vec::new(),
+            candidates: Vec::new(),
         },
-        RegionWord {
+        RegionSummary {
             region: "r1".to_owned(),
-            age: 0,
-            live: 0,
+            age_ms: 0,
+            live_entries: 0,
             list: place::fleet::list::ListVersion {
                 number: u64::MAX,
                 author: 3,
             },
-            seats: Vec::new(),
+            candidates: Vec::new(),
         },
     ];
     let regions = world.entries[sender].member.regions();
-    let mut seat = regions.seats("r2")[0].clone();
-    seat.node = "stranger".to_owned();
+    let mut candidate = regions.candidates("r2")[0].clone();
+    candidate.node = "stranger".to_owned();
     let digest = RegionDigest {
         incarnation: 1,
-        seat,
+        candidate,
         region: "r1".to_owned(),
         leaving: false,
         store: StoreProgressMessage::default(),
@@ -466,7 +472,7 @@
     };
     for entry in 0..60 {
         let message = PeerMessage::Digest(Box::new(digest.clone()));
-        world.tell(entry, FleetEvent::Message(message));
+        world.deliver_event(entry, FleetEvent::Message(message));
     }
     world.run(ms(5000));
     assert!(world.is_settled());
@@ -474,8 +480,9 @@
     assert!(world.until_known(Duration::from_secs(6)) <= ms(1100));
 }
 
-/// Promise: a change of the registry that an entry or a whole region has missed, though they
-/// hold its version, is known before a request could reach a server that left with it.
+/// A registry change that an entry or a whole region missed, although it holds the
+/// version of the change, is discovered before a request could reach a server that was
+/// removed by it.
 #[test]
 fn a_missed_change_is_found_whatever_hid_it() {
     for count in [12, 300] {
@@ -500,10 +507,10 @@
             };
             world.change();
             for entry in missing {
-                world.miss(entry);
+                world.skip_changes(entry);
             }
             let begun = world.now;
-            while !world.lacking().is_empty() && world.now < begun + ms(9000) {
+            while !world.missing_changes().is_empty() && world.now < begun + ms(9000) {
                 world.run(ms(10));
             }
             let took = world.now - begun;
@@ -512,8 +519,8 @@
     }
 }
 
-/// Promise: an entry that holds a version which the store hasn't reached yet knows what changes
-/// in time all the same, and asks the store no more often than a reader.
+/// An entry that holds a version which the store has not reached yet still learns of
+/// changes in time, and calls the store no more often than a reader.
 #[test]
 fn a_version_ahead_of_the_store_hides_nothing() {
     for count in [12, 300] {
@@ -523,11 +530,11 @@
                 region_of(*entry) == 1 && world.entries[*entry].member.leads() == leads
             });
             let calm = world.calls_in(ms(3000));
-            world.claim(ahead.unwrap(), world.version + 6);
+            world.claim_version(ahead.unwrap(), world.version + 6);
             world.change();
             let begun = world.now;
             let calls = world.calls;
-            while !world.lacking().is_empty() && world.now < begun + ms(9000) {
+            while !world.missing_changes().is_empty() && world.now < begun + ms(9000) {
                 world.run(ms(10));
             }
             let took = world.now - begun;
@@ -545,20 +552,20 @@
     }
 }
 
-/// Promise: an entry that asks a lead for all servers, since it is in doubt about them, keeps the
-/// newer rows of the operator that it knows.
+/// An entry that refetches the registry from a lead because of a conflict keeps its newer
+/// copy of the operator's rows.
 #[test]
 fn a_doubt_about_servers_costs_no_newer_state() {
     let mut world = settled(12);
     let follower = (0..12).find(|entry| !world.entries[*entry].member.leads());
     let follower = follower.unwrap();
     world.change();
-    world.miss(follower);
+    world.skip_changes(follower);
     let mut known = *world.entries[follower].member.known();
     known.operator = world.operator + 5;
     known.desired = known.operator;
-    world.tell(follower, FleetEvent::Known(known));
-    while world.lacking().contains(&follower) {
+    world.deliver_event(follower, FleetEvent::Known(known));
+    while world.missing_changes().contains(&follower) {
         world.run(ms(10));
         let now_known = world.entries[follower].member.known().operator;
         assert_eq!(now_known, known.operator);
--- a/crates/place/tests/fleet_world/mod.rs
+++ b/crates/place/tests/fleet_world/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: the entries' decisions, a network that delays and cuts, and a
-//! store that is only versions.
+//! Simulation of a fleet in virtual time: the state machines of its entries, a network
+//! with latency and partitions, and a store reduced to version numbers.
 #![allow(dead_code, unreachable_pub, missing_docs)]
 
 use std::cmp::Reverse;
@@ -9,63 +9,65 @@
 
 use place::crash::print::RequestFingerprint;
 use place::crash::word::StoredQuarantine;
+use place::fleet::candidate::LeadCandidate;
 use place::fleet::clock::StoreTime;
 use place::fleet::content_hash::ContentHash;
-use place::fleet::follow::{PullScope, PullTarget};
 use place::fleet::log::log_version;
 use place::fleet::member::MemberConfig;
 use place::fleet::message::PeerMessage;
+use place::fleet::pull::{PullScope, PullTarget};
 use place::fleet::reading::{ReadOutcome, RegistryRead};
-use place::fleet::seat::LeadSeat;
 use place::prelude::*;
 
-/// One way within a region, and between two.
-const NEAR: Duration = Duration::from_millis(1);
-const FAR: Duration = Duration::from_millis(35);
-/// An answer of the store.
-const STORE: Duration = Duration::from_millis(5);
-/// How long a watch of the operator's rows stays open.
-const WATCH: Duration = Duration::from_millis(2000);
-/// How long an entry waits for an answer of the store.
-const PATIENCE: Duration = Duration::from_millis(1500);
-/// Messages on their way at once in a fleet that isn't answering itself without end.
-const WAITING_MOST: usize = 500_000;
-/// Within this time a leaving server must get no more requests.
+/// One-way latency within a region and between regions.
+const LOCAL_LATENCY: Duration = Duration::from_millis(1);
+const REMOTE_LATENCY: Duration = Duration::from_millis(35);
+/// Latency of a store call.
+const STORE_LATENCY: Duration = Duration::from_millis(5);
+/// Time for which a watch of the operator's rows stays open.
+const WATCH_DURATION: Duration = Duration::from_millis(2000);
+/// Time after which an entry gives up on a store call.
+const STORE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Maximum number of queued messages. A fleet whose entries answer each other endlessly
+/// exceeds it.
+const MAX_QUEUED_MESSAGES: usize = 500_000;
+/// Time within which a draining server must stop receiving requests.
 pub const DRAIN: Duration = Duration::from_millis(2500);
 pub const REGIONS: usize = 3;
 const DOMAINS: usize = 3;
-/// One entry in so many is able.
-const ABLE_EACH: usize = 11;
+/// One entry in this many has a high capacity.
+const LARGE_ENTRY_INTERVAL: usize = 11;
 
 pub const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// What is on its way.
+/// A scheduled event.
 #[derive(Debug)]
 enum Delivery {
     Datagram(PeerMessage),
-    Clock,
-    ReadEnds {
+    Timer,
+    ReadFinished {
         begun: Instant,
         call: RegistryRead,
     },
-    PullEnds {
+    PullAnswered {
         from: usize,
         scope: PullScope,
         begun: Instant,
     },
-    WatchEnds,
-    /// An answer of a watch that waited at the process: the rows' version then, and when.
-    WatchTold {
+    WatchAnswered,
+    /// A watch answer that was queued while the process stood still: the version of the
+    /// operator's rows and the store's time at that moment.
+    LateWatch {
         operator: u64,
         time: StoreTime,
     },
-    Wakes {
+    Resume {
         span: Duration,
         suspended: bool,
     },
-    Rows,
+    StoreRows,
 }
 
 #[derive(Debug)]
@@ -94,35 +96,35 @@
     }
 }
 
-/// One entry's process.
+/// A simulated entry process.
 #[derive(Debug)]
 pub struct SimEntry {
     pub member: FleetMember,
     pub alive: bool,
     pub run: u64,
-    /// Whether the store refuses it.
-    pub refused: bool,
-    /// Whether its calls to the store get no answer.
-    pub silent: bool,
-    /// Whether its questions to leads get no answer, though datagrams pass.
-    pub deaf: bool,
-    /// Entries of different groups don't reach each other.
+    /// Whether the store rejects its calls.
+    pub store_rejects: bool,
+    /// Whether its store calls time out.
+    pub store_times_out: bool,
+    /// Whether its pulls from leads fail although datagrams arrive.
+    pub pulls_fail: bool,
+    /// Entries of different groups cannot reach each other.
     pub group: u32,
     pub datagrams: u64,
-    /// Those of them about requests that end servers.
+    /// Number of these datagrams that are about requests that crash servers.
     pub crash_datagrams: u64,
-    pub own: OwnState,
-    pub notes: Vec<FleetNote>,
-    /// The changes of the registry that it knows, by the store's version, with the version of
-    /// its log at which it learned of each.
+    pub own: LocalEntryState,
+    pub notes: Vec<FleetChange>,
+    /// Registry changes known to the entry: the store's version of each, with the version
+    /// of the entry's log at which it learned of the change.
     pub servers: BTreeMap<u64, u64>,
     clock: Option<Instant>,
     watches: bool,
     watching: bool,
     watch_begun: Instant,
-    /// Stands still until then.
-    still_until: Option<Instant>,
-    /// What its clock lacks of the world's.
+    /// The process stands still until this time.
+    paused_until: Option<Instant>,
+    /// How far its clock is behind virtual time.
     behind: Duration,
 }
 
@@ -130,26 +132,28 @@
     pub start: Instant,
     pub now: Instant,
     pub entries: Vec<SimEntry>,
-    /// The store's version, and those at which registry and operator's rows changed.
+    /// The store's version, and the versions at which the registry and the operator's
+    /// rows last changed.
     pub version: u64,
     pub registry: u64,
-    /// All changes of the registry.
+    /// Versions of all registry changes.
     pub servers: BTreeSet<u64>,
     pub operator: u64,
     pub store_down: bool,
     pub calls: u64,
-    /// One datagram in so many is lost.
-    pub loses: Option<u64>,
-    /// One datagram in so many comes so late.
+    /// One datagram in this many is lost.
+    pub loss_interval: Option<u64>,
+    /// One datagram in this many is delayed by this time.
     pub delays: Option<(u64, Duration)>,
-    /// How old the store's word may become at entries that get requests.
+    /// Maximum proof age at entries that receive requests.
     pub proof_within: Option<Duration>,
-    /// When the operator's rows changed, with their versions.
+    /// Times at which the operator's rows changed, with the versions.
     pub changes: Vec<(Instant, u64)>,
     sent: u64,
     row: Vec<(String, SocketAddr)>,
-    /// The store's rows of requests in quarantine: since when, and whether lifted.
-    pub kept: BTreeMap<RequestFingerprint, (Instant, bool)>,
+    /// Quarantined requests in the store: when the quarantine began, and whether it was
+    /// lifted.
+    pub quarantine_rows: BTreeMap<RequestFingerprint, (Instant, bool)>,
     queue: BinaryHeap<Reverse<Arrival>>,
     number: u64,
     seeds: Vec<usize>,
@@ -170,13 +174,13 @@
 
 fn entry_at(address: SocketAddr) -> usize {
     let SocketAddr::V4(address) = address else {
-        panic!("an address of the fleet");
+        panic!("not an address of the simulated fleet");
     };
     u32::from_be_bytes(address.ip().octets()) as usize & 0x00ff_ffff
 }
 
 impl FleetWorld {
-    /// `count` entries that all start within 0.3 s.
+    /// Creates `count` entries that all start within 0.3 s.
     pub fn new(count: usize) -> Self {
         Self::with_seeds(count, &[0, 1, 5])
     }
@@ -193,13 +197,13 @@
             operator: 10,
             store_down: false,
             calls: 0,
-            loses: None,
+            loss_interval: None,
             delays: None,
             proof_within: None,
             changes: Vec::new(),
             sent: 0,
             row: Vec::new(),
-            kept: BTreeMap::new(),
+            quarantine_rows: BTreeMap::new(),
             queue: BinaryHeap::new(),
             number: 0,
             seeds: seeds.to_vec(),
@@ -211,58 +215,58 @@
                 member,
                 alive: true,
                 run: 1,
-                refused: false,
-                silent: false,
-                deaf: false,
+                store_rejects: false,
+                store_times_out: false,
+                pulls_fail: false,
                 group: 0,
                 datagrams: 0,
                 crash_datagrams: 0,
-                own: OwnState::default(),
+                own: LocalEntryState::default(),
                 notes: Vec::new(),
                 servers: BTreeMap::new(),
                 clock: None,
                 watches: false,
                 watching: false,
                 watch_begun: at,
-                still_until: None,
+                paused_until: None,
                 behind: Duration::ZERO,
             });
-            world.push(at, entry, Delivery::Clock);
+            world.push(at, entry, Delivery::Timer);
         }
         world
     }
 
     fn config(&self, entry: usize, run: u64) -> MemberConfig {
-        let is_able = (entry / REGIONS).is_multiple_of(ABLE_EACH);
+        let is_able = (entry / REGIONS).is_multiple_of(LARGE_ENTRY_INTERVAL);
         MemberConfig {
             incarnation: run,
-            seat: LeadSeat {
+            candidate: LeadCandidate {
                 node: format!("n{entry}"),
                 domain: domain_of(entry),
-                beat: address(entry),
-                view: address(entry),
+                peer_address: address(entry),
+                view_address: address(entry),
                 capacity: if is_able { 1000 } else { 100 },
-                reads: true,
+                has_store_access: true,
                 leads: false,
             },
             region: format!("r{}", region_of(entry)),
-            front: address(entry),
+            caller_address: address(entry),
             regions: (0..REGIONS).map(|region| format!("r{region}")).collect(),
             seeds: self.seeds.iter().map(|seed| address(*seed)).collect(),
             drain: DRAIN,
         }
     }
 
-    /// `entry` as one that may lead.
-    pub fn seat(&self, entry: usize) -> LeadSeat {
-        self.config(entry, 1).seat
+    /// Returns `entry` as a lead candidate.
+    pub fn candidate(&self, entry: usize) -> LeadCandidate {
+        self.config(entry, 1).candidate
     }
 
     fn push(&mut self, at: Instant, to: usize, delivery: Delivery) {
         let waiting = self.queue.len();
         assert!(
-            waiting < WAITING_MOST,
-            "{waiting} messages are on their way at once"
+            waiting < MAX_QUEUED_MESSAGES,
+            "{waiting} messages are queued"
         );
         self.number += 1;
         let run = self.entries.get(to).map_or(1, |entry| entry.run);
@@ -275,7 +279,7 @@
         }));
     }
 
-    /// Plays on for `span`.
+    /// Runs the simulation for `span`.
     pub fn run(&mut self, span: Duration) {
         let until = self.now + span;
         while let Some(Reverse(arrival)) = self.queue.peek() {
@@ -297,12 +301,12 @@
             return;
         }
         if let Some(until) = self.entries[to]
-            .still_until
+            .paused_until
             .filter(|until| *until > self.now)
         {
-            // It waits in the process's queues.
+            // The event waits in the process's queues.
             let waits = match arrival.delivery {
-                Delivery::WatchEnds if self.is_served(to) => Delivery::WatchTold {
+                Delivery::WatchAnswered if self.is_served(to) => Delivery::LateWatch {
                     operator: self.operator,
                     time: self.store_time(),
                 },
@@ -316,47 +320,48 @@
                 self.entries[to].datagrams += 1;
                 let is_crash = matches!(message, PeerMessage::Crash(_));
                 self.entries[to].crash_datagrams += u64::from(is_crash);
-                self.tell(to, FleetEvent::Message(message));
+                self.deliver_event(to, FleetEvent::Message(message));
             }
-            Delivery::Clock => {
+            Delivery::Timer => {
                 if self.entries[to].clock.is_some_and(|due| due > self.now) {
                     return;
                 }
                 self.entries[to].clock = None;
-                self.tell(to, FleetEvent::Clock);
+                self.deliver_event(to, FleetEvent::Tick);
             }
-            Delivery::ReadEnds { begun, call } => self.end_read(to, begun, call),
-            Delivery::PullEnds { from, scope, begun } => self.end_pull(to, from, scope, begun),
-            Delivery::Wakes { span, suspended } => {
+            Delivery::ReadFinished { begun, call } => self.end_read(to, begun, call),
+            Delivery::PullAnswered { from, scope, begun } => self.end_pull(to, from, scope, begun),
+            Delivery::Resume { span, suspended } => {
                 if suspended {
                     self.entries[to].behind += span;
-                    self.tell(to, FleetEvent::Suspended(span));
+                    self.deliver_event(to, FleetEvent::Suspended(span));
                 }
             }
-            Delivery::WatchEnds => {
+            Delivery::WatchAnswered => {
                 let (operator, time) = (self.operator, self.store_time());
                 self.end_watch(to, self.is_served(to).then_some((operator, time)));
             }
-            Delivery::WatchTold { operator, time } => self.end_watch(to, Some((operator, time))),
-            Delivery::Rows => {
-                let kept = self.kept.iter();
-                let kept = kept.map(|(fingerprint, (at, lifted))| StoredQuarantine {
-                    print: *fingerprint,
-                    age: self.now - *at,
-                    lifted: *lifted,
-                });
-                let kept = kept.collect();
-                self.tell(to, FleetEvent::Kept(kept));
+            Delivery::LateWatch { operator, time } => self.end_watch(to, Some((operator, time))),
+            Delivery::StoreRows => {
+                let quarantine_rows = self.quarantine_rows.iter();
+                let quarantine_rows =
+                    quarantine_rows.map(|(fingerprint, (at, lifted))| StoredQuarantine {
+                        print: *fingerprint,
+                        age: self.now - *at,
+                        lifted: *lifted,
+                    });
+                let quarantine_rows = quarantine_rows.collect();
+                self.deliver_event(to, FleetEvent::QuarantineRows(quarantine_rows));
                 let rows = self.row.clone();
-                self.tell(to, FleetEvent::Rows(rows));
+                self.deliver_event(to, FleetEvent::LeadRows(rows));
             }
         }
     }
 
-    /// Gives `event` to an entry and does what it wants done.
-    pub fn tell(&mut self, entry: usize, event: FleetEvent) {
+    /// Delivers `event` to an entry and performs the resulting actions.
+    pub fn deliver_event(&mut self, entry: usize, event: FleetEvent) {
         let mut actions = Vec::new();
-        let now = self.local(entry, self.now);
+        let now = self.local_time(entry, self.now);
         self.entries[entry]
             .member
             .on_event(now, event, &mut actions);
@@ -364,7 +369,7 @@
             self.act(entry, action);
         }
         let known = *self.entries[entry].member.known();
-        let own = OwnState {
+        let own = LocalEntryState {
             ready: known.is_complete() && !self.entries[entry].own.leaving,
             proof_within: self.proof_within,
             ..self.entries[entry].own.clone()
@@ -376,13 +381,13 @@
         let due = self.entries[entry].member.due(now) + behind;
         if self.entries[entry].clock.is_none_or(|clock| clock > due) {
             self.entries[entry].clock = Some(due);
-            self.push(due, entry, Delivery::Clock);
+            self.push(due, entry, Delivery::Timer);
         }
     }
 
-    pub fn set_own(&mut self, entry: usize, own: OwnState) {
+    pub fn set_own(&mut self, entry: usize, own: LocalEntryState) {
         self.entries[entry].own = own.clone();
-        self.tell(entry, FleetEvent::Own(own));
+        self.deliver_event(entry, FleetEvent::LocalState(own));
     }
 
     fn act(&mut self, entry: usize, action: FleetAction) {
@@ -392,28 +397,31 @@
                     self.send(entry, entry_at(target), message.clone());
                 }
             }
-            FleetAction::Pull(PullTarget { view, scope }) => {
-                let from = entry_at(view);
+            FleetAction::Pull(PullTarget {
+                view_address,
+                scope,
+            }) => {
+                let from = entry_at(view_address);
                 let delay = 2 * self.delay(entry, from);
-                let begun = self.local(entry, self.now);
-                let ends = Delivery::PullEnds { from, scope, begun };
+                let begun = self.local_time(entry, self.now);
+                let ends = Delivery::PullAnswered { from, scope, begun };
                 self.push(self.now + delay, entry, ends);
             }
             FleetAction::ReadRegistry(call) => {
                 self.calls += 1;
                 let wait = call.wait;
-                let begun = self.local(entry, self.now);
+                let begun = self.local_time(entry, self.now);
                 let span = if self.is_served(entry) {
                     wait
-                } else if self.entries[entry].silent {
-                    wait + PATIENCE
+                } else if self.entries[entry].store_times_out {
+                    wait + STORE_TIMEOUT
                 } else {
                     Duration::ZERO
                 };
                 self.push(
-                    self.now + span + STORE,
+                    self.now + span + STORE_LATENCY,
                     entry,
-                    Delivery::ReadEnds { begun, call },
+                    Delivery::ReadFinished { begun, call },
                 );
             }
             FleetAction::WatchOperator(watches) => {
@@ -422,28 +430,29 @@
                     self.begin_watch(entry, Duration::ZERO);
                 }
             }
-            FleetAction::ReadRows => {
+            FleetAction::ReadLeadRows => {
                 self.calls += 1;
                 if self.is_served(entry) {
-                    self.push(self.now + STORE, entry, Delivery::Rows);
+                    self.push(self.now + STORE_LATENCY, entry, Delivery::StoreRows);
                 }
             }
-            FleetAction::KeepQuarantines(quarantines) => {
+            FleetAction::WriteQuarantineRows(quarantines) => {
                 self.calls += 1;
                 if self.is_served(entry) {
                     for (fingerprint, age) in quarantines {
-                        self.kept.insert(fingerprint, (self.now - age, false));
+                        self.quarantine_rows
+                            .insert(fingerprint, (self.now - age, false));
                     }
                 }
             }
-            FleetAction::DropQuarantines(prints) => {
+            FleetAction::DeleteQuarantineRows(prints) => {
                 self.calls += 1;
                 if self.is_served(entry) {
-                    self.kept
+                    self.quarantine_rows
                         .retain(|fingerprint, _| !prints.contains(fingerprint));
                 }
             }
-            FleetAction::WriteRow(leads) => {
+            FleetAction::WriteLeadRow(leads) => {
                 self.calls += 1;
                 if self.is_served(entry) {
                     let region = format!("r{}", region_of(entry));
@@ -452,8 +461,8 @@
                     self.row.extend(rows);
                 }
             }
-            FleetAction::Note(note) => self.entries[entry].notes.push(note),
-            FleetAction::Confirm(_) | FleetAction::ListsChanged => {}
+            FleetAction::Log(note) => self.entries[entry].notes.push(note),
+            FleetAction::ConfirmRegistry(_) | FleetAction::ListsChanged => {}
         }
     }
 
@@ -461,7 +470,7 @@
         self.entries[from].datagrams += 1;
         self.sent += 1;
         let is_lost = self
-            .loses
+            .loss_interval
             .is_some_and(|each| self.sent.is_multiple_of(each));
         if to < self.entries.len() && self.reaches(from, to) && !is_lost {
             let late = self
@@ -479,25 +488,27 @@
 
     fn delay(&self, from: usize, to: usize) -> Duration {
         if region_of(from) == region_of(to) {
-            NEAR
+            LOCAL_LATENCY
         } else {
-            FAR
+            REMOTE_LATENCY
         }
     }
 
     fn is_served(&self, entry: usize) -> bool {
-        !self.store_down && !self.entries[entry].refused && !self.entries[entry].silent
+        !self.store_down
+            && !self.entries[entry].store_rejects
+            && !self.entries[entry].store_times_out
     }
 
     fn end_read(&mut self, entry: usize, begun: Instant, call: RegistryRead) {
         if !self.is_served(entry) {
-            self.tell(entry, FleetEvent::Read(ReadOutcome::Failed));
+            self.deliver_event(entry, FleetEvent::RegistryRead(ReadOutcome::Failed));
             return;
         }
         let mut known = *self.entries[entry].member.known();
         let before = known.content;
         if known.registry >= log_version(self.version + 1) {
-            // No reading gave that: the log begins anew.
+            // No read can have returned that version, so the log is reset.
             self.entries[entry].servers.clear();
             known.registry = 0;
         }
@@ -506,7 +517,7 @@
         } else {
             known.registry_read + 1
         };
-        // What changed after the reading that it goes on from.
+        // Changes since the last read.
         let news: Vec<u64> = self.servers.range(first..).copied().collect();
         let stamp = log_version(self.registry).max(known.registry + 1);
         for change in news {
@@ -519,24 +530,24 @@
         }
         known.registry_read = self.version;
         known.registry_at = Some(begun + call.wait);
-        self.tell(entry, FleetEvent::Known(known));
+        self.deliver_event(entry, FleetEvent::Known(known));
         let outcome = if is_news {
             ReadOutcome::Changed
         } else {
             ReadOutcome::Unchanged
         };
-        self.tell(entry, FleetEvent::Read(outcome));
+        self.deliver_event(entry, FleetEvent::RegistryRead(outcome));
     }
 
     fn end_pull(&mut self, entry: usize, from: usize, scope: PullScope, begun: Instant) {
-        if !self.reaches(entry, from) || self.entries[entry].deaf {
-            self.tell(entry, FleetEvent::Pulled(address(from), false));
+        if !self.reaches(entry, from) || self.entries[entry].pulls_fail {
+            self.deliver_event(entry, FleetEvent::PullFinished(address(from), false));
             return;
         }
         let told = *self.entries[from].member.known();
-        let answered = self.local(from, self.now) - self.delay(entry, from);
+        let answered = self.local_time(from, self.now) - self.delay(entry, from);
         let latest = self.entries[from].member.latest_store_time(answered);
-        self.tell(entry, FleetEvent::StoreTime(begun, latest));
+        self.deliver_event(entry, FleetEvent::StoreTime(begun, latest));
         let mut known = *self.entries[entry].member.known();
         let whole = scope.is_whole();
         if whole || known.is_behind_registry(&told) {
@@ -560,16 +571,20 @@
         known.confirm_operator(&told);
         let versions = self.entries[entry].member.regions().versions();
         let lists = self.entries[from].member.regions().lists_since(&versions);
-        self.tell(entry, FleetEvent::Known(known));
-        self.tell(entry, FleetEvent::Lists(lists));
-        self.tell(entry, FleetEvent::Pulled(address(from), true));
+        self.deliver_event(entry, FleetEvent::Known(known));
+        self.deliver_event(entry, FleetEvent::Lists(lists));
+        self.deliver_event(entry, FleetEvent::PullFinished(address(from), true));
     }
 
     fn begin_watch(&mut self, entry: usize, wait: Duration) {
         self.calls += 1;
         self.entries[entry].watching = true;
-        self.entries[entry].watch_begun = self.local(entry, self.now);
-        self.push(self.now + wait + STORE, entry, Delivery::WatchEnds);
+        self.entries[entry].watch_begun = self.local_time(entry, self.now);
+        self.push(
+            self.now + wait + STORE_LATENCY,
+            entry,
+            Delivery::WatchAnswered,
+        );
     }
 
     fn end_watch(&mut self, entry: usize, told: Option<(u64, StoreTime)>) {
@@ -577,91 +592,93 @@
         if let Some((operator, time)) = told {
             self.learn_operator(entry, operator, time);
         }
-        self.tell(entry, FleetEvent::Watched(told.is_some()));
+        self.deliver_event(entry, FleetEvent::WatchFinished(told.is_some()));
         if self.entries[entry].watches && !self.entries[entry].watching {
             let age = self.proof_age(entry).unwrap_or_default();
-            let wait = WATCH.saturating_sub(age);
+            let wait = WATCH_DURATION.saturating_sub(age);
             self.begin_watch(entry, if told.is_some() { wait } else { ms(1200) });
         }
     }
 
     fn learn_operator(&mut self, entry: usize, operator: u64, time: StoreTime) {
         let begun = self.entries[entry].watch_begun;
-        self.tell(entry, FleetEvent::StoreTime(begun, time));
+        self.deliver_event(entry, FleetEvent::StoreTime(begun, time));
         let mut known = *self.entries[entry].member.known();
         known.operator = known.operator.max(operator);
         known.operator_read = self.version;
-        known.operator_at = Some(self.local(entry, self.now));
+        known.operator_at = Some(self.local_time(entry, self.now));
         known.desired = known.desired.max(operator);
         known.proved = known.proved.max(time);
-        self.tell(entry, FleetEvent::Known(known));
+        self.deliver_event(entry, FleetEvent::Known(known));
     }
 
-    /// The store's own clock, which has run for a while.
+    /// Returns the store's clock, which did not start at zero.
     pub fn store_time(&self) -> StoreTime {
         StoreTime(50_000 + (self.now - self.start).as_millis() as u64)
     }
 
-    /// The time `at` by the clock of `entry`.
-    pub fn local(&self, entry: usize, at: Instant) -> Instant {
+    /// Converts virtual time to the clock of `entry`.
+    pub fn local_time(&self, entry: usize, at: Instant) -> Instant {
         at - self.entries[entry].behind
     }
 
-    /// `entry` stands still for `span`; its clock does too where `suspended`.
-    pub fn stand_still(&mut self, entry: usize, span: Duration, suspended: bool) {
+    /// Stops `entry` for `span`; if `suspended`, its clock stops as well.
+    pub fn pause(&mut self, entry: usize, span: Duration, suspended: bool) {
         let until = self.now + span;
-        self.entries[entry].still_until = Some(until);
-        self.push(until, entry, Delivery::Wakes { span, suspended });
+        self.entries[entry].paused_until = Some(until);
+        self.push(until, entry, Delivery::Resume { span, suspended });
     }
 
-    /// Whether it stands still now.
-    pub fn is_still(&self, entry: usize) -> bool {
-        let until = self.entries[entry].still_until;
+    /// Whether the process stands still now.
+    pub fn is_paused(&self, entry: usize) -> bool {
+        let until = self.entries[entry].paused_until;
         until.is_some_and(|until| until > self.now)
     }
 
-    /// How long ago the operator changed what `entry` doesn't know, where there is such.
-    pub fn lacks_since(&self, entry: usize) -> Option<Duration> {
+    /// Returns how long ago the operator made the oldest change that `entry` does not
+    /// know; `None` if it knows all.
+    pub fn oldest_missed_change_age(&self, entry: usize) -> Option<Duration> {
         let known = self.entries[entry].member.known().operator;
         let missed = self.changes.iter().find(|(_, version)| *version > known);
         missed.map(|(at, _)| self.now - *at)
     }
 
-    /// Age of the store's word on the operator's rows at `entry`, by its own reckoning.
+    /// Returns the age of the proof on the operator's rows, as estimated by `entry`.
     pub fn proof_age(&self, entry: usize) -> Option<Duration> {
-        let now = self.local(entry, self.now);
+        let now = self.local_time(entry, self.now);
         self.entries[entry].member.proof_age(now)
     }
 
-    /// The mark of what `entry` knows of the registry.
+    /// Returns the content mark of the registry as known to `entry`.
     fn content(&self, entry: usize) -> ContentHash {
         let marks = self.entries[entry].servers.keys();
         let marks = marks.map(|change| ContentHash::of_foreign(&change.to_string()));
         marks.fold(ContentHash::default(), ContentHash::with)
     }
 
-    /// The registry changes, and `entry` takes the version of the change without the change.
-    pub fn miss(&mut self, entry: usize) {
-        self.claim(entry, self.version);
+    /// Makes `entry` take the current registry version without its changes.
+    pub fn skip_changes(&mut self, entry: usize) {
+        self.claim_version(entry, self.version);
     }
 
-    /// `entry` is sure to know the registry as of `version`, and learns nothing.
-    pub fn claim(&mut self, entry: usize, version: u64) {
+    /// Makes `entry` believe it knows the registry as of `version`, without learning any
+    /// change.
+    pub fn claim_version(&mut self, entry: usize, version: u64) {
         let mut known = *self.entries[entry].member.known();
         known.registry = log_version(version);
         known.registry_read = version;
-        known.registry_at = Some(self.local(entry, self.now));
-        self.tell(entry, FleetEvent::Known(known));
+        known.registry_at = Some(self.local_time(entry, self.now));
+        self.deliver_event(entry, FleetEvent::Known(known));
     }
 
-    /// Live entries that don't know all of the registry, whatever they think.
-    pub fn lacking(&self) -> Vec<usize> {
+    /// Returns live entries that lack registry changes, whatever version they claim.
+    pub fn missing_changes(&self) -> Vec<usize> {
         let mut live = self.live();
         live.retain(|entry| !self.entries[*entry].servers.keys().eq(&self.servers));
         live
     }
 
-    /// The registry and the operator's rows change, and no open watch is told.
+    /// Changes the registry and the operator's rows without notifying open watches.
     pub fn change_unseen(&mut self) {
         self.version += 1;
         self.registry = self.version;
@@ -669,12 +686,12 @@
         self.operator = self.version;
     }
 
-    /// The registry and the operator's rows change; open watches are told.
+    /// Changes the registry and the operator's rows, and notifies open watches.
     pub fn change(&mut self) {
         self.change_unseen();
         self.changes.push((self.now, self.version));
         for entry in 0..self.entries.len() {
-            let entry_is_told = self.entries[entry].alive && !self.is_still(entry);
+            let entry_is_told = self.entries[entry].alive && !self.is_paused(entry);
             if entry_is_told && self.entries[entry].watching && self.is_served(entry) {
                 let (operator, time) = (self.operator, self.store_time());
                 self.learn_operator(entry, operator, time);
@@ -682,12 +699,12 @@
         }
     }
 
-    /// The process of `entry` ends without a word.
+    /// Ends the process of `entry` without a farewell message.
     pub fn kill(&mut self, entry: usize) {
         self.entries[entry].alive = false;
     }
 
-    /// The process of `entry` starts anew.
+    /// Restarts the process of `entry`.
     pub fn restart(&mut self, entry: usize) {
         let run = self.entries[entry].run + 1;
         let member = FleetMember::new(self.now, self.config(entry, run));
@@ -695,18 +712,18 @@
         known.member = member;
         known.run = run;
         known.alive = true;
-        known.own = OwnState::default();
+        known.own = LocalEntryState::default();
         known.notes.clear();
         known.servers.clear();
         known.clock = None;
         known.watches = false;
         known.watching = false;
-        known.still_until = None;
+        known.paused_until = None;
         known.behind = Duration::ZERO;
-        self.push(self.now, entry, Delivery::Clock);
+        self.push(self.now, entry, Delivery::Timer);
     }
 
-    /// Numbers of the live entries.
+    /// Returns the live entries.
     pub fn live(&self) -> Vec<usize> {
         let count = self.entries.len();
         (0..count)
@@ -714,7 +731,7 @@
             .collect()
     }
 
-    /// Numbers of the entries that lead `region`.
+    /// Returns the leads of `region`.
     pub fn leads(&self, region: usize) -> Vec<usize> {
         let live = self.live().into_iter();
         live.filter(|entry| region_of(*entry) == region)
@@ -727,7 +744,7 @@
         (0..REGIONS).all(|region| self.leads(region).len() == 2)
     }
 
-    /// Live entries that don't know the newest change.
+    /// Returns live entries that do not know the newest change.
     pub fn behind(&self) -> Vec<usize> {
         let mut live = self.live();
         live.retain(|entry| {
@@ -739,7 +756,7 @@
         live
     }
 
-    /// Plays until nobody is behind; how long that took, at most `most`.
+    /// Runs until no entry is behind, for at most `most`; returns the time that took.
     pub fn until_known(&mut self, most: Duration) -> Duration {
         let begun = self.now;
         while !self.behind().is_empty() && self.now < begun + most {
@@ -748,7 +765,7 @@
         self.now - begun
     }
 
-    /// Calls to the store while `span` is played.
+    /// Returns the number of store calls made while running for `span`.
     pub fn calls_in(&mut self, span: Duration) -> u64 {
         let before = self.calls;
         self.run(span);
--- a/crates/place/tests/proofs.rs
+++ b/crates/place/tests/proofs.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use fleet_world::{FleetWorld, REGIONS, ms, region_of};
+use place::fleet::candidate::LeadCandidate;
 use place::fleet::clock::{StoreClock, StoreTime};
 use place::fleet::message::{PeerMessage, RegionDigest};
-use place::fleet::seat::LeadSeat;
 use place::fleet::store_progress::{StoreProgress, StoreProgressMessage};
 use place::prelude::*;
 use proptest::prelude::*;
@@ -55,14 +55,17 @@
 /// Fails if an entry's knowledge claims to be more recent than a change that it lacks.
 fn check_claims(world: &FleetWorld) {
     for entry in world.live() {
-        if world.is_still(entry) {
+        if world.is_paused(entry) {
             continue;
         }
-        let (lacks, claim) = (world.lacks_since(entry), world.proof_age(entry));
-        if let (Some(lacks), Some(claim)) = (lacks, claim) {
+        let (lacks, claim_version) = (
+            world.oldest_missed_change_age(entry),
+            world.proof_age(entry),
+        );
+        if let (Some(lacks), Some(claim_version)) = (lacks, claim_version) {
             assert!(
-                claim >= lacks,
-                "entry {entry} lacks a change set {lacks:?} ago but claims an age of {claim:?}"
+                claim_version >= lacks,
+                "entry {entry} lacks a change set {lacks:?} ago but claims an age of {claim_version:?}"
             );
         }
     }
@@ -100,11 +103,11 @@
         );
         for is_silent in [false, true] {
             let mut world = settled(count);
-            let mut refused: Vec<usize> = (0..count).filter(|entry| entry % 7 < 2).collect();
-            refused.extend(world.leads(2));
-            for entry in refused {
-                world.entries[entry].refused = !is_silent;
-                world.entries[entry].silent = is_silent;
+            let mut store_rejects: Vec<usize> = (0..count).filter(|entry| entry % 7 < 2).collect();
+            store_rejects.extend(world.leads(2));
+            for entry in store_rejects {
+                world.entries[entry].store_rejects = !is_silent;
+                world.entries[entry].store_times_out = is_silent;
             }
             let used = listed(&world);
             let age = max_proof_age(&mut world, &used, ms(9000));
@@ -124,7 +127,7 @@
         let mut world = settled(64);
         let cut = listed(&world)[0];
         world.entries[cut].group = 9;
-        world.entries[cut].silent = !keeps_store;
+        world.entries[cut].store_times_out = !keeps_store;
         world.run(ms(500));
         world.change();
         let mut oldest_claim = Duration::ZERO;
@@ -174,15 +177,15 @@
         world.delays = Some((5, ms(4000)));
         for turn in 0..6 {
             let suspended_entry = listed(&world)[turn % 3];
-            world.stand_still(suspended_entry, ms(7000), suspended);
-            world.entries[suspended_entry].silent = true;
+            world.pause(suspended_entry, ms(7000), suspended);
+            world.entries[suspended_entry].store_times_out = true;
             world.run(ms(300));
             world.change();
             for _ in 0..450 {
                 world.run(ms(20));
                 check_claims(&world);
             }
-            world.entries[suspended_entry].silent = false;
+            world.entries[suspended_entry].store_times_out = false;
             world.run(ms(1000));
         }
     }
@@ -200,9 +203,9 @@
         let known = world.entries[lead].member.known();
         PeerMessage::Digest(Box::new(RegionDigest {
             incarnation: 1,
-            seat: LeadSeat {
+            candidate: LeadCandidate {
                 leads: true,
-                ..world.seat(lead)
+                ..world.candidate(lead)
             },
             region: "r0".to_owned(),
             leaving: false,
@@ -216,13 +219,13 @@
     let known_proof = world.entries[follower].member.known().proved;
     let old = digest(&world, known_proof);
     world.entries[follower].group = 9;
-    world.entries[follower].silent = true;
+    world.entries[follower].store_times_out = true;
     for turn in 0..30 {
         world.run(ms(200));
         let ahead = StoreTime(world.store_time().0 + 5_000 + turn);
         let forged = digest(&world, ahead);
-        world.tell(follower, FleetEvent::Message(forged));
-        world.tell(follower, FleetEvent::Message(old.clone()));
+        world.deliver_event(follower, FleetEvent::Message(forged));
+        world.deliver_event(follower, FleetEvent::Message(old.clone()));
     }
     let age = world.proof_age(follower).unwrap_or(Duration::MAX);
     assert!(age >= ms(5900), "{age:?}");
@@ -277,17 +280,17 @@
         Fault::Change => world.change(),
         Fault::Kill(entry) => world.kill(entry),
         Fault::StandStill(entry, span, suspended) if world.entries[entry].alive => {
-            if !world.is_still(entry) {
-                world.stand_still(entry, ms(span), suspended);
+            if !world.is_paused(entry) {
+                world.pause(entry, ms(span), suspended);
             }
         }
         Fault::StandStill(entry, ..) => world.restart(entry),
-        Fault::Refuse(entry) => world.entries[entry].refused = true,
-        Fault::Silence(entry) => world.entries[entry].silent = true,
+        Fault::Refuse(entry) => world.entries[entry].store_rejects = true,
+        Fault::Silence(entry) => world.entries[entry].store_times_out = true,
         Fault::Cut(entry) => world.entries[entry].group = 1 + (entry % REGIONS) as u32,
         Fault::Heal => {
             for entry in &mut world.entries {
-                (entry.refused, entry.silent, entry.group) = (false, false, 0);
+                (entry.store_rejects, entry.store_times_out, entry.group) = (false, false, 0);
             }
         }
         Fault::StoreDown(is_down) => world.store_down = is_down,
--- a/crates/place/tests/roster.rs
+++ b/crates/place/tests/roster.rs
@@ -1,4 +1,4 @@
-//! Which entries a lead takes as live.
+//! Liveness of entries in a lead's roster.
 
 mod common;
 
@@ -6,55 +6,64 @@
 use std::time::Instant;
 
 use common::ms;
-use place::fleet::message::EntryBeat;
-use place::fleet::roster::{BeatNews, EntryRoster};
-use place::fleet::seat::LeadSeat;
+use place::fleet::candidate::LeadCandidate;
+use place::fleet::message::EntryHeartbeat;
+use place::fleet::roster::{EntryRoster, HeartbeatOutcome};
 
-fn beat(incarnation: u64) -> EntryBeat {
+fn heartbeat(incarnation: u64) -> EntryHeartbeat {
     let address = SocketAddr::from(([127, 0, 0, 1], 81));
-    EntryBeat {
+    EntryHeartbeat {
         incarnation,
-        seat: LeadSeat {
+        candidate: LeadCandidate {
             node: "n".to_owned(),
             domain: "a1".to_owned(),
-            beat: address,
-            view: address,
+            peer_address: address,
+            view_address: address,
             capacity: 800,
-            reads: true,
+            has_store_access: true,
             leads: false,
         },
         region: "a".to_owned(),
-        front: address,
+        caller_address: address,
         rate: 0,
         ready: true,
         leaving: false,
-        seeks: false,
+        is_searching: false,
         stamp: String::new(),
     }
 }
 
-/// Promise: an entry that fell silent is left out within three seconds.
+/// An entry counts as lost after at most three seconds without a heartbeat.
 #[test]
 fn a_silent_entry_is_left_out() {
     let now = Instant::now();
     let mut roster = EntryRoster::default();
-    roster.on_beat(now, beat(1));
+    roster.on_heartbeat(now, heartbeat(1));
     assert_eq!(roster.live(now + ms(2000), "a").count(), 1);
     assert_eq!(roster.live(now + ms(3000), "a").count(), 0);
 }
 
-/// Promise: a beat of an earlier run, late on the network, doesn't undo the stop
-/// or the start that came after it.
+/// A heartbeat of an earlier incarnation that arrives late does not undo a later shutdown
+/// or start.
 #[test]
 fn a_beat_of_an_earlier_run_changes_nothing() {
     let now = Instant::now();
     let mut roster = EntryRoster::default();
-    let mut stopping = beat(2);
+    let mut stopping = heartbeat(2);
     stopping.leaving = true;
-    roster.on_beat(now, stopping);
-    assert_eq!(roster.on_beat(now + ms(1), beat(1)), BeatNews::Outdated);
-    assert!(roster.seats(now + ms(2), "a").is_empty());
-    assert_eq!(roster.on_beat(now + ms(3), beat(3)), BeatNews::Changed);
-    assert_eq!(roster.seats(now + ms(4), "a").len(), 1);
-    assert_eq!(roster.on_beat(now + ms(5), beat(3)), BeatNews::Same);
+    roster.on_heartbeat(now, stopping);
+    assert_eq!(
+        roster.on_heartbeat(now + ms(1), heartbeat(1)),
+        HeartbeatOutcome::Ignored
+    );
+    assert!(roster.candidates(now + ms(2), "a").is_empty());
+    assert_eq!(
+        roster.on_heartbeat(now + ms(3), heartbeat(3)),
+        HeartbeatOutcome::Changed
+    );
+    assert_eq!(roster.candidates(now + ms(4), "a").len(), 1);
+    assert_eq!(
+        roster.on_heartbeat(now + ms(5), heartbeat(3)),
+        HeartbeatOutcome::Unchanged
+    );
 }
