--- a/bin/lh-burn/src/collect.rs
+++ b/bin/lh-burn/src/collect.rs
@@ -29,7 +29,7 @@
     }
     let mut readings = tokio::time::interval(Duration::from_secs(arguments.period.max(1)));
     let mut count = 0;
-    let mut stop = std::pin::pin!(kernel::terminated());
+    let mut stop = std::pin::pin!(kernel::wait_for_termination());
     loop {
         tokio::select! {
             _ = readings.tick() => {}
--- a/bin/lh-burn/src/lib.rs
+++ b/bin/lh-burn/src/lib.rs
@@ -17,7 +17,7 @@
 /// Where the platform can't be reached, the settings are wrong or a file can't be written.
 pub fn run() -> Result<()> {
     let arguments = cli::Arguments::parse();
-    kernel::start_logs(log::LevelFilter::Info);
+    kernel::init_logging(log::LevelFilter::Info);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
--- a/bin/lh-burn/src/main.rs
+++ b/bin/lh-burn/src/main.rs
@@ -3,5 +3,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    kernel::finish(lh_burn::run(), lh_burn::Error::class)
+    kernel::report_exit(lh_burn::run(), lh_burn::Error::class)
 }
--- a/bin/lh-entry/src/main.rs
+++ b/bin/lh-entry/src/main.rs
@@ -3,5 +3,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    kernel::finish(lh_entry::run(), lh_entry::Error::class)
+    kernel::report_exit(lh_entry::run(), lh_entry::Error::class)
 }
--- a/bin/lh-entry/src/quarantine.rs
+++ b/bin/lh-entry/src/quarantine.rs
@@ -15,7 +15,7 @@
 pub(crate) fn read(rows: &[&Row]) -> Vec<KeptQuarantine> {
     let mut kept = Vec::new();
     for row in rows {
-        if !QuarantineRow::is_one(row) {
+        if !QuarantineRow::is_quarantine_key(row) {
             continue;
         }
         let read = QuarantineRow::read(row)
@@ -32,7 +32,7 @@
 /// Writes a row for each of `quarantines`, which began so long ago.
 pub(crate) async fn keep(state: Rc<InstanceState>, quarantines: Vec<(RequestPrint, Duration)>) {
     let writes = quarantines.iter();
-    let writes = writes.map(|(print, age)| QuarantineRow::keep(&print.key(), *age));
+    let writes = writes.map(|(print, age)| QuarantineRow::begin_write(&print.key(), *age));
     commit(&state, &writes.collect::<Vec<_>>()).await;
 }
 
@@ -40,7 +40,7 @@
 pub(crate) async fn drop_rows(state: Rc<InstanceState>, prints: Vec<RequestPrint>) {
     let writes = prints
         .iter()
-        .map(|print| QuarantineRow::delete(&print.key()));
+        .map(|print| QuarantineRow::delete_write(&print.key()));
     commit(&state, &writes.collect::<Vec<_>>()).await;
 }
 
--- a/bin/lh-entry/src/rollout.rs
+++ b/bin/lh-entry/src/rollout.rs
@@ -15,7 +15,7 @@
 use rollout::book::RolloutNote;
 use rollout::evidence::ALL_ROUTES;
 use rollout::prelude::*;
-use store::{Commit, ENTRY_TABLE, ROLLOUT_PREFIX, Row, RowWrite, TableService};
+use store::{CommitOutcome, ENTRY_TABLE, ROLLOUT_PREFIX, Row, RowWrite, TableService};
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 use tokio::time::timeout;
@@ -348,8 +348,8 @@
     let service = record.order.service.as_str();
     let phase = record.phase.as_str();
     match result {
-        Ok(Commit::Done) => log::info!(service, phase; "rollout written"),
-        Ok(Commit::Conflict) => log::info!(service, phase; "another lead wrote the rollout"),
+        Ok(CommitOutcome::Done) => log::info!(service, phase; "rollout written"),
+        Ok(CommitOutcome::Conflict) => log::info!(service, phase; "another lead wrote the rollout"),
         Err(error) => log::info!(service, phase, error:%; "rollout may not be written"),
     }
     true
--- a/bin/lh-entry/src/stop.rs
+++ b/bin/lh-entry/src/stop.rs
@@ -34,7 +34,7 @@
 /// # Errors
 /// Where the signals can't be had.
 pub(crate) async fn run(state: &Rc<InstanceState>) -> Result<()> {
-    kernel::terminated().await?;
+    kernel::wait_for_termination().await?;
     let begun = Instant::now();
     log::info!(in_flight = state.in_flight.get(); "stop requested");
     enter(state, StopPhase::Draining);
--- a/bin/lh-load/src/main.rs
+++ b/bin/lh-load/src/main.rs
@@ -3,5 +3,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    kernel::finish(lh_load::run(), |_| kernel::ExitClass::Refused)
+    kernel::report_exit(lh_load::run(), |_| kernel::ExitClass::Refused)
 }
--- a/bin/lh-soak/src/main.rs
+++ b/bin/lh-soak/src/main.rs
@@ -3,5 +3,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    kernel::finish(lh_soak::run(), lh_soak::Error::class)
+    kernel::report_exit(lh_soak::run(), lh_soak::Error::class)
 }
--- a/bin/lh-standin/src/lib.rs
+++ b/bin/lh-standin/src/lib.rs
@@ -19,7 +19,7 @@
 /// Where an address can't be used, an answer makes no sense or a promise was broken.
 pub fn run() -> Result<()> {
     let arguments = cli::Arguments::parse();
-    kernel::start_logs(if arguments.verbose {
+    kernel::init_logging(if arguments.verbose {
         LevelFilter::Debug
     } else {
         LevelFilter::Warn
--- a/bin/lh-standin/src/main.rs
+++ b/bin/lh-standin/src/main.rs
@@ -3,5 +3,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    kernel::finish(lh_standin::run(), lh_standin::Error::class)
+    kernel::report_exit(lh_standin::run(), lh_standin::Error::class)
 }
--- a/bin/lh-standin/src/servers.rs
+++ b/bin/lh-standin/src/servers.rs
@@ -115,7 +115,7 @@
 }
 
 async fn stopped() {
-    if let Err(error) = kernel::terminated().await {
+    if let Err(error) = kernel::wait_for_termination().await {
         log::error!(error:% = error; "signals can't be heard");
     }
 }
--- a/bin/lhctl/src/main.rs
+++ b/bin/lhctl/src/main.rs
@@ -3,5 +3,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    kernel::finish(lhctl::run(), lhctl::Error::class)
+    kernel::report_exit(lhctl::run(), lhctl::Error::class)
 }
--- a/bin/lhctl/src/platform.rs
+++ b/bin/lhctl/src/platform.rs
@@ -10,8 +10,8 @@
 use platform::desired::{OperatorChange, evacuation_write, state_writes};
 use platform::tables::PlatformClient;
 use store::{
-    BLOCK_PREFIX, Commit, ConfigChange, ConfigHead, ConfigStore, ENTRY_TABLE, Publication,
-    RowWrite, StoredConfig, TableService,
+    BLOCK_PREFIX, CommitOutcome, ConfigChange, ConfigHead, ConfigStore, ENTRY_TABLE,
+    PublishOutcome, RowWrite, StoredConfig, TableService,
 };
 
 use crate::error::{Error, Result};
@@ -44,7 +44,7 @@
 
     /// The head and its files; `None` before the first version.
     pub(crate) async fn present(&self) -> Result<Option<(ConfigHead, ConfigBundle)>> {
-        let present = self.configs.present().await?;
+        let present = self.configs.current().await?;
         Ok(present.map(|StoredConfig { head, files }| (head, ConfigBundle { files })))
     }
 
@@ -84,16 +84,16 @@
         let token = format!("{:032x}", rand::random::<u128>());
         let writes = in_force_writes(bundle, version, in_force)?;
         let change = ConfigChange {
-            edited,
+            base_version: edited,
             version,
             files: &bundle.files,
             author,
             token: &token,
-            in_force: &writes,
+            activation_writes: &writes,
         };
         match self.configs.publish(&change).await {
-            Ok(Publication::Accepted(head)) => Ok(head),
-            Ok(Publication::Raced(head)) => Err(self.raced(edited, before, head).await),
+            Ok(PublishOutcome::Accepted(head)) => Ok(head),
+            Ok(PublishOutcome::Conflict(head)) => Err(self.raced(edited, before, head).await),
             Err(cause @ store::Error::Unknown(_)) => Err(Error::Unknown(cause, token)),
             Err(cause) => Err(Error::Unavailable(cause)),
         }
@@ -106,8 +106,8 @@
             .map(|domain| evacuation_write(domain, evacuated))
             .collect();
         match self.configs.platform().commit(&writes).await? {
-            Commit::Done => Ok(()),
-            Commit::Conflict => Err(Error::Refused(
+            CommitOutcome::Done => Ok(()),
+            CommitOutcome::Conflict => Err(Error::Refused(
                 "the store refused the change; run it again".to_owned(),
             )),
         }
--- a/bin/lhctl/src/quarantine.rs
+++ b/bin/lhctl/src/quarantine.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use platform::tables::PlatformClient;
-use store::{Commit, ENTRY_TABLE, QuarantineRow, Row, TableService};
+use store::{CommitOutcome, ENTRY_TABLE, QuarantineRow, Row, TableService};
 
 use crate::error::{Error, Result};
 
@@ -51,8 +51,8 @@
             "more than one print begins with {print}; give more of it"
         )));
     }
-    let write = QuarantineRow::lift(&row.print).with_expected(kept.revision);
-    if client.commit(&[write]).await? == Commit::Conflict {
+    let write = QuarantineRow::lift_write(&row.print).with_expected(kept.revision);
+    if client.commit(&[write]).await? == CommitOutcome::Conflict {
         return Err(Error::Refused(
             "the row changed meanwhile; run the same again".to_owned(),
         ));
--- a/bin/lhctl/src/rollout.rs
+++ b/bin/lhctl/src/rollout.rs
@@ -9,7 +9,7 @@
 use platform::span::parse_span;
 use platform::tables::PlatformClient;
 use rollout::order::RolloutOrder;
-use store::{Commit, RowWrite, TableService};
+use store::{CommitOutcome, RowWrite, TableService};
 
 use crate::cli::RolloutCommand;
 use crate::error::{Error, Result};
@@ -162,8 +162,8 @@
 
 async fn commit(platform: SocketAddr, write: RowWrite) -> Result<()> {
     match client(platform).commit(&[write]).await? {
-        Commit::Done => Ok(()),
-        Commit::Conflict => Err(Error::Refused(
+        CommitOutcome::Done => Ok(()),
+        CommitOutcome::Conflict => Err(Error::Refused(
             "the store refused the change; run it again".to_owned(),
         )),
     }
--- a/crates/kernel/src/error.rs
+++ b/crates/kernel/src/error.rs
@@ -7,11 +7,11 @@
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Error {
         /// No service of that name has been registered yet.
-        Missing(name: &'static str) {
+        NotRegistered(name: &'static str) {
             display("no service is registered as '{}'; register it before its users", name)
         }
         /// The name is taken.
-        Taken(name: &'static str) {
+        AlreadyRegistered(name: &'static str) {
             display("a service is already registered as '{}'", name)
         }
         /// The service exists with another type.
--- a/crates/kernel/src/exit.rs
+++ b/crates/kernel/src/exit.rs
@@ -15,7 +15,7 @@
 }
 
 /// Prints the error chain, if any, and gives the exit code.
-pub fn finish<E: Error>(result: Result<(), E>, class: impl Fn(&E) -> ExitClass) -> ExitCode {
+pub fn report_exit<E: Error>(result: Result<(), E>, class: impl Fn(&E) -> ExitClass) -> ExitCode {
     let Err(error) = result else {
         return ExitCode::SUCCESS;
     };
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -20,7 +20,7 @@
 mod stop;
 
 pub use error::{Error, Result};
-pub use exit::{ExitClass, finish};
-pub use logs::start_logs;
+pub use exit::{ExitClass, report_exit};
+pub use logs::init_logging;
 pub use registry::ServiceRegistry;
-pub use stop::terminated;
+pub use stop::wait_for_termination;
--- a/crates/kernel/src/logs.rs
+++ b/crates/kernel/src/logs.rs
@@ -7,7 +7,7 @@
 use log::{LevelFilter, Record};
 
 /// Starts the logs. A second call changes nothing.
-pub fn start_logs(level: LevelFilter) {
+pub fn init_logging(level: LevelFilter) {
     let logs = fern::Dispatch::new()
         .level(level)
         .format(|out, message, record| {
--- a/crates/kernel/src/registry.rs
+++ b/crates/kernel/src/registry.rs
@@ -22,10 +22,10 @@
     /// Registers `service` under `name` and returns the shared handle.
     ///
     /// # Errors
-    /// [`Error::Taken`] when the name is in use.
+    /// [`Error::AlreadyRegistered`] when the name is in use.
     pub fn register<S: Any>(&mut self, name: &'static str, service: S) -> Result<Rc<S>> {
         if self.services.contains_key(name) {
-            return Err(Error::Taken(name));
+            return Err(Error::AlreadyRegistered(name));
         }
         let handle = Rc::new(service);
         self.services.insert(name, handle.clone());
@@ -36,9 +36,9 @@
     /// Finds the service `name`.
     ///
     /// # Errors
-    /// [`Error::Missing`] or [`Error::WrongType`].
+    /// [`Error::NotRegistered`] or [`Error::WrongType`].
     pub fn find<S: Any>(&self, name: &'static str) -> Result<Rc<S>> {
-        let service = self.services.get(name).ok_or(Error::Missing(name))?;
+        let service = self.services.get(name).ok_or(Error::NotRegistered(name))?;
         service
             .clone()
             .downcast::<S>()
--- a/crates/kernel/src/stop.rs
+++ b/crates/kernel/src/stop.rs
@@ -4,7 +4,7 @@
 ///
 /// # Errors
 /// When the signal handlers can't be installed.
-pub async fn terminated() -> std::io::Result<()> {
+pub async fn wait_for_termination() -> std::io::Result<()> {
     use tokio::signal::unix::{SignalKind, signal};
     let mut term = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
--- a/crates/store/src/config.rs
+++ b/crates/store/src/config.rs
@@ -9,18 +9,18 @@
 use std::collections::BTreeMap;
 
 use crate::error::{Error, Result};
-use crate::platform::{Commit, Row, RowWrite, TableService};
+use crate::platform::{CommitOutcome, Row, RowWrite, TableService};
 
 /// The product's own table of configuration files.
 const TABLE: &str = "laurelhill-config";
 /// Key of the head; no file's name begins with a dot.
 const HEAD_KEY: &str = ".head";
 /// Reads after a lost answer until the write counts as undecided.
-const SETTLE_READS: u32 = 3;
+const UNKNOWN_OUTCOME_READS: u32 = 3;
 /// Rows in one transaction, conditions among them; the platform's own limit.
-const TRANSACTION_ROWS: usize = 100;
+const MAX_TRANSACTION_ROWS: usize = 100;
 /// Rows and conditions of a change besides its files.
-const OTHER_ROWS: usize = 4;
+const RESERVED_ROWS: usize = 4;
 
 base::common! {
     /// The head row.
@@ -36,11 +36,11 @@
 
     /// What became of a change.
     #[derive(Eq)]
-    pub enum Publication {
+    pub enum PublishOutcome {
         /// It is the configuration now.
         Accepted(ConfigHead),
         /// Somebody else's change came first; nothing was written.
-        Raced(Option<ConfigHead>),
+        Conflict(Option<ConfigHead>),
     }
 }
 
@@ -57,8 +57,8 @@
 #[derive(Debug, Clone, Copy)]
 pub struct ConfigChange<'a> {
     /// The version that was edited; 0 before the first.
-    pub edited: u64,
-    /// The version to make; above `edited`.
+    pub base_version: u64,
+    /// The version to make; above `base_version`.
     pub version: u64,
     /// All files' texts by name.
     pub files: &'a BTreeMap<String, String>,
@@ -67,7 +67,7 @@
     /// Drawn anew for each change.
     pub token: &'a str,
     /// Writes that put it in force.
-    pub in_force: &'a [RowWrite],
+    pub activation_writes: &'a [RowWrite],
 }
 
 /// The configuration's rows in the platform's store.
@@ -97,7 +97,7 @@
     ///
     /// # Errors
     /// Where the store doesn't answer, or the head can't be read.
-    pub async fn present(&self) -> Result<Option<StoredConfig>> {
+    pub async fn current(&self) -> Result<Option<StoredConfig>> {
         let rows = self.rows().await?;
         let Some((_, head)) = rows.head else {
             return Ok(None);
@@ -114,14 +114,14 @@
     /// # Errors
     /// [`Error::Unknown`] where nobody knows whether it was made; others where
     /// nothing was written.
-    pub async fn publish(&self, change: &ConfigChange<'_>) -> Result<Publication> {
+    pub async fn publish(&self, change: &ConfigChange<'_>) -> Result<PublishOutcome> {
         let rows = self.rows().await?;
         let (revision, version) = match &rows.head {
             Some((revision, head)) => (*revision, head.version),
             None => (0, 0),
         };
-        if version != change.edited {
-            return Ok(Publication::Raced(rows.head.map(|(_, head)| head)));
+        if version != change.base_version {
+            return Ok(PublishOutcome::Conflict(rows.head.map(|(_, head)| head)));
         }
         let head = ConfigHead {
             version: change.version,
@@ -129,18 +129,18 @@
             token: change.token.to_owned(),
         };
         let mut writes = file_writes(&rows.files, change.files);
-        if writes.len() + OTHER_ROWS + change.in_force.len() > TRANSACTION_ROWS {
+        if writes.len() + RESERVED_ROWS + change.activation_writes.len() > MAX_TRANSACTION_ROWS {
             return Err(Error::Settings(format!(
                 "{} files differ; change fewer at a time",
                 writes.len()
             )));
         }
         writes.push(RowWrite::new(TABLE, HEAD_KEY, &encode(&head)?).with_expected(revision));
-        writes.extend_from_slice(change.in_force);
+        writes.extend_from_slice(change.activation_writes);
         match self.platform.commit(&writes).await {
-            Ok(Commit::Done) => Ok(Publication::Accepted(head)),
-            Ok(Commit::Conflict) => Ok(Publication::Raced(self.head().await?)),
-            Err(Error::Unknown(cause)) => self.settle(head, &cause).await,
+            Ok(CommitOutcome::Done) => Ok(PublishOutcome::Accepted(head)),
+            Ok(CommitOutcome::Conflict) => Ok(PublishOutcome::Conflict(self.head().await?)),
+            Err(Error::Unknown(cause)) => self.resolve_unknown_outcome(head, &cause).await,
             Err(error) => Err(error),
         }
     }
@@ -165,14 +165,20 @@
         row.as_ref().map(decode).transpose()
     }
 
-    async fn settle(&self, ours: ConfigHead, cause: &str) -> Result<Publication> {
-        for _ in 0..SETTLE_READS {
+    async fn resolve_unknown_outcome(
+        &self,
+        ours: ConfigHead,
+        cause: &str,
+    ) -> Result<PublishOutcome> {
+        for _ in 0..UNKNOWN_OUTCOME_READS {
             let Ok(head) = self.head().await else {
                 continue;
             };
             return match head {
-                Some(head) if head.token == ours.token => Ok(Publication::Accepted(head)),
-                Some(head) if head.version == ours.version => Ok(Publication::Raced(Some(head))),
+                Some(head) if head.token == ours.token => Ok(PublishOutcome::Accepted(head)),
+                Some(head) if head.version == ours.version => {
+                    Ok(PublishOutcome::Conflict(Some(head)))
+                }
                 Some(head) if head.version > ours.version => Err(Error::Unknown(format!(
                     "the head is at version {} already; compare it with your change",
                     head.version
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -9,9 +9,9 @@
 mod platform;
 mod quarantine;
 
-pub use config::{ConfigChange, ConfigHead, ConfigStore, Publication, StoredConfig};
+pub use config::{ConfigChange, ConfigHead, ConfigStore, PublishOutcome, StoredConfig};
 pub use error::{Error, Result};
-pub use platform::{Commit, ObjectStore, Row, RowWrite, TableService};
+pub use platform::{CommitOutcome, ObjectStore, Row, RowWrite, TableService};
 pub use quarantine::QuarantineRow;
 
 /// The product's own table, in which the entries that lead a region are found.
--- a/crates/store/src/platform.rs
+++ b/crates/store/src/platform.rs
@@ -31,7 +31,7 @@
 
     /// What became of a transaction that was answered.
     #[derive(Copy, Eq)]
-    pub enum Commit {
+    pub enum CommitOutcome {
         /// Every write took effect.
         Done,
         /// A row had another revision; nothing was written.
@@ -77,7 +77,7 @@
     fn list(&self, table: &str) -> impl Future<Output = Result<Vec<Row>>> + Send;
 
     /// Applies all `writes` or none.
-    fn commit(&self, writes: &[RowWrite]) -> impl Future<Output = Result<Commit>> + Send;
+    fn commit(&self, writes: &[RowWrite]) -> impl Future<Output = Result<CommitOutcome>> + Send;
 }
 
 /// The object store.
--- a/crates/store/src/quarantine.rs
+++ b/crates/store/src/quarantine.rs
@@ -6,7 +6,7 @@
 use crate::{ENTRY_TABLE, QUARANTINE_PREFIX};
 
 /// Begins the text of a row whose quarantine an operator has lifted.
-const LIFTED: &str = "lifted ";
+const LIFTED_PREFIX: &str = "lifted ";
 
 /// What a row says of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -21,14 +21,14 @@
 
 impl QuarantineRow {
     /// Whether the row is of a request in quarantine.
-    pub fn is_one(row: &Row) -> bool {
+    pub fn is_quarantine_key(row: &Row) -> bool {
         row.key.starts_with(QUARANTINE_PREFIX)
     }
 
     /// Reads a row; `None` where it is no such row, or its text isn't understood.
     pub fn read(row: &Row) -> Option<Self> {
         let print = row.key.strip_prefix(QUARANTINE_PREFIX)?;
-        let lifted = row.value.strip_prefix(LIFTED);
+        let lifted = row.value.strip_prefix(LIFTED_PREFIX);
         let millis = lifted.unwrap_or(&row.value).parse().ok()?;
         Some(Self {
             print: print.to_owned(),
@@ -39,19 +39,19 @@
     }
 
     /// Writes that the quarantine of `print` began so long ago.
-    pub fn keep(print: &str, age: Duration) -> RowWrite {
+    pub fn begin_write(print: &str, age: Duration) -> RowWrite {
         let since = unix_time().saturating_sub(age).as_millis();
         RowWrite::new(ENTRY_TABLE, &key(print), &since.to_string())
     }
 
     /// Writes that the quarantine of `print` is lifted now.
-    pub fn lift(print: &str) -> RowWrite {
-        let text = format!("{LIFTED}{}", unix_time().as_millis());
+    pub fn lift_write(print: &str) -> RowWrite {
+        let text = format!("{LIFTED_PREFIX}{}", unix_time().as_millis());
         RowWrite::new(ENTRY_TABLE, &key(print), &text)
     }
 
     /// Deletes the row of `print`.
-    pub fn delete(print: &str) -> RowWrite {
+    pub fn delete_write(print: &str) -> RowWrite {
         RowWrite::delete(ENTRY_TABLE, &key(print))
     }
 }
--- a/crates/store/tests/config.rs
+++ b/crates/store/tests/config.rs
@@ -4,7 +4,7 @@
 
 use platform::tables::PlatformClient;
 use platform_standin::{FakeStore, FaultPlan};
-use store::{ConfigChange, ConfigStore, Error, Publication, RowWrite, TableService};
+use store::{ConfigChange, ConfigStore, Error, PublishOutcome, RowWrite, TableService};
 
 const PATIENCE: std::time::Duration = std::time::Duration::from_millis(300);
 
@@ -14,31 +14,31 @@
 
 async fn publish<P: TableService>(
     configs: &ConfigStore<P>,
-    edited: u64,
+    base_version: u64,
     text: &str,
     token: &str,
-) -> store::Result<Publication> {
-    let in_force = [RowWrite::new("op", "config", text)];
+) -> store::Result<PublishOutcome> {
+    let activation_writes = [RowWrite::new("op", "config", text)];
     let change = ConfigChange {
-        edited,
-        version: edited + 1,
+        base_version,
+        version: base_version + 1,
         files: &files(text),
         author: "author",
         token,
-        in_force: &in_force,
+        activation_writes: &activation_writes,
     };
     configs.publish(&change).await
 }
 
 /// A change of files only.
-fn bare_change(edited: u64, files: &BTreeMap<String, String>) -> ConfigChange<'_> {
+fn bare_change(base_version: u64, files: &BTreeMap<String, String>) -> ConfigChange<'_> {
     ConfigChange {
-        edited,
-        version: edited + 1,
+        base_version,
+        version: base_version + 1,
         files,
         author: "author",
         token: "t",
-        in_force: &[],
+        activation_writes: &[],
     }
 }
 
@@ -54,7 +54,7 @@
     let (_store, configs) = configs().await;
     assert!(matches!(
         publish(&configs, 0, "one", "t1").await,
-        Ok(Publication::Accepted(_))
+        Ok(PublishOutcome::Accepted(_))
     ));
     let (a, b) = tokio::join!(
         publish(&configs, 1, "a", "ta"),
@@ -63,13 +63,13 @@
     let outcomes = [a.unwrap(), b.unwrap()];
     let mut winners = outcomes
         .iter()
-        .filter(|outcome| matches!(outcome, Publication::Accepted(_)));
-    let Some(Publication::Accepted(winner)) = winners.next() else {
+        .filter(|outcome| matches!(outcome, PublishOutcome::Accepted(_)));
+    let Some(PublishOutcome::Accepted(winner)) = winners.next() else {
         panic!("nobody won: {outcomes:?}");
     };
     assert!(winners.next().is_none());
-    assert!(outcomes.contains(&Publication::Raced(Some(winner.clone()))));
-    assert_eq!(configs.present().await.unwrap().unwrap().head.version, 2);
+    assert!(outcomes.contains(&PublishOutcome::Conflict(Some(winner.clone()))));
+    assert_eq!(configs.current().await.unwrap().unwrap().head.version, 2);
 }
 
 /// Promise: an accepted change survives a lost answer, and is accepted once.
@@ -78,14 +78,17 @@
     let (store, configs) = configs().await;
     store.set_faults(FaultPlan::lost_answers());
     let first = publish(&configs, 0, "one", "t1").await;
-    assert!(matches!(first, Ok(Publication::Accepted(_))), "{first:?}");
+    assert!(
+        matches!(first, Ok(PublishOutcome::Accepted(_))),
+        "{first:?}"
+    );
     let again = publish(&configs, 0, "one", "t2").await;
     assert!(
-        matches!(again, Ok(Publication::Raced(Some(_)))),
+        matches!(again, Ok(PublishOutcome::Conflict(Some(_)))),
         "{again:?}"
     );
     store.set_faults(FaultPlan::default());
-    assert_eq!(configs.present().await.unwrap().unwrap().head.version, 1);
+    assert_eq!(configs.current().await.unwrap().unwrap().head.version, 1);
 }
 
 /// Promise: in an outage nothing is written and that is said.
@@ -98,7 +101,7 @@
         Err(Error::Unavailable(_))
     ));
     store.set_faults(FaultPlan::default());
-    assert!(configs.present().await.unwrap().is_none());
+    assert!(configs.current().await.unwrap().is_none());
 }
 
 /// Promise: the desired state moves with the head or not at all.
@@ -108,7 +111,7 @@
     publish(&configs, 0, "\"one\"", "t1").await.unwrap();
     publish(&configs, 1, "\"two\"", "t2").await.unwrap();
     let late = publish(&configs, 1, "\"late\"", "t3").await.unwrap();
-    assert!(matches!(late, Publication::Raced(Some(_))));
+    assert!(matches!(late, PublishOutcome::Conflict(Some(_))));
     assert_eq!(store.row("op", "config").unwrap(), "two");
 }
 
@@ -132,7 +135,7 @@
         .collect();
     assert_eq!(changed, [".head", "site7.ini"]);
     assert!(!after.contains_key("site8.ini"));
-    assert_eq!(configs.present().await.unwrap().unwrap().files, all);
+    assert_eq!(configs.current().await.unwrap().unwrap().files, all);
 }
 
 /// Promise: 14,000 changes by racing operators end in exactly as many versions as were
@@ -153,15 +156,15 @@
             .await
             .unwrap()
         {
-            Publication::Accepted(head) => {
+            PublishOutcome::Accepted(head) => {
                 accepted += 1;
                 assert_eq!(head.version, accepted);
             }
-            Publication::Raced(Some(head)) => assert_eq!(head.version, accepted),
-            Publication::Raced(None) => panic!("the head was lost"),
+            PublishOutcome::Conflict(Some(head)) => assert_eq!(head.version, accepted),
+            PublishOutcome::Conflict(None) => panic!("the head was lost"),
         }
     }
-    let present = configs.present().await.unwrap().unwrap();
-    assert_eq!(present.head.version, accepted);
+    let current = configs.current().await.unwrap().unwrap();
+    assert_eq!(current.head.version, accepted);
     assert!(accepted >= 12_000);
 }
