--- a/bin/lh-entry/src/quarantine.rs
+++ b/bin/lh-entry/src/quarantine.rs
@@ -45,7 +45,7 @@
 }
 
 async fn commit(state: &InstanceState, writes: &[RowWrite]) {
-    let client = PlatformClient::new(state.config.store).with_patience(PATIENCE);
+    let client = PlatformClient::new(state.config.store).with_answer_timeout(PATIENCE);
     let result = client.commit(writes).await;
     let error = result.as_ref().err().map(store::Error::kind);
     state.metrics.on_store_call("quarantine", error);
--- a/bin/lh-entry/src/rollout.rs
+++ b/bin/lh-entry/src/rollout.rs
@@ -253,7 +253,7 @@
 }
 
 async fn tend_one(state: &InstanceState, service: &str) {
-    let client = PlatformClient::new(state.config.store).with_patience(PATIENCE);
+    let client = PlatformClient::new(state.config.store).with_answer_timeout(PATIENCE);
     let Some(row) = read_row(state, &client, service).await else {
         return;
     };
--- a/bin/lh-entry/src/state.rs
+++ b/bin/lh-entry/src/state.rs
@@ -221,7 +221,7 @@
                 }
             }
             OperatorChange::Rollout(order) => self.rollouts.on_order(order),
-            OperatorChange::EndRollout(service) => self.rollouts.on_withdrawn(service),
+            OperatorChange::CancelRollout(service) => self.rollouts.on_withdrawn(service),
         }
     }
 
--- a/bin/lh-entry/src/watch.rs
+++ b/bin/lh-entry/src/watch.rs
@@ -71,8 +71,8 @@
                 state
                     .fleet
                     .on_event(FleetEvent::StoreTime(begun, rows.time));
-                let has_news = resume.is_none() || rows.has_news;
-                let as_of = answer_time(begun, wait, Instant::now(), has_news);
+                let has_rows = resume.is_none() || rows.has_rows;
+                let as_of = answer_time(begun, wait, Instant::now(), has_rows);
                 on_rows(&state, &rows, as_of, resume.is_none());
                 state.fleet.on_event(FleetEvent::Watched(true));
             }
@@ -169,11 +169,11 @@
     drop(dependency);
     let outcome = match result {
         Ok(rows) => {
-            let has_news = is_whole || rows.has_news;
+            let has_rows = is_whole || rows.has_rows;
             let snapshot = CatalogSnapshot {
                 entries: rows.entries,
                 foreign: rows.foreign,
-                begun: answer_time(begun, wait, Instant::now(), has_news),
+                begun: answer_time(begun, wait, Instant::now(), has_rows),
                 version: rows.version,
             };
             let before = state.servers.borrow().version();
@@ -213,7 +213,7 @@
 
 /// Looks at the rows by which leads and callers' regions are found.
 pub(crate) async fn read_rows(state: Rc<InstanceState>) {
-    let client = PlatformClient::new(state.config.store).with_patience(PATIENCE);
+    let client = PlatformClient::new(state.config.store).with_answer_timeout(PATIENCE);
     let rows = match client.list(ENTRY_TABLE).await {
         Ok(rows) => rows,
         Err(error) => {
@@ -248,7 +248,7 @@
 
 /// Writes who leads the region, for entries that can't find out otherwise.
 pub(crate) async fn write_row(state: Rc<InstanceState>, leads: Vec<SocketAddr>) {
-    let client = PlatformClient::new(state.config.store).with_patience(PATIENCE);
+    let client = PlatformClient::new(state.config.store).with_answer_timeout(PATIENCE);
     let key = format!("{LEAD_PREFIX}{}", state.config.region);
     let addresses: Vec<String> = leads.iter().map(SocketAddr::to_string).collect();
     let write = [RowWrite::new(ENTRY_TABLE, &key, &addresses.join(","))];
--- a/bin/lhctl/src/platform.rs
+++ b/bin/lhctl/src/platform.rs
@@ -35,7 +35,7 @@
 
 impl ConfigDesk {
     pub(crate) fn new(address: SocketAddr) -> Self {
-        let client = PlatformClient::new(address).with_patience(PATIENCE);
+        let client = PlatformClient::new(address).with_answer_timeout(PATIENCE);
         Self {
             configs: ConfigStore::new(client),
             address,
@@ -64,7 +64,7 @@
                 OperatorChange::Evacuate(domain) => view.evacuated.push(domain),
                 OperatorChange::Restore(_)
                 | OperatorChange::Rollout(_)
-                | OperatorChange::EndRollout(_) => {}
+                | OperatorChange::CancelRollout(_) => {}
             }
         }
         Ok(view)
--- a/bin/lhctl/src/quarantine.rs
+++ b/bin/lhctl/src/quarantine.rs
@@ -66,7 +66,7 @@
 }
 
 fn client(platform: SocketAddr) -> PlatformClient {
-    PlatformClient::new(platform).with_patience(PATIENCE)
+    PlatformClient::new(platform).with_answer_timeout(PATIENCE)
 }
 
 async fn read(client: &PlatformClient) -> Result<Vec<(Row, QuarantineRow)>> {
--- a/bin/lhctl/src/rollout.rs
+++ b/bin/lhctl/src/rollout.rs
@@ -170,5 +170,5 @@
 }
 
 fn client(platform: SocketAddr) -> PlatformClient {
-    PlatformClient::new(platform).with_patience(PATIENCE)
+    PlatformClient::new(platform).with_answer_timeout(PATIENCE)
 }
--- a/crates/store/tests/config.rs
+++ b/crates/store/tests/config.rs
@@ -6,7 +6,7 @@
 use platform_standin::{FakeStore, FaultPlan};
 use store::{ConfigChange, ConfigStore, Error, PublishOutcome, RowWrite, TableService};
 
-const PATIENCE: std::time::Duration = std::time::Duration::from_millis(300);
+const ANSWER_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(300);
 
 fn files(text: &str) -> BTreeMap<String, String> {
     BTreeMap::from([("base.ini".to_owned(), text.to_owned())])
@@ -44,7 +44,7 @@
 
 async fn configs() -> (FakeStore, ConfigStore<PlatformClient>) {
     let store = FakeStore::start().await;
-    let client = PlatformClient::new(store.address()).with_patience(PATIENCE);
+    let client = PlatformClient::new(store.address()).with_answer_timeout(ANSWER_TIMEOUT);
     (store, ConfigStore::new(client))
 }
 
