--- a/bin/lh-entry/src/caller.rs
+++ b/bin/lh-entry/src/caller.rs
@@ -63,7 +63,7 @@
 impl Caller {
     /// Reads a head on the platform's interface.
     pub(crate) fn on_platform(headers: &HeaderMap) -> Self {
-        let head = headers::read_caller(headers);
+        let head = headers::parse_caller(headers);
         Self {
             interface: Interface::Platform,
             request_id: head.request_id,
--- a/bin/lh-entry/src/config.rs
+++ b/bin/lh-entry/src/config.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use conf::{CheckedSection, ProcessFile, schema};
+use conf::{CheckedSection, SettingsFile, schema};
 use place::fleet::front;
 use place::limits::budget::BudgetBounds;
 use place::placing::choice::ByteCosts;
@@ -88,7 +88,7 @@
     /// # Errors
     /// Where it can't be read, or a setting is missing or wrong.
     pub fn load(path: &Path) -> Result<Self> {
-        let file = ProcessFile::load(path, &schema::ENTRY)?;
+        let file = SettingsFile::load(path, &schema::ENTRY)?;
         let instance = file.section("instance")?;
         let entry = file.section("entry")?;
         let bounds = file.section("bounds")?;
--- a/bin/lh-entry/src/forward.rs
+++ b/bin/lh-entry/src/forward.rs
@@ -78,7 +78,7 @@
         }
         caller.name().clone_into(&mut record.id);
     }
-    let terms = match door::admit(&state, &route, headers::read_key(&parts.headers)) {
+    let terms = match door::admit(&state, &route, headers::parse_key(&parts.headers)) {
         Ok(terms) => terms,
         Err(problem) => {
             record.finish_with(&problem);
@@ -146,7 +146,7 @@
 ) -> RequestJob {
     if !state.teams.borrow().is_empty() {
         // From here on it would be shown to servers.
-        headers::strip_key(&mut parts.headers);
+        headers::remove_credentials(&mut parts.headers);
     }
     let object = caller.object.as_ref();
     let object = object.map(|key| stable_hash(key.as_bytes()));
--- a/bin/lh-entry/src/inner.rs
+++ b/bin/lh-entry/src/inner.rs
@@ -65,7 +65,7 @@
             )
         }
         platform::lookup::LOOKUP_PATH => {
-            let place = platform::lookup::read_place(query);
+            let place = platform::lookup::parse_location(query);
             match lookup::answer_platform(state, &place) {
                 Some(answer) => json(StatusCode::OK, answer),
                 None => text(StatusCode::SERVICE_UNAVAILABLE, String::new()),
--- a/bin/lh-entry/src/job.rs
+++ b/bin/lh-entry/src/job.rs
@@ -14,7 +14,7 @@
 use place::desired::RouteSpec;
 use place::placing::timing::millis;
 use place::request::{Placement, PlacementRequest, Refusal, RefusalReason, ServerOutcome};
-use platform::headers::{self, ServerHead};
+use platform::headers::{self, ServerHeaders};
 use tokio::time::timeout_at;
 
 use crate::attempt::AttemptGuard;
@@ -284,7 +284,7 @@
         (answer, sent): (Response<Incoming>, &JobBody),
     ) -> AttemptEnd {
         let (parts, body) = answer.into_parts();
-        let head = headers::read_server(parts.status, &parts.headers);
+        let head = headers::parse_server(parts.status, &parts.headers);
         if !self.answers_this(&head, &lease) {
             guard.finish(ServerOutcome::Broken, None);
             self.record.on_result("answer to another request");
@@ -357,7 +357,7 @@
 
     /// Whether the answer is to this request. One without an id can only be so
     /// on a connection that carried no other request.
-    fn answers_this(&self, head: &ServerHead, lease: &Lease) -> bool {
+    fn answers_this(&self, head: &ServerHeaders, lease: &Lease) -> bool {
         match &head.request_id {
             Some(id) => self.caller.request_id.as_ref() == Some(id),
             None => !lease.reused,
--- a/bin/lh-entry/src/lookup.rs
+++ b/bin/lh-entry/src/lookup.rs
@@ -5,7 +5,7 @@
 
 use once::Ticket;
 use place::directory::{in_order, nearest};
-use platform::lookup::{self, CallerPlace};
+use platform::lookup::{self, CallerLocation};
 use serde::Serialize;
 
 use crate::state::InstanceState;
@@ -52,7 +52,7 @@
 }
 
 /// The answer on the platform's interface; `None` where no entry takes callers.
-pub(crate) fn answer_platform(state: &InstanceState, place: &CallerPlace) -> Option<String> {
+pub(crate) fn answer_platform(state: &InstanceState, place: &CallerLocation) -> Option<String> {
     let entries = open_entries(state);
     let near = nearest(&entries, &place.region, |entry| &entry.region);
     let addresses: Vec<SocketAddr> = near
@@ -61,7 +61,7 @@
         .map(|entry| entry.address)
         .collect();
     let ttl = ttl(state);
-    (!addresses.is_empty()).then(|| lookup::write_answer(&addresses, ttl))
+    (!addresses.is_empty()).then(|| lookup::encode_answer(&addresses, ttl))
 }
 
 /// The answer on the own interface to a caller at `from`.
--- a/bin/lh-entry/src/print.rs
+++ b/bin/lh-entry/src/print.rs
@@ -64,7 +64,7 @@
 }
 
 fn is_of_attempt(name: &HeaderName) -> bool {
-    headers::is_of_attempt(name)
+    headers::is_per_attempt(name)
         || caller::is_of_attempt(name)
         || is_hop_header(name)
         || TRACE_HEADERS.contains(name)
--- a/bin/lh-entry/src/problem.rs
+++ b/bin/lh-entry/src/problem.rs
@@ -83,7 +83,7 @@
             );
         }
         match (self.retry_after, caller.interface) {
-            (Some(after), Interface::Platform) => headers::write_return(headers, after),
+            (Some(after), Interface::Platform) => headers::write_retry_after(headers, after),
             (Some(after), Interface::Own) => {
                 let seconds = after.as_millis().div_ceil(1000).max(1);
                 headers.insert(RETRY_AFTER, number(seconds));
--- a/bin/lh-entry/src/reply.rs
+++ b/bin/lh-entry/src/reply.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderName};
 use hyper::{HeaderMap, Response, StatusCode};
-use platform::headers::ServerHead;
+use platform::headers::ServerHeaders;
 
 use crate::body::AnswerBody;
 use crate::caller::Caller;
@@ -49,9 +49,9 @@
 
 /// Whether the answer may be passed on as the server's own. A refusal without
 /// the server's word that nothing ran would be a false promise.
-pub(crate) fn is_sound(status: StatusCode, headers: &HeaderMap, head: &ServerHead) -> bool {
+pub(crate) fn is_sound(status: StatusCode, headers: &HeaderMap, head: &ServerHeaders) -> bool {
     if status.is_success() {
-        return head.stamped && !headers.contains_key(header::CONTENT_ENCODING);
+        return head.has_server_stamp && !headers.contains_key(header::CONTENT_ENCODING);
     }
     !matches!(
         status,
--- a/bin/lhctl/src/team.rs
+++ b/bin/lhctl/src/team.rs
@@ -127,7 +127,7 @@
     change: impl Fn(&str) -> String,
 ) -> Result<()> {
     let header = format!("team {team}");
-    let place = bundle.place(&header, "keys")?;
+    let place = bundle.locate_key(&header, "keys")?;
     let Some((file, keys)) = place else {
         return Err(Error::Usage(format!("no file has the section [{header}]")));
     };
--- a/crates/conf/src/bundle.rs
+++ b/crates/conf/src/bundle.rs
@@ -43,8 +43,8 @@
     ///
     /// # Errors
     /// Where the files are not valid.
-    pub fn place(&self, header: &str, key: &str) -> Result<Option<(String, String)>> {
-        let sections = self.merged()?;
+    pub fn locate_key(&self, header: &str, key: &str) -> Result<Option<(String, String)>> {
+        let sections = self.merge_files()?;
         let Some(section) = sections.get(header) else {
             return Ok(None);
         };
@@ -95,7 +95,7 @@
     }
 
     /// Checks every file and merges the overlays into the base.
-    pub(crate) fn merged(&self) -> Result<MergedSections> {
+    pub(crate) fn merge_files(&self) -> Result<MergedSections> {
         let text = self.files.get(BASE_FILE).ok_or_else(|| {
             Error::Inconsistent(format!("the base is missing: add a file {BASE_FILE}"))
         })?;
@@ -115,6 +115,6 @@
     /// # Errors
     /// The first fault found, with file, section and key.
     pub fn deployment(&self) -> Result<Deployment> {
-        Deployment::new(&self.merged()?)
+        Deployment::new(&self.merge_files()?)
     }
 }
--- a/crates/conf/src/deployment.rs
+++ b/crates/conf/src/deployment.rs
@@ -25,7 +25,7 @@
     }
 
     /// What is known of a service's backend servers as a kind.
-    pub struct ServerKind {
+    pub struct ServerProfile {
         /// Expected time on one.
         pub service_time: Duration,
         /// How long one stays cold after its start.
@@ -61,7 +61,7 @@
         /// Pools that share its requests, with weights; at least one.
         pub split: Vec<(String, u32)>,
         /// Its servers.
-        pub servers: ServerKind,
+        pub servers: ServerProfile,
         /// Its objectives.
         pub objective: Objective,
     }
@@ -137,7 +137,7 @@
         for section in of_kind("pool") {
             deployment.add_pool(section)?;
         }
-        deployment.check_whole()?;
+        deployment.check_uniqueness()?;
         deployment.check_keys()?;
         Ok(deployment)
     }
@@ -146,7 +146,7 @@
         let service = service(section)?;
         for region in &service.regions {
             if !self.regions.contains_key(region) {
-                return Err(dangling(section, "region", region.as_str()));
+                return Err(undefined_name_error(section, "region", region.as_str()));
             }
         }
         if service.servers.service_time > service.deadline {
@@ -164,10 +164,14 @@
         let part = section.names()[0].clone();
         let domain = FailureDomainId::new(&section.names()[1]);
         if self.service_of(&part).is_none() {
-            return Err(dangling(section, "service", &part));
+            return Err(undefined_name_error(section, "service", &part));
         }
         if self.region_of(&domain).is_none() {
-            return Err(dangling(section, "failure domain", domain.as_str()));
+            return Err(undefined_name_error(
+                section,
+                "failure domain",
+                domain.as_str(),
+            ));
         }
         let servers = section.list("servers")?;
         self.pools.push(Pool {
@@ -179,7 +183,7 @@
         Ok(())
     }
 
-    fn check_whole(&self) -> Result<()> {
+    fn check_uniqueness(&self) -> Result<()> {
         let mut domains = BTreeMap::new();
         for region in self.regions.values() {
             for domain in &region.domains {
@@ -284,7 +288,7 @@
             .collect(),
         is_public: section.text("public")? == "yes",
         split,
-        servers: ServerKind {
+        servers: ServerProfile {
             service_time: section.duration("service_time")?,
             warm_up: section.duration("warm_up")?,
             cold_rate: section.number("cold_rate")?,
@@ -300,7 +304,7 @@
     })
 }
 
-pub(crate) fn dangling(section: &CheckedSection, what: &str, name: &str) -> Error {
+pub(crate) fn undefined_name_error(section: &CheckedSection, what: &str, name: &str) -> Error {
     Error::Dangling(
         section.file().to_owned(),
         section.header().to_owned(),
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -27,9 +27,9 @@
 mod value;
 
 pub use bundle::{BASE_FILE, ConfigBundle};
-pub use deployment::{Deployment, Objective, Pool, Region, ServerKind, Service};
+pub use deployment::{Deployment, Objective, Pool, Region, ServerProfile, Service};
 pub use error::{Error, Result};
 pub use overlay::{ChangeKind, KeyChange, diff};
-pub use process::ProcessFile;
+pub use process::SettingsFile;
 pub use section::{CheckedFile, CheckedSection};
 pub use value::{parse_duration, parse_percent, parse_size};
--- a/crates/conf/src/overlay.rs
+++ b/crates/conf/src/overlay.rs
@@ -41,7 +41,7 @@
         merged.insert(section.header().to_owned(), section.clone());
         return Ok(());
     };
-    for (key, _, value) in section.written() {
+    for (key, _, value) in section.explicit_keys() {
         match target.get(key) {
             Some((file, _)) if file != base => {
                 return Err(Error::Conflict(
@@ -110,8 +110,8 @@
 
 /// The keys that differ from `before` to `after`, by section and key.
 pub fn diff(before: &crate::ConfigBundle, after: &crate::ConfigBundle) -> Result<Vec<KeyChange>> {
-    let before = flatten(&before.merged()?);
-    let after = flatten(&after.merged()?);
+    let before = flatten(&before.merge_files()?);
+    let after = flatten(&after.merge_files()?);
     let mut changes = Vec::new();
     for ((section, key), value) in &before {
         let (kind, new) = match after.get(&(section.clone(), key.clone())) {
@@ -150,7 +150,7 @@
             (header.clone(), "(section)".to_owned()),
             "present".to_owned(),
         );
-        for (key, _, value) in section.written() {
+        for (key, _, value) in section.explicit_keys() {
             keys.insert((header.clone(), key.to_owned()), value.to_owned());
         }
     }
--- a/crates/conf/src/process.rs
+++ b/crates/conf/src/process.rs
@@ -8,11 +8,11 @@
 
 /// A program's settings file after the check.
 #[derive(Debug, Clone)]
-pub struct ProcessFile {
+pub struct SettingsFile {
     file: CheckedFile,
 }
 
-impl ProcessFile {
+impl SettingsFile {
     /// Reads and checks `path`.
     ///
     /// # Errors
--- a/crates/conf/src/schema/deployment.rs
+++ b/crates/conf/src/schema/deployment.rs
@@ -63,7 +63,7 @@
             keys: &[
                 key(
                     "repeat",
-                    ValueKind::Word(&["idempotent", "at-most-once", "upload", "download"]),
+                    ValueKind::Choice(&["idempotent", "at-most-once", "upload", "download"]),
                     None,
                     "Whether a request may be run twice; an upload is a large body that runs at most once, a download a large answer that may run again.",
                 ),
@@ -99,7 +99,7 @@
                 ),
                 key(
                     "sticky",
-                    ValueKind::Word(&["yes", "no"]),
+                    ValueKind::Choice(&["yes", "no"]),
                     Some("yes"),
                     "Whether servers are faster for objects that they handled lately.",
                 ),
@@ -111,7 +111,7 @@
                 ),
                 key(
                     "public",
-                    ValueKind::Word(&["yes", "no"]),
+                    ValueKind::Choice(&["yes", "no"]),
                     Some("no"),
                     "Whether requests need no key where the deployment has teams.",
                 ),
--- a/crates/conf/src/schema/entry.rs
+++ b/crates/conf/src/schema/entry.rs
@@ -165,7 +165,7 @@
                 ),
                 key(
                     "revoke_cut_off",
-                    ValueKind::Word(&["true", "false"]),
+                    ValueKind::Choice(&["true", "false"]),
                     Some("false"),
                     "Whether that holds for instances that hear nothing as well: they refuse requests with keys.",
                 ),
--- a/crates/conf/src/section.rs
+++ b/crates/conf/src/section.rs
@@ -36,7 +36,7 @@
     }
 
     /// The keys that were written, with file and value.
-    pub fn written(&self) -> impl Iterator<Item = (&'static str, &str, &str)> {
+    pub fn explicit_keys(&self) -> impl Iterator<Item = (&'static str, &str, &str)> {
         self.values
             .iter()
             .map(|(key, (file, value))| (*key, file.as_str(), value.as_str()))
@@ -202,12 +202,12 @@
             if header.is_empty() && properties.is_empty() {
                 continue;
             }
-            let mut section = checked_header(name, header, spec)?;
+            let mut section = check_header(name, header, spec)?;
             if sections.iter().any(|known| known.header == section.header) {
                 return Err(Error::RepeatedSection(name.to_owned(), section.header));
             }
             for (key, value) in properties {
-                let key = checked_key(name, &section, key, value)?;
+                let key = check_key(name, &section, key, value)?;
                 if !value.is_empty() || key.kind.accepts(value) {
                     section.set(key.key, name, value);
                 }
@@ -262,7 +262,7 @@
     }
 }
 
-fn checked_header(file: &str, header: &str, spec: &'static FileSpec) -> Result<CheckedSection> {
+fn check_header(file: &str, header: &str, spec: &'static FileSpec) -> Result<CheckedSection> {
     let mut words = header.split_whitespace();
     let kind = words.next().unwrap_or("");
     let names: Vec<String> = words.map(str::to_owned).collect();
@@ -295,7 +295,7 @@
     })
 }
 
-fn checked_key(
+fn check_key(
     file: &str,
     section: &CheckedSection,
     key: &str,
@@ -321,7 +321,7 @@
             file.to_owned(),
             section.header.clone(),
             key.to_owned(),
-            spec.kind.shown(value).to_owned(),
+            spec.kind.redacted(value).to_owned(),
             spec.kind.allowed(),
         ));
     }
--- a/crates/conf/src/teams.rs
+++ b/crates/conf/src/teams.rs
@@ -5,7 +5,7 @@
 use team::key::KeyDigest;
 use team::spec::{TeamQuota, TeamSpec};
 
-use crate::deployment::{Deployment, dangling};
+use crate::deployment::{Deployment, undefined_name_error};
 use crate::error::{Error, Result};
 use crate::section::CheckedSection;
 
@@ -14,21 +14,22 @@
         let team = team(section)?;
         for region in &team.home_regions {
             if !self.regions.keys().any(|known| known.as_str() == region) {
-                return Err(dangling(section, "region", region));
+                return Err(undefined_name_error(section, "region", region));
             }
         }
-        self.check_homes(section, &team)?;
+        self.check_shared_regions(section, &team)?;
         self.teams.insert(team.name.clone(), team);
         Ok(())
     }
 
     /// A team and a service that no region may serve together would be refused for good.
-    fn check_homes(&self, section: &CheckedSection, team: &TeamSpec) -> Result<()> {
+    fn check_shared_regions(&self, section: &CheckedSection, team: &TeamSpec) -> Result<()> {
         for service in self.services.values() {
             let homes = service.regions.iter().map(|region| region.as_str());
-            let mut common = homes.filter(|home| team.home_regions.iter().any(|own| own == home));
+            let mut shared_regions =
+                homes.filter(|home| team.home_regions.iter().any(|own| own == home));
             let is_bound = !service.regions.is_empty() && !team.home_regions.is_empty();
-            if is_bound && common.next().is_none() {
+            if is_bound && shared_regions.next().is_none() {
                 return Err(Error::Inconsistent(format!(
                     "{}: [{}] and [service {}] have no region in common; their requests could run nowhere",
                     section.file(),
--- a/crates/conf/src/value.rs
+++ b/crates/conf/src/value.rs
@@ -29,7 +29,7 @@
     /// Names with weights, `NAME WEIGHT`, separated by commas; may be empty.
     Weights,
     /// One of these words.
-    Word(&'static [&'static str]),
+    Choice(&'static [&'static str]),
     /// Names separated by commas.
     Names,
     /// Names separated by commas; may be empty.
@@ -48,8 +48,8 @@
         match *self {
             Self::Duration { min_ms, max_ms } => format!(
                 "a duration with its unit, {} to {}",
-                words(min_ms),
-                words(max_ms)
+                format_milliseconds(min_ms),
+                format_milliseconds(max_ms)
             ),
             Self::Percent { min, max } => format!("a percentage, {min}% to {max}%"),
             Self::Number { min, max } => format!("a number, {min} to {max}"),
@@ -64,7 +64,7 @@
             Self::Weights => {
                 "names with weights, such as `old 90, new 10`, separated by commas".into()
             }
-            Self::Word(words) => format!("one of {}", words.join(", ")),
+            Self::Choice(words) => format!("one of {}", words.join(", ")),
             Self::Names => "names separated by commas".into(),
             Self::NamesOrNone => "names separated by commas, or none".into(),
             Self::Name => "one name of letters, digits, '.', '-' and '_'".into(),
@@ -77,7 +77,7 @@
     }
 
     /// What a message may show of `text`: not what may be a key in the clear.
-    pub(crate) fn shown<'a>(&self, text: &'a str) -> &'a str {
+    pub(crate) fn redacted<'a>(&self, text: &'a str) -> &'a str {
         match self {
             Self::KeyDigests => "(not shown)",
             _ => text,
@@ -103,7 +103,7 @@
             Self::Ip => text.parse::<IpAddr>().is_ok(),
             Self::Ports => parse_ports(text).is_some(),
             Self::Weights => split_list(text).all(|part| parse_weight(part).is_some()),
-            Self::Word(words) => words.contains(&text),
+            Self::Choice(words) => words.contains(&text),
             Self::Names => !text.is_empty() && split_list(text).all(is_name),
             Self::NamesOrNone => split_list(text).all(is_name),
             Self::Name => is_name(text),
@@ -113,7 +113,7 @@
     }
 }
 
-fn words(milliseconds: u64) -> String {
+fn format_milliseconds(milliseconds: u64) -> String {
     humantime::format_duration(Duration::from_millis(milliseconds)).to_string()
 }
 
--- a/crates/conf/tests/settings.rs
+++ b/crates/conf/tests/settings.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use conf::{ChangeKind, ConfigBundle, ProcessFile, diff, schema};
+use conf::{ChangeKind, ConfigBundle, SettingsFile, diff, schema};
 use place::desired::RequestKind;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -20,7 +20,7 @@
 
 /// Every fault names file, section and key, and says what is allowed.
 #[test]
-fn faults_are_named_with_what_is_allowed() {
+fn errors_name_the_place_and_the_allowed_values() {
     let cases = [
         (
             "[pol board n-1]\nslots = 1",
@@ -143,7 +143,7 @@
 
 /// Two overlays that set one key are told of each other.
 #[test]
-fn overlays_that_clash_are_named() {
+fn conflicting_overlays_are_named() {
     let bundle = ConfigBundle::new()
         .with_file("base.ini", BASE)
         .with_file("a.ini", "[service board]\ndeadline = 3s")
@@ -157,7 +157,7 @@
 
 /// A pool of a split's part counts for its service, and what it changes is told.
 #[test]
-fn pools_count_for_their_service() {
+fn pools_of_a_split_count_for_their_service() {
     let split = BASE.to_owned() + "split = old 90, new 10\n";
     let site = "[pool old n-1]\nservers = 127.0.0.1:1, 127.0.0.1:2\nslots = 3\n\
                 [pool new n-1]\nservers = 127.0.0.1:3\nslots = 4\n";
@@ -175,7 +175,7 @@
 
 /// Promise: the desired state says what base and overlays say.
 #[test]
-fn the_desired_state_is_what_the_files_say() {
+fn the_desired_state_matches_the_files() {
     let site = "[service board]\nsplit = old 90, new 10\nregions = north\nhost = board.example\n\
                 deadline = 1500ms\ncold_rate = 7.6\nsticky = no\n";
     let bundle = ConfigBundle::new()
@@ -223,7 +223,7 @@
 
 /// The settings page holds the tables that the code checks by.
 #[test]
-fn the_settings_page_is_the_table() {
+fn the_settings_page_matches_the_schema() {
     let page = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/SETTINGS.md");
     let page = std::fs::read_to_string(page).unwrap();
     assert!(
@@ -234,7 +234,7 @@
 
 /// Whatever bytes a file holds, reading it ends in a value or an error.
 #[test]
-fn hostile_files_end_in_an_error() {
+fn arbitrary_files_do_not_panic() {
     let config = Config {
         failure_persistence: None,
         ..Config::default()
@@ -257,7 +257,7 @@
                 .with_file("base.ini", BASE)
                 .with_file("site.ini", &text);
             let _ = bundle.deployment();
-            let _ = ProcessFile::parse("entry.ini", &text, &schema::ENTRY);
+            let _ = SettingsFile::parse("entry.ini", &text, &schema::ENTRY);
             Ok(())
         })
         .unwrap();
--- a/crates/store/tests/config.rs
+++ b/crates/store/tests/config.rs
@@ -31,7 +31,7 @@
 }
 
 /// A change of files only.
-fn bare_change(base_version: u64, files: &BTreeMap<String, String>) -> ConfigChange<'_> {
+fn files_only_change(base_version: u64, files: &BTreeMap<String, String>) -> ConfigChange<'_> {
     ConfigChange {
         base_version,
         version: base_version + 1,
@@ -50,7 +50,7 @@
 
 /// Promise: of operators that race, one wins, and each loser is told the head that beat it.
 #[tokio::test]
-async fn the_loser_of_a_race_learns_the_winner() {
+async fn a_concurrent_change_reports_the_winning_head() {
     let (_store, configs) = configs().await;
     assert!(matches!(
         publish(&configs, 0, "one", "t1").await,
@@ -74,7 +74,7 @@
 
 /// Promise: an accepted change survives a lost answer, and is accepted once.
 #[tokio::test]
-async fn a_lost_answer_is_settled_by_the_token() {
+async fn a_lost_answer_is_resolved_by_the_token() {
     let (store, configs) = configs().await;
     store.set_faults(FaultPlan::lost_answers());
     let first = publish(&configs, 0, "one", "t1").await;
@@ -106,7 +106,7 @@
 
 /// Promise: the desired state moves with the head or not at all.
 #[tokio::test]
-async fn a_lost_race_leaves_the_desired_state() {
+async fn a_conflict_leaves_the_desired_state_unchanged() {
     let (store, configs) = configs().await;
     publish(&configs, 0, "\"one\"", "t1").await.unwrap();
     publish(&configs, 1, "\"two\"", "t2").await.unwrap();
@@ -122,11 +122,11 @@
     let mut all: BTreeMap<String, String> = (0..60)
         .map(|site| (format!("site{site}.ini"), "same".to_owned()))
         .collect();
-    configs.publish(&bare_change(0, &all)).await.unwrap();
+    configs.publish(&files_only_change(0, &all)).await.unwrap();
     let before = store.row_versions("laurelhill-config");
     all.insert("site7.ini".to_owned(), "other".to_owned());
     all.remove("site8.ini");
-    configs.publish(&bare_change(1, &all)).await.unwrap();
+    configs.publish(&files_only_change(1, &all)).await.unwrap();
     let after = store.row_versions("laurelhill-config");
     let changed: Vec<&String> = after
         .iter()
