--- a/crates/conf/src/bundle.rs
+++ b/crates/conf/src/bundle.rs
@@ -1,4 +1,4 @@
-//! A set of files that is accepted or refused as a whole.
+//! A set of configuration files that is accepted or rejected as a whole.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -12,20 +12,20 @@
 use crate::schema;
 use crate::section::CheckedFile;
 
-/// The base's file name.
+/// File name of the base.
 pub const BASE_FILE: &str = "base.ini";
 
 base::common! {
-    /// Base and overlays by file name.
+    /// The base and its overlays.
     #[derive(Default)]
     pub struct ConfigBundle {
-        /// Text of every file.
+        /// File contents by name.
         pub files: BTreeMap<String, String>,
     }
 }
 
 impl ConfigBundle {
-    /// An empty set.
+    /// Creates an empty set.
     pub fn new() -> Self {
         Self::default()
     }
@@ -37,12 +37,12 @@
         self
     }
 
-    /// The file that writes `key` of the section `[header]`, with the value; the first that
-    /// has the section and an empty value where none does. `None` where no file has the
-    /// section.
+    /// Finds the file that sets `key` in the section `[header]`, and the value. If no file
+    /// sets the key, returns the first file with the section and an empty value; `None` if
+    /// no file has the section.
     ///
     /// # Errors
-    /// Where the files are not valid.
+    /// If the files are invalid.
     pub fn locate_key(&self, header: &str, key: &str) -> Result<Option<(String, String)>> {
         let sections = self.merge_files()?;
         let Some(section) = sections.get(header) else {
@@ -56,10 +56,10 @@
         Ok(found.map(|(file, _)| (file.clone(), String::new())))
     }
 
-    /// Reads every `.ini` file of `folder`.
+    /// Reads all `.ini` files in `folder`.
     ///
     /// # Errors
-    /// [`Error::Unreadable`] with the path and the cause.
+    /// [`Error::Unreadable`] if the folder or a file can't be read.
     pub fn from_folder(folder: &Path) -> Result<Self> {
         let unreadable = |path: &Path, cause: std::io::Error| {
             Error::Unreadable(path.display().to_string(), cause.to_string())
@@ -78,7 +78,7 @@
         Ok(bundle)
     }
 
-    /// The hash that names this set, in hexadecimal.
+    /// The SHA-256 hash over names and contents of all files, in hexadecimal.
     pub fn hash(&self) -> String {
         let mut hasher = Sha256::new();
         for (name, text) in &self.files {
@@ -94,7 +94,7 @@
             .collect()
     }
 
-    /// Checks every file and merges the overlays into the base.
+    /// Validates each file and merges the overlays into the base.
     pub(crate) fn merge_files(&self) -> Result<MergedSections> {
         let text = self.files.get(BASE_FILE).ok_or_else(|| {
             Error::Inconsistent(format!("the base is missing: add a file {BASE_FILE}"))
@@ -110,10 +110,10 @@
         merge(&base, &overlays)
     }
 
-    /// Checks everything together and builds the deployment.
+    /// Validates all files together and builds the deployment.
     ///
     /// # Errors
-    /// The first fault found, with file, section and key.
+    /// The first error found, with file, section and key.
     pub fn deployment(&self) -> Result<Deployment> {
         Deployment::new(&self.merge_files()?)
     }
--- a/crates/conf/src/deployment.rs
+++ b/crates/conf/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The deployment that a checked set of files describes.
+//! The deployment described by a validated set of files.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,101 +12,101 @@
 use crate::value::{parse_weight, split_list};
 
 base::common! {
-    /// What good service means for one service.
+    /// Service level objectives of a service.
     pub struct Objective {
-        /// Time within which an answer is good.
+        /// Longest latency of a good answer.
         pub latency: Duration,
-        /// Share of answers that must be good.
+        /// Share of answers that must meet the latency objective.
         pub latency_goal: f64,
-        /// Share of requests that must be answered.
+        /// Share of requests that must be answered successfully.
         pub availability_goal: f64,
         /// Share of the capacity that should stay free.
         pub headroom_goal: f64,
     }
 
-    /// What is known of a service's backend servers as a kind.
+    /// Properties common to all backend servers of a service.
     pub struct ServerProfile {
-        /// Expected time on one.
+        /// Expected processing time of a request.
         pub service_time: Duration,
-        /// How long one stays cold after its start.
+        /// How long a server stays cold after its start.
         pub warm_up: Duration,
-        /// Requests a second that a cold one bears.
+        /// Requests per second that a cold server can handle.
         pub cold_rate: f64,
-        /// Connections that one takes.
+        /// Most connections that a server accepts.
         pub connections: u32,
-        /// Path of their health check.
+        /// Path of the health check.
         pub health_path: String,
     }
 
-    /// A service that callers ask for.
+    /// A service that callers request.
     pub struct Service {
-        /// Its name.
+        /// The service's name.
         pub id: ServiceId,
-        /// What may be done with a request more than once.
+        /// Whether its requests may be repeated, and whether their bodies are large.
         pub kind: RequestKind,
-        /// Host that callers ask for.
+        /// Host name in requests for the service.
         pub host: String,
-        /// Longest time of a request.
+        /// Longest time for a request.
         pub deadline: Duration,
-        /// Rank among the services; 0 is the most urgent.
+        /// Priority among the services; 0 is the most urgent.
         pub priority: u32,
         /// Most servers that one request may be sent to.
         pub max_attempts: u32,
-        /// Whether servers are faster for objects that they handled lately.
+        /// Whether servers are faster for objects that they handled recently.
         pub sticky: bool,
         /// Regions that may serve it; empty allows all.
         pub regions: Vec<RegionId>,
-        /// Whether requests need no key where there are teams.
+        /// Whether requests are accepted without a key if the deployment has teams.
         pub is_public: bool,
         /// Pools that share its requests, with weights; at least one.
         pub split: Vec<(String, u32)>,
-        /// Its servers.
+        /// Properties of its servers.
         pub servers: ServerProfile,
-        /// Its objectives.
+        /// Its service level objectives.
         pub objective: Objective,
     }
 
     /// A region and its failure domains.
     pub struct Region {
-        /// Its name.
+        /// The region's name.
         pub id: RegionId,
         /// Its failure domains.
         pub domains: Vec<FailureDomainId>,
-        /// Client blocks in CIDR form.
+        /// Address blocks of the region's clients, in CIDR notation.
         pub client_blocks: Vec<String>,
     }
 
-    /// Backend servers that a failure domain is to have for one part of a service.
+    /// Planned backend servers in a failure domain for one part of a service.
     pub struct Pool {
-        /// The part: a service's name, or one of its split.
+        /// The part: the name of a service, or a part of its split.
         pub part: String,
         /// The failure domain.
         pub domain: FailureDomainId,
-        /// The servers' addresses.
+        /// Addresses of the servers.
         pub servers: Vec<BackendServerId>,
-        /// Slots of one server.
+        /// Requests that one server runs concurrently.
         pub slots: u32,
     }
 
-    /// The whole deployment.
+    /// A complete deployment.
     pub struct Deployment {
-        /// Its name.
+        /// The deployment's name.
         pub name: String,
-        /// What callers may send.
+        /// Limits for requests of callers.
         pub limits: RequestLimits,
         /// Regions by name.
         pub regions: BTreeMap<RegionId, Region>,
         /// Services by name.
         pub services: BTreeMap<ServiceId, Service>,
-        /// Teams by name; none where requests need no key.
+        /// Teams by name. If empty, requests need no key.
         pub teams: BTreeMap<String, TeamSpec>,
-        /// Pools, by part and domain.
+        /// Pools, ordered by part and failure domain.
         pub pools: Vec<Pool>,
     }
 }
 
 impl Deployment {
-    /// Builds the deployment from merged sections and checks that they fit together.
+    /// Builds the deployment from merged sections and checks that they are consistent.
     pub(crate) fn new(sections: &MergedSections) -> Result<Self> {
         for section in sections.values() {
             section.require_keys(section.file())?;
@@ -122,7 +122,8 @@
             teams: BTreeMap::new(),
             pools: Vec::new(),
         };
-        // Services refer to regions, teams to both, pools to services and failure domains.
+        // The order matters: services refer to regions, teams to both, pools to services and
+        // failure domains.
         let of_kind = |kind: &'static str| sections.values().filter(move |s| s.kind() == kind);
         for section in of_kind("region") {
             let region = region(section)?;
@@ -151,7 +152,7 @@
         }
         if service.servers.service_time > service.deadline {
             return Err(Error::Inconsistent(format!(
-                "{}: [{}] expects a service_time beyond its deadline; every request would be refused",
+                "{}: [{}] has a service_time longer than its deadline; all requests would be refused",
                 section.file(),
                 section.header()
             )));
@@ -183,6 +184,7 @@
         Ok(())
     }
 
+    /// Checks that no failure domain is in two regions and no server in two pools.
     fn check_uniqueness(&self) -> Result<()> {
         let mut domains = BTreeMap::new();
         for region in self.regions.values() {
@@ -199,26 +201,26 @@
         for server in self.pools.iter().flat_map(|pool| &pool.servers) {
             if !servers.insert(server) {
                 return Err(Error::Inconsistent(format!(
-                    "backend server '{server}' stands in two pools, or twice in one; keep one"
+                    "backend server '{server}' is listed in two pools, or twice in one; keep one"
                 )));
             }
         }
         Ok(())
     }
 
-    /// The region of a failure domain.
+    /// The region that contains a failure domain.
     pub fn region_of(&self, domain: &FailureDomainId) -> Option<&Region> {
         let mut regions = self.regions.values();
         regions.find(|region| region.domains.contains(domain))
     }
 
-    /// The service that a part of a split belongs to.
+    /// The service that has `part` in its split.
     pub fn service_of(&self, part: &str) -> Option<&Service> {
         let mut services = self.services.values();
         services.find(|service| service.split.iter().any(|(name, _)| name == part))
     }
 
-    /// Slots that a service is to have in a region.
+    /// Total slots planned for a service in a region.
     pub fn capacity(&self, region: &str, service: &str) -> u32 {
         let mut slots = 0;
         for pool in &self.pools {
--- a/crates/conf/src/desired.rs
+++ b/crates/conf/src/desired.rs
@@ -1,12 +1,12 @@
-//! The desired state that a deployment stands for: one route a service, by the first
-//! part of a request's path.
+//! Converts a deployment to the desired state. Each service gets one route, selected by the
+//! first segment of a request's path.
 
 use place::desired::{DesiredState, RouteSpec, ServiceSpec, SplitPart};
 
 use crate::deployment::{Deployment, Service};
 
 impl Deployment {
-    /// The desired state of `version`.
+    /// The desired state for this deployment, with the given version.
     pub fn desired_state(&self, version: u64) -> DesiredState {
         let mut services = Vec::new();
         for service in self.services.values() {
--- a/crates/conf/src/edit.rs
+++ b/crates/conf/src/edit.rs
@@ -1,14 +1,14 @@
-//! Changes of one key in a file that operators write, with all else left as it stands.
+//! Edits single keys in configuration files and preserves everything else in them.
 
 use crate::value::split_list;
 
-/// Whether `text` has the section `[header]`.
+/// Whether `text` contains the section `[header]`.
 pub fn has_section(text: &str, header: &str) -> bool {
     text.lines().any(|line| is_header(line, header))
 }
 
-/// `text` with `key` of the section `[header]` set to `value`; `None` where there is no such
-/// section.
+/// Returns `text` with `key` in the section `[header]` set to `value`; `None` if there is no
+/// such section.
 pub fn set_key(text: &str, header: &str, key: &str, value: &str) -> Option<String> {
     let mut lines: Vec<String> = text.lines().map(str::to_owned).collect();
     let start = lines.iter().position(|line| is_header(line, header))?;
@@ -26,13 +26,13 @@
     Some(lines.join("\n") + "\n")
 }
 
-/// `list`, separated by commas, with `item` added.
+/// Appends `item` to the comma-separated `list`.
 pub fn with_item(list: &str, item: &str) -> String {
     let items: Vec<&str> = split_list(list).chain([item]).collect();
     items.join(", ")
 }
 
-/// `list`, separated by commas, without `item`.
+/// Removes `item` from the comma-separated `list`.
 pub fn without_item(list: &str, item: &str) -> String {
     let items: Vec<&str> = split_list(list).filter(|known| *known != item).collect();
     items.join(", ")
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -1,6 +1,6 @@
-//! Settings of laurelhill: INI files that are checked against one table of
-//! sections and keys, the deployment's base with its overlays, and the hash
-//! that names a checked set of files.
+//! Settings of laurelhill: INI files that are validated against a schema of sections and
+//! keys, and a deployment's base file with its overlays. A set of files is identified by its
+//! hash.
 //!
 //! ```
 //! let base = "[deployment]\nname = demo\n[region north]\ndomains = n-1\n\
--- a/crates/conf/src/overlay.rs
+++ b/crates/conf/src/overlay.rs
@@ -1,17 +1,18 @@
-//! Merging overlays into the base, and the difference between two merged sets.
+//! Merges overlays into the base, and compares merged sets of files.
 
 use std::collections::BTreeMap;
 
 use crate::error::{Error, Result};
 use crate::section::{CheckedFile, CheckedSection};
 
-/// Sections by header, after every overlay has been merged in.
+/// Sections by header, after all overlays have been merged.
 pub(crate) type MergedSections = BTreeMap<String, CheckedSection>;
 
 /// Merges `overlays` into `base`.
 ///
 /// # Errors
-/// Where two overlays set the same key, or an overlay repeats the base.
+/// If two overlays set the same key, an overlay sets a key to the value it has in the base,
+/// or an overlay has the section `[deployment]`.
 pub(crate) fn merge(base: &CheckedFile, overlays: &[CheckedFile]) -> Result<MergedSections> {
     let mut merged: MergedSections = base
         .sections()
@@ -68,11 +69,11 @@
     /// How a key changed.
     #[serde(rename_all = "kebab-case")]
     pub enum ChangeKind {
-        /// The key wasn't written before.
+        /// The key was not set before.
         Added,
-        /// The key isn't written any more.
+        /// The key is no longer set.
         Removed,
-        /// The key has another value.
+        /// The key has a different value.
         Changed,
     }
 
@@ -84,9 +85,9 @@
         pub key: String,
         /// How it changed.
         pub kind: ChangeKind,
-        /// The value before; empty where added.
+        /// The previous value; empty if the key was added.
         pub before: String,
-        /// The value after; empty where removed.
+        /// The new value; empty if the key was removed.
         pub after: String,
     }
 }
@@ -108,7 +109,8 @@
     }
 }
 
-/// The keys that differ from `before` to `after`, by section and key.
+/// The keys that differ between `before` and `after`, ordered by section and key. A section
+/// that was added or removed is listed as a key of its own, `(section)`.
 pub fn diff(before: &crate::ConfigBundle, after: &crate::ConfigBundle) -> Result<Vec<KeyChange>> {
     let before = flatten(&before.merge_files()?);
     let after = flatten(&after.merge_files()?);
--- a/crates/conf/src/process.rs
+++ b/crates/conf/src/process.rs
@@ -1,4 +1,4 @@
-//! Settings files of the programs.
+//! Settings files of programs.
 
 use std::path::Path;
 
@@ -6,17 +6,17 @@
 use crate::schema::FileSpec;
 use crate::section::{CheckedFile, CheckedSection};
 
-/// A program's settings file after the check.
+/// A validated settings file.
 #[derive(Debug, Clone)]
 pub struct SettingsFile {
     file: CheckedFile,
 }
 
 impl SettingsFile {
-    /// Reads and checks `path`.
+    /// Reads and validates the file at `path`.
     ///
     /// # Errors
-    /// The first fault, with file, section and key.
+    /// The first error found, with file, section and key.
     pub fn load(path: &Path, spec: &'static FileSpec) -> Result<Self> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -24,27 +24,27 @@
         Self::parse(&name, &text, spec)
     }
 
-    /// Checks `text` as the file `name`.
+    /// Validates `text`; errors refer to it as the file `name`.
     ///
     /// # Errors
-    /// The first fault, with file, section and key.
+    /// The first error found, with file, section and key.
     pub fn parse(name: &str, text: &str, spec: &'static FileSpec) -> Result<Self> {
         let file = CheckedFile::new(name, text, spec)?;
         Ok(Self { file })
     }
 
-    /// The section `kind` with all required keys.
+    /// The section `kind`, with all its required keys present.
     ///
     /// # Errors
-    /// Where the section or a required key is missing.
+    /// If the section or a required key is missing.
     pub fn section(&self, kind: &str) -> Result<&CheckedSection> {
         self.file.section(kind)
     }
 
-    /// The sections of the kind `kind`, with all required keys.
+    /// All sections of the kind `kind`, with all their required keys present.
     ///
     /// # Errors
-    /// Where a required key is missing.
+    /// If a required key is missing.
     pub fn sections_of(&self, kind: &str) -> Result<Vec<&CheckedSection>> {
         self.file.sections_of(kind)
     }
--- a/crates/conf/src/schema/deployment.rs
+++ b/crates/conf/src/schema/deployment.rs
@@ -1,4 +1,4 @@
-//! Sections and keys of a deployment's base and overlays.
+//! Schema of a deployment's base and overlays.
 
 use super::{FileSpec, HOUR_MS, SectionSpec, count, duration, key, number, percent, size};
 use crate::value::ValueKind;
@@ -11,14 +11,14 @@
             kind: "deployment",
             form: "deployment",
             names: 0,
-            doc: "What holds for the whole deployment. Only the base may have it.",
+            doc: "Settings of the whole deployment. Only the base may have this section.",
             keys: &[
                 key("name", ValueKind::Name, None, "Name of the deployment."),
                 key(
                     "max_header",
                     size(1_024, 1 << 20),
                     Some("16KB"),
-                    "Largest request head.",
+                    "Largest size of a request's line and headers.",
                 ),
                 key(
                     "max_body",
@@ -30,13 +30,13 @@
                     "header_timeout",
                     duration(100, 600_000),
                     Some("5s"),
-                    "Longest time in which a request head must be complete.",
+                    "Time within which a request's headers must be received.",
                 ),
                 key(
                     "idle_timeout",
                     duration(100, HOUR_MS),
                     Some("15s"),
-                    "Longest time for which a caller's connection may stay idle.",
+                    "Longest time that a caller's connection may stay idle.",
                 ),
             ],
         },
@@ -51,7 +51,7 @@
                     "client_blocks",
                     ValueKind::Text,
                     Some(""),
-                    "Address blocks of the clients whose home the region is, as CIDR, separated by commas.",
+                    "Address blocks of the clients whose home region this is, in CIDR notation, separated by commas.",
                 ),
             ],
         },
@@ -59,49 +59,49 @@
             kind: "service",
             form: "service NAME",
             names: 1,
-            doc: "A service that callers ask for, by the first part of a request's path.",
+            doc: "A service. Callers select it with the first segment of a request's path.",
             keys: &[
                 key(
                     "repeat",
                     ValueKind::Choice(&["idempotent", "at-most-once", "upload", "download"]),
                     None,
-                    "Whether a request may be run twice; an upload is a large body that runs at most once, a download a large answer that may run again.",
+                    "Whether a request may be executed twice. An upload has a large body and is executed at most once; a download has a large answer and may be executed again.",
                 ),
                 key(
                     "host",
                     ValueKind::Text,
                     Some("*"),
-                    "Host that callers ask for; `*` stands for any.",
+                    "Host name in requests for the service; `*` matches any.",
                 ),
                 key(
                     "deadline",
                     duration(10, HOUR_MS),
                     Some("2s"),
-                    "Longest time for a request, and its time where the caller gives none.",
+                    "Longest time for a request; also applies if the caller sets no deadline.",
                 ),
                 key(
                     "service_time",
                     duration(1, HOUR_MS),
                     Some("30ms"),
-                    "Expected time on a backend server; load that is planned or played goes by it.",
+                    "Expected processing time on a backend server. Planned and generated load is based on it.",
                 ),
                 key(
                     "priority",
                     count(0, 100),
                     Some("1"),
-                    "Rank among the services; 0 is the most urgent.",
+                    "Priority among the services; 0 is the most urgent.",
                 ),
                 key(
                     "max_attempts",
                     count(1, 10),
                     Some("2"),
-                    "Most backend servers that one request may be sent to.",
+                    "Largest number of backend servers that one request may be sent to.",
                 ),
                 key(
                     "sticky",
                     ValueKind::Choice(&["yes", "no"]),
                     Some("yes"),
-                    "Whether servers are faster for objects that they handled lately.",
+                    "Whether servers are faster for objects that they handled recently.",
                 ),
                 key(
                     "regions",
@@ -113,13 +113,13 @@
                     "public",
                     ValueKind::Choice(&["yes", "no"]),
                     Some("no"),
-                    "Whether requests need no key where the deployment has teams.",
+                    "Whether requests are accepted without a key if the deployment has teams.",
                 ),
                 key(
                     "split",
                     ValueKind::Weights,
                     Some(""),
-                    "Pools that share its requests, each with its weight, as `NAME WEIGHT`; empty stands for the pools of its own name.",
+                    "Pools that share its requests, each with its weight, as `NAME WEIGHT`; empty selects the pools with the service's name.",
                 ),
                 key(
                     "warm_up",
@@ -131,19 +131,19 @@
                     "cold_rate",
                     number(0.0, 1e6),
                     Some("5"),
-                    "Requests a second that a cold server bears from all instances together.",
+                    "Requests per second that a cold server can handle, from all instances together.",
                 ),
                 key(
                     "connections",
                     count(1, 1_000_000),
                     Some("300"),
-                    "Connections that one server takes.",
+                    "Largest number of connections that one server accepts.",
                 ),
                 key(
                     "health_path",
                     ValueKind::Text,
                     Some("/health"),
-                    "Path of its servers' health check.",
+                    "Path of the health check of its servers.",
                 ),
                 key(
                     "latency_objective",
@@ -155,13 +155,13 @@
                     "latency_goal",
                     percent(50.0, 99.999),
                     Some("99%"),
-                    "Share of answers that must be good.",
+                    "Share of answers that must meet the latency objective.",
                 ),
                 key(
                     "availability_goal",
                     percent(50.0, 99.999),
                     Some("99.9%"),
-                    "Share of requests that must get an answer that isn't an error of ours.",
+                    "Share of requests that must get an answer other than an error made by laurelhill.",
                 ),
                 key(
                     "headroom_goal",
@@ -175,31 +175,31 @@
             kind: "team",
             form: "team NAME",
             names: 1,
-            doc: "A team whose members ask with keys. Where there is one, a request needs a key, unless its service is public.",
+            doc: "A team whose members authenticate with keys. If there is a team, requests need a key unless their service is public.",
             keys: &[
                 key(
                     "keys",
                     ValueKind::KeyDigests,
                     Some(""),
-                    "Digests of its keys; `lhctl team rotate` makes a key and writes its digest here.",
+                    "Digests of its keys. `lhctl team rotate` generates a key and writes its digest here.",
                 ),
                 key(
                     "priority",
                     count(0, 100),
                     Some(""),
-                    "Rank of its requests, which goes before that of their services; 0 is the most urgent, empty leaves it to the service.",
+                    "Priority of its requests, which overrides that of the service; 0 is the most urgent, empty applies the service's priority.",
                 ),
                 key(
                     "rate",
                     number(0.0, 1e9),
                     Some("0"),
-                    "Requests a second that it may ask for, over all instances together; 0 sets no bound.",
+                    "Requests per second that it may send, over all instances together; 0 sets no limit.",
                 ),
                 key(
                     "burst",
                     number(0.0, 1e9),
                     Some("0"),
-                    "Requests on top, at once.",
+                    "Requests that it may send at once in addition to its rate.",
                 ),
                 key(
                     "regions",
@@ -213,7 +213,7 @@
             kind: "pool",
             form: "pool NAME DOMAIN",
             names: 2,
-            doc: "Backend servers that a site is to have, for checks of its capacity and for stand-ins; the running ones register themselves. NAME is a service, or a part of its split.",
+            doc: "Planned backend servers of a failure domain, for capacity checks and for stand-in servers; running servers register themselves. NAME is a service or a part of its split.",
             keys: &[
                 key(
                     "servers",
@@ -225,7 +225,7 @@
                     "slots",
                     count(1, 10_000),
                     None,
-                    "Requests that one server runs at once.",
+                    "Requests that one server runs concurrently.",
                 ),
             ],
         },
--- a/crates/conf/src/schema/mod.rs
+++ b/crates/conf/src/schema/mod.rs
@@ -1,6 +1,6 @@
-//! The table of every section and key, with kinds, defaults and bounds.
+//! The schema of settings files: all sections and keys with kinds, defaults and bounds.
 //!
-//! The checks, the defaults and the settings page all come from this table.
+//! Validation, defaults and the settings page are all derived from it.
 
 mod deployment;
 mod entry;
@@ -10,7 +10,7 @@
 
 use crate::value::ValueKind;
 
-/// Milliseconds of an hour.
+/// Milliseconds in an hour.
 const HOUR_MS: u64 = 3_600_000;
 
 /// One key of a section.
@@ -20,33 +20,33 @@
     pub key: &'static str,
     /// The value's kind and bounds.
     pub kind: ValueKind,
-    /// The value where the key is left out; `None` means the key is required.
+    /// The value if the key is not set; `None` if the key is required.
     pub default: Option<&'static str>,
-    /// What the key sets.
+    /// Description for the settings page.
     pub doc: &'static str,
 }
 
-/// One kind of section.
+/// A kind of section.
 #[derive(Debug, Clone, Copy)]
 pub struct SectionSpec {
     /// First word of the section's header.
     pub kind: &'static str,
     /// The whole header, with placeholders for names.
     pub form: &'static str,
-    /// Number of names behind the first word.
+    /// Number of names that follow the first word.
     pub names: usize,
-    /// What the section describes.
+    /// Description for the settings page.
     pub doc: &'static str,
-    /// Its keys.
+    /// Allowed keys.
     pub keys: &'static [KeySpec],
 }
 
-/// The sections that a kind of file may have.
+/// A kind of settings file.
 #[derive(Debug, Clone, Copy)]
 pub struct FileSpec {
-    /// What the file is called on the settings page.
+    /// Title on the settings page.
     pub title: &'static str,
-    /// Its sections.
+    /// Allowed sections.
     pub sections: &'static [SectionSpec],
 }
 
@@ -84,10 +84,10 @@
     ValueKind::Number { min, max }
 }
 
-/// Every kind of file, in the order of the settings page.
+/// All kinds of files, in the order of the settings page.
 pub const FILES: [FileSpec; 2] = [DEPLOYMENT, ENTRY];
 
-/// The settings page's tables as Markdown.
+/// The tables of the settings page as Markdown.
 pub fn markdown() -> String {
     let mut page = String::new();
     for file in FILES {
--- a/crates/conf/src/section.rs
+++ b/crates/conf/src/section.rs
@@ -1,4 +1,4 @@
-//! Files and sections that have been checked against the schema.
+//! Files and sections that have been validated against the schema.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -10,12 +10,13 @@
 use crate::schema::{FileSpec, KeySpec, SectionSpec};
 use crate::value::{parse_duration, parse_percent, parse_ports, parse_size, split_list};
 
-/// One section whose keys and values are known to be allowed.
+/// A section whose keys and values have been validated.
 #[derive(Debug, Clone)]
 pub struct CheckedSection {
     spec: &'static SectionSpec,
     header: String,
     names: Vec<String>,
+    /// File and value by key.
     values: BTreeMap<&'static str, (String, String)>,
 }
 
@@ -30,19 +31,19 @@
         &self.header
     }
 
-    /// The names behind the first word.
+    /// The names that follow the first word of the header.
     pub fn names(&self) -> &[String] {
         &self.names
     }
 
-    /// The keys that were written, with file and value.
+    /// The keys that are set explicitly, with file and value.
     pub fn explicit_keys(&self) -> impl Iterator<Item = (&'static str, &str, &str)> {
         self.values
             .iter()
             .map(|(key, (file, value))| (*key, file.as_str(), value.as_str()))
     }
 
-    /// The file in which the section's first key stands.
+    /// The file that sets the section's first key; empty if no key is set.
     pub fn file(&self) -> &str {
         self.values
             .values()
@@ -60,7 +61,7 @@
             .map(|(file, value)| (file.as_str(), value.as_str()))
     }
 
-    /// Fails where a required key is missing.
+    /// Fails if a required key is missing.
     pub(crate) fn require_keys(&self, file: &str) -> Result<()> {
         for key in self.spec.keys {
             if key.default.is_some() || self.values.contains_key(key.key) {
@@ -76,10 +77,10 @@
         Ok(())
     }
 
-    /// The key's text, or its default.
+    /// The value of `key`, or its default.
     ///
     /// # Errors
-    /// [`Error::MissingKey`] where a required key is absent.
+    /// [`Error::MissingKey`] if a required key is missing.
     pub fn text(&self, key: &str) -> Result<&str> {
         if let Some((_, value)) = self.get(key) {
             return Ok(value);
@@ -103,85 +104,85 @@
                 self.header.clone(),
                 key.to_owned(),
                 text.to_owned(),
-                "a value of another kind".to_owned(),
+                "a value of another type".to_owned(),
             )
         })
     }
 
-    /// The key as a duration.
+    /// The value of `key` as a duration.
     ///
     /// # Errors
-    /// Where the key is absent without a default or isn't a duration.
+    /// If a required key is missing or the value isn't a duration.
     pub fn duration(&self, key: &str) -> Result<Duration> {
         self.parsed(key, parse_duration)
     }
 
-    /// The key as a share of one.
+    /// The value of `key`, a percentage, as a fraction of one.
     ///
     /// # Errors
-    /// Where the key is absent without a default or isn't a percentage.
+    /// If a required key is missing or the value isn't a percentage.
     pub fn share(&self, key: &str) -> Result<f64> {
         self.parsed(key, parse_percent)
     }
 
-    /// The key as a size in bytes.
+    /// The value of `key` as a size in bytes.
     ///
     /// # Errors
-    /// Where the key is absent without a default or isn't a size.
+    /// If a required key is missing or the value isn't a size.
     pub fn size(&self, key: &str) -> Result<u64> {
         self.parsed(key, parse_size)
     }
 
-    /// The key as a whole number that fits `N`.
+    /// The value of `key` as an integer of type `N`.
     ///
     /// # Errors
-    /// Where the key is absent without a default or isn't such a number.
+    /// If a required key is missing or the value isn't an integer in the range of `N`.
     pub fn count<N: TryFrom<u64>>(&self, key: &str) -> Result<N> {
         self.parsed(key, |text| N::try_from(text.parse().ok()?).ok())
     }
 
-    /// The key as a number.
+    /// The value of `key` as a number.
     ///
     /// # Errors
-    /// Where the key is absent without a default or isn't a number.
+    /// If a required key is missing or the value isn't a number.
     pub fn number(&self, key: &str) -> Result<f64> {
         self.parsed(key, |text| text.parse().ok())
     }
 
-    /// The key as an IP number.
+    /// The value of `key` as an IP address.
     ///
     /// # Errors
-    /// Where the key is absent without a default or isn't one.
+    /// If a required key is missing or the value isn't an IP address.
     pub fn ip(&self, key: &str) -> Result<IpAddr> {
         self.parsed(key, |text| text.parse().ok())
     }
 
-    /// The key as two ports, the second above the first.
+    /// The value of `key` as a port range of at least two ports.
     ///
     /// # Errors
-    /// Where the key is absent without a default or isn't a pair of ports.
+    /// If a required key is missing or the value isn't a port range.
     pub fn ports(&self, key: &str) -> Result<(u16, u16)> {
         self.parsed(key, parse_ports)
     }
 
-    /// The key as an address.
+    /// The value of `key` as a socket address.
     ///
     /// # Errors
-    /// Where the key is absent without a default or isn't an address.
+    /// If a required key is missing or the value isn't a socket address.
     pub fn address(&self, key: &str) -> Result<SocketAddr> {
         self.parsed(key, |text| text.parse().ok())
     }
 
-    /// The key as a list of words.
+    /// The value of `key` as a list, split at commas.
     ///
     /// # Errors
-    /// Where the key is absent without a default.
+    /// If a required key is missing.
     pub fn list(&self, key: &str) -> Result<Vec<&str>> {
         Ok(split_list(self.text(key)?).collect())
     }
 }
 
-/// A file whose sections and keys are known to be allowed.
+/// A file whose sections, keys and values have been validated.
 #[derive(Debug, Clone)]
 pub struct CheckedFile {
     name: String,
@@ -189,10 +190,11 @@
 }
 
 impl CheckedFile {
-    /// Reads `text` and checks sections, keys and values, but not that required keys are there.
+    /// Parses `text` and validates sections, keys and values. Doesn't check that required
+    /// keys are present, as another file may set them.
     ///
     /// # Errors
-    /// The first fault found, with file, section and key.
+    /// The first error found, with file, section and key.
     pub fn new(name: &str, text: &str, spec: &'static FileSpec) -> Result<Self> {
         let ini = Ini::load_from_str_noescape(text)
             .map_err(|cause| Error::Syntax(name.to_owned(), cause.to_string()))?;
@@ -225,15 +227,15 @@
         &self.name
     }
 
-    /// The sections in the order of the file.
+    /// All sections in the order of the file.
     pub fn sections(&self) -> &[CheckedSection] {
         &self.sections
     }
 
-    /// The sections of the kind `kind`, each with every required key there.
+    /// All sections of the kind `kind`, with all their required keys present.
     ///
     /// # Errors
-    /// Where a required key of one is missing.
+    /// If a required key is missing.
     pub fn sections_of(&self, kind: &str) -> Result<Vec<&CheckedSection>> {
         let mut found = Vec::new();
         for section in self
@@ -247,10 +249,10 @@
         Ok(found)
     }
 
-    /// The section `kind`, with every required key there.
+    /// The section `kind`, with all its required keys present.
     ///
     /// # Errors
-    /// Where the section or one of its required keys is missing.
+    /// If the section or a required key is missing.
     pub fn section(&self, kind: &str) -> Result<&CheckedSection> {
         let section = self
             .sections
@@ -310,7 +312,7 @@
             allowed.join(", "),
         ));
     };
-    // A template leaves empty what isn't set; the default stands for it.
+    // Templates leave unset values empty; the default applies to them.
     let allowed = match (value.is_empty(), spec.default) {
         (true, Some(_)) => true,
         (true, None) => false,
--- a/crates/conf/src/teams.rs
+++ b/crates/conf/src/teams.rs
@@ -1,4 +1,4 @@
-//! Teams of a deployment: `[team NAME]`.
+//! Teams of a deployment, from sections `[team NAME]`.
 
 use std::collections::BTreeMap;
 
@@ -22,7 +22,8 @@
         Ok(())
     }
 
-    /// A team and a service that no region may serve together would be refused for good.
+    /// Checks that the team shares a region with each service. Otherwise its requests to the
+    /// service would always be refused.
     fn check_shared_regions(&self, section: &CheckedSection, team: &TeamSpec) -> Result<()> {
         for service in self.services.values() {
             let homes = service.regions.iter().map(|region| region.as_str());
@@ -31,7 +32,7 @@
             let is_bound = !service.regions.is_empty() && !team.home_regions.is_empty();
             if is_bound && shared_regions.next().is_none() {
                 return Err(Error::Inconsistent(format!(
-                    "{}: [{}] and [service {}] have no region in common; their requests could run nowhere",
+                    "{}: [{}] and [service {}] have no region in common; their requests would always be refused",
                     section.file(),
                     section.header(),
                     service.id
@@ -41,14 +42,14 @@
         Ok(())
     }
 
-    /// Whose a key is must be certain.
+    /// Checks that no key belongs to two teams, so that a key identifies its team.
     pub(crate) fn check_keys(&self) -> Result<()> {
         let mut holders: BTreeMap<KeyDigest, &str> = BTreeMap::new();
         for team in self.teams.values() {
             for key in &team.keys {
                 if let Some(other) = holders.insert(*key, &team.name) {
                     return Err(Error::Inconsistent(format!(
-                        "the key {key} stands in [team {other}] and [team {}]; keep one",
+                        "the key {key} is listed in [team {other}] and [team {}]; keep one",
                         team.name
                     )));
                 }
@@ -64,7 +65,7 @@
     let priority = section.text("priority")?;
     Ok(TeamSpec {
         name: section.names()[0].clone(),
-        // What the kind of the key has checked.
+        // Invalid digests were already rejected when the section was validated.
         keys: keys.filter_map(std::result::Result::ok).collect(),
         priority: priority.parse().ok(),
         quota: TeamQuota::new(section.number("rate")?, section.number("burst")?),
--- a/crates/conf/src/value.rs
+++ b/crates/conf/src/value.rs
@@ -1,40 +1,40 @@
-//! Kinds of values, their bounds, and how each is read.
+//! Kinds of values, with their bounds and parsers.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
 use team::key::KeyDigest;
 
-/// The kind of a value with its bounds, both ends included.
+/// The kind of a value, with inclusive bounds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ValueKind {
-    /// A length of time such as `250ms`, in milliseconds.
+    /// A duration such as `250ms`; bounds in milliseconds.
     Duration { min_ms: u64, max_ms: u64 },
-    /// A share such as `12.5%`.
+    /// A percentage such as `12.5%`.
     Percent { min: f64, max: f64 },
-    /// A number, whole or not.
+    /// A floating-point number.
     Number { min: f64, max: f64 },
-    /// A whole number.
+    /// An integer.
     Count { min: u64, max: u64 },
-    /// A size such as `64KB`, in bytes.
+    /// A size such as `64KB`; bounds in bytes.
     Size { min: u64, max: u64 },
-    /// One address, `IP:port`.
+    /// A socket address, `IP:port`.
     Address,
-    /// Addresses separated by commas; may be empty.
+    /// Socket addresses separated by commas; may be empty.
     Addresses,
-    /// One IP number.
+    /// An IP address without a port.
     Ip,
-    /// Two ports, `FIRST-LAST`, the second above the first.
+    /// A port range `FIRST-LAST` of at least two ports.
     Ports,
     /// Names with weights, `NAME WEIGHT`, separated by commas; may be empty.
     Weights,
-    /// One of these words.
+    /// One of the given words.
     Choice(&'static [&'static str]),
     /// Names separated by commas.
     Names,
     /// Names separated by commas; may be empty.
     NamesOrNone,
-    /// One name: letters, digits, `.`, `-` and `_`.
+    /// A name of letters, digits, `.`, `-` and `_`.
     Name,
     /// Digests of keys, separated by commas; may be empty.
     KeyDigests,
@@ -43,7 +43,7 @@
 }
 
 impl ValueKind {
-    /// What is allowed, in words for an error message and the settings page.
+    /// Describes the allowed values, for error messages and the settings page.
     pub fn allowed(&self) -> String {
         match *self {
             Self::Duration { min_ms, max_ms } => format!(
@@ -59,7 +59,7 @@
             }
             Self::Address => "one IP address with its port, such as 127.0.0.1:7000".into(),
             Self::Addresses => "IP addresses with ports, separated by commas".into(),
-            Self::Ip => "one IP number".into(),
+            Self::Ip => "one IP address".into(),
             Self::Ports => "two ports, such as 7620-7635".into(),
             Self::Weights => {
                 "names with weights, such as `old 90, new 10`, separated by commas".into()
@@ -76,7 +76,8 @@
         }
     }
 
-    /// What a message may show of `text`: not what may be a key in the clear.
+    /// The part of `text` that a message may show. Hides values that may contain a key in
+    /// plain text.
     pub(crate) fn redacted<'a>(&self, text: &'a str) -> &'a str {
         match self {
             Self::KeyDigests => "(not shown)",
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Whether `text` is a value of this kind and inside its bounds.
+    /// Whether `text` is a value of this kind and within its bounds.
     pub fn accepts(&self, text: &str) -> bool {
         match *self {
             Self::Duration { min_ms, max_ms } => parse_duration(text).is_some_and(|d| {
@@ -124,14 +125,14 @@
             .all(|c| c.is_ascii_alphanumeric() || matches!(c, '.' | '-' | '_'))
 }
 
-/// The parts of a comma-separated list, trimmed, without empty ones.
+/// The items of a comma-separated list, trimmed and without empty ones.
 pub(crate) fn split_list(text: &str) -> impl Iterator<Item = &str> {
     text.split(',')
         .map(str::trim)
         .filter(|part| !part.is_empty())
 }
 
-/// Reads a duration such as `14s`, `2.5s` or `1m 30s`.
+/// Parses a duration such as `14s`, `2.5s` or `1m 30s`.
 pub fn parse_duration(text: &str) -> Option<Duration> {
     if let Ok(duration) = humantime::parse_duration(text) {
         return Some(duration);
@@ -140,26 +141,26 @@
     Duration::try_from_secs_f64(seconds).ok()
 }
 
-/// Reads two ports such as `7620-7635`, of which the second is higher.
+/// Parses a port range such as `7620-7635`; the second port must be higher.
 pub(crate) fn parse_ports(text: &str) -> Option<(u16, u16)> {
     let (first, last) = text.split_once('-')?;
     let (first, last) = (first.trim().parse().ok()?, last.trim().parse().ok()?);
     (first < last).then_some((first, last))
 }
 
-/// Reads a name with its weight such as `new 10`.
+/// Parses a name with a weight such as `new 10`.
 pub(crate) fn parse_weight(text: &str) -> Option<(&str, u32)> {
     let (name, weight) = text.trim().split_once(char::is_whitespace)?;
     is_name(name).then_some((name, weight.trim().parse().ok()?))
 }
 
-/// Reads a percentage such as `10%` as a share of one.
+/// Parses a percentage such as `10%` to a fraction of one.
 pub fn parse_percent(text: &str) -> Option<f64> {
     let number: f64 = text.strip_suffix('%')?.trim().parse().ok()?;
     number.is_finite().then_some(number / 100.0)
 }
 
-/// Reads a size such as `64KB` in bytes; units are powers of 1024.
+/// Parses a size such as `64KB` to bytes; units are powers of 1024.
 pub fn parse_size(text: &str) -> Option<u64> {
     const UNITS: [(&str, u64); 4] = [("KB", 1 << 10), ("MB", 1 << 20), ("GB", 1 << 30), ("B", 1)];
     for (suffix, factor) in UNITS {
--- a/crates/conf/tests/settings.rs
+++ b/crates/conf/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: what is refused, in which words, and what is accepted.
+//! Validation of settings and its error messages.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     bundle.deployment().unwrap_err().to_string()
 }
 
-/// Every fault names file, section and key, and says what is allowed.
+/// Error messages name file, section and key, and say which values are allowed.
 #[test]
 fn errors_name_the_place_and_the_allowed_values() {
     let cases = [
@@ -40,11 +40,11 @@
         ),
         (
             "[pool board n-1]\nservers = here\nslots = 1",
-            "servers = 'here' can't be used; allowed: IP addresses",
+            "servers = 'here' is invalid; allowed: IP addresses",
         ),
         (
             "[service board]\ndeadline = 5",
-            "deadline = '5' can't be used; allowed: a duration with its unit",
+            "deadline = '5' is invalid; allowed: a duration with its unit",
         ),
         (
             "[service board]\nmax_attempts = 0",
@@ -52,7 +52,7 @@
         ),
         (
             "[service board]\nrepeat = idempotent",
-            "repeats the base and changes nothing",
+            "repeats the base and has no effect",
         ),
         (
             "[deployment]\nname = x",
@@ -60,39 +60,42 @@
         ),
         (
             "[pool desk n-1]\nservers = 127.0.0.1:1\nslots = 1",
-            "names the service 'desk', which is defined nowhere",
+            "refers to the service 'desk', which is not defined",
         ),
         (
             "[pool board n-2]\nservers = 127.0.0.1:1\nslots = 1",
-            "names the failure domain 'n-2'",
+            "refers to the failure domain 'n-2'",
         ),
         (
             "[service board]\nregions = south",
-            "names the region 'south'",
+            "refers to the region 'south'",
         ),
         (
             "[service board]\nsplit = old, new 10",
-            "split = 'old, new 10' can't be used; allowed: names with weights",
+            "split = 'old, new 10' is invalid; allowed: names with weights",
         ),
         ("[service board]\ncold_rate = fast", "a number, 0 to"),
-        ("[service board]\nservice_time = 1h", "beyond its deadline"),
+        (
+            "[service board]\nservice_time = 1h",
+            "longer than its deadline",
+        ),
         (
             "[region south]\ndomains = n-1",
             "failure domain 'n-1' is in the regions",
         ),
         (
             "[pool board n-1]\nservers = 127.0.0.1:1, 127.0.0.1:1\nslots = 1",
-            "stands in two pools, or twice",
+            "is listed in two pools, or twice",
         ),
         (
             "[team red]\nkeys = hunter2",
-            "keys = '(not shown)' can't be used; allowed: digests of keys",
+            "keys = '(not shown)' is invalid; allowed: digests of keys",
         ),
-        ("[team red]\nregions = east", "names the region 'east'"),
+        ("[team red]\nregions = east", "refers to the region 'east'"),
         ("[team red]\nrate = -1", "a number, 0 to"),
         (
             "[region south]\ndomains = s-1\n[region south]\ndomains = s-2",
-            "stands twice",
+            "appears twice",
         ),
     ];
     for (overlay, words) in cases {
@@ -104,8 +107,8 @@
     assert!(refusal("[region north]\ndomains = n-1", "").contains("[deployment] is missing"));
 }
 
-/// A deployment's teams are read; a key of two teams, and a team without a region in common
-/// with a service, are named.
+/// Teams are read into the desired state. A key that belongs to two teams and a team that
+/// shares no region with a service are rejected.
 #[test]
 fn teams_are_read_and_checked() {
     let (one, two) = (KeyDigest::of(b"one"), KeyDigest::of(b"two"));
@@ -133,7 +136,7 @@
     let shared = format!("{teams}[team blue]\nkeys = {}\n", two.to_text());
     let message = refusal(BASE, &shared);
     assert!(
-        message.contains(&format!("the key {two} stands in")),
+        message.contains(&format!("the key {two} is listed in")),
         "{message}"
     );
     let at_home = BASE.to_owned() + "regions = south\n";
@@ -141,7 +144,7 @@
     assert!(message.contains("have no region in common"), "{message}");
 }
 
-/// Two overlays that set one key are told of each other.
+/// If two overlays set the same key, the error names both.
 #[test]
 fn conflicting_overlays_are_named() {
     let bundle = ConfigBundle::new()
@@ -155,7 +158,8 @@
     );
 }
 
-/// A pool of a split's part counts for its service, and what it changes is told.
+/// Pools for parts of a split count towards the capacity of their service, and the difference
+/// lists their keys as added.
 #[test]
 fn pools_of_a_split_count_for_their_service() {
     let split = BASE.to_owned() + "split = old 90, new 10\n";
@@ -173,7 +177,7 @@
     assert_eq!(changes.len(), 6);
 }
 
-/// Promise: the desired state says what base and overlays say.
+/// The desired state contains the merged settings of base and overlays.
 #[test]
 fn the_desired_state_matches_the_files() {
     let site = "[service board]\nsplit = old 90, new 10\nregions = north\nhost = board.example\n\
@@ -206,7 +210,7 @@
     assert_eq!(servers, [("old", 7.6), ("new", 7.6)]);
 }
 
-/// The deployments that are shipped are valid and have the brief's sizes.
+/// The example deployments in `deploy` are valid and have the specified sizes.
 #[test]
 fn shipped_deployments_are_valid() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
@@ -221,18 +225,18 @@
     }
 }
 
-/// The settings page holds the tables that the code checks by.
+/// The settings page contains the tables generated from the schema.
 #[test]
 fn the_settings_page_matches_the_schema() {
     let page = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/SETTINGS.md");
     let page = std::fs::read_to_string(page).unwrap();
     assert!(
         page.ends_with(&schema::markdown()),
-        "run `lhctl settings` and paste it into the page"
+        "run `lhctl settings` and paste its output into the page"
     );
 }
 
-/// Whatever bytes a file holds, reading it ends in a value or an error.
+/// Reading files of arbitrary text returns a value or an error and doesn't panic.
 #[test]
 fn arbitrary_files_do_not_panic() {
     let config = Config {
