--- a/crates/conf/src/deployment.rs
+++ b/crates/conf/src/deployment.rs
@@ -111,12 +111,12 @@
         for section in sections.values() {
             section.require_keys(section.file())?;
         }
-        let head = sections.get("deployment").ok_or_else(|| {
+        let deployment_section = sections.get("deployment").ok_or_else(|| {
             Error::MissingSection(crate::BASE_FILE.to_owned(), "deployment".to_owned())
         })?;
         let mut deployment = Self {
-            name: head.text("name")?.to_owned(),
-            limits: limits(head)?,
+            name: deployment_section.text("name")?.to_owned(),
+            limits: parse_limits(deployment_section)?,
             regions: BTreeMap::new(),
             services: BTreeMap::new(),
             teams: BTreeMap::new(),
@@ -126,7 +126,7 @@
         // failure domains.
         let of_kind = |kind: &'static str| sections.values().filter(move |s| s.kind() == kind);
         for section in of_kind("region") {
-            let region = region(section)?;
+            let region = parse_region(section)?;
             deployment.regions.insert(region.id.clone(), region);
         }
         for section in of_kind("service") {
@@ -144,7 +144,7 @@
     }
 
     fn add_service(&mut self, section: &CheckedSection) -> Result<()> {
-        let service = service(section)?;
+        let service = parse_service(section)?;
         for region in &service.regions {
             if !self.regions.contains_key(region) {
                 return Err(undefined_name_error(section, "region", region.as_str()));
@@ -239,18 +239,19 @@
     }
 }
 
-fn limits(head: &CheckedSection) -> Result<RequestLimits> {
-    let bytes =
-        |key| -> Result<usize> { Ok(usize::try_from(head.size(key)?).unwrap_or(usize::MAX)) };
+fn parse_limits(deployment_section: &CheckedSection) -> Result<RequestLimits> {
+    let bytes = |key| -> Result<usize> {
+        Ok(usize::try_from(deployment_section.size(key)?).unwrap_or(usize::MAX))
+    };
     Ok(RequestLimits {
         header_bytes: bytes("max_header")?,
         body_bytes: bytes("max_body")?,
-        header_timeout: head.duration("header_timeout")?,
-        idle_timeout: head.duration("idle_timeout")?,
+        header_timeout: deployment_section.duration("header_timeout")?,
+        idle_timeout: deployment_section.duration("idle_timeout")?,
     })
 }
 
-fn region(section: &CheckedSection) -> Result<Region> {
+fn parse_region(section: &CheckedSection) -> Result<Region> {
     let domains = section.list("domains")?;
     let blocks = section.list("client_blocks")?;
     Ok(Region {
@@ -260,7 +261,7 @@
     })
 }
 
-fn service(section: &CheckedSection) -> Result<Service> {
+fn parse_service(section: &CheckedSection) -> Result<Service> {
     let id = ServiceId::new(&section.names()[0]);
     let kind = match section.text("repeat")? {
         "idempotent" => RequestKind::Idempotent,
--- a/crates/conf/src/desired.rs
+++ b/crates/conf/src/desired.rs
@@ -16,7 +16,7 @@
         }
         DesiredState {
             version,
-            routes: self.services.values().map(route).collect(),
+            routes: self.services.values().map(route_spec).collect(),
             services,
             teams: self.teams.values().cloned().collect(),
             limits: self.limits,
@@ -24,7 +24,7 @@
     }
 }
 
-fn route(service: &Service) -> RouteSpec {
+fn route_spec(service: &Service) -> RouteSpec {
     let parts = service.split.iter().map(|(part, weight)| SplitPart {
         service: part.clone(),
         weight: *weight,
--- a/crates/conf/src/edit.rs
+++ b/crates/conf/src/edit.rs
@@ -17,11 +17,11 @@
         .iter()
         .position(|line| line.trim_start().starts_with('['));
     let end = length.map_or(lines.len(), |length| start + 1 + length);
-    let set = format!("{key} = {value}");
+    let assignment = format!("{key} = {value}");
     let known = (start + 1..end).find(|index| is_key(&lines[*index], key));
     match known {
-        Some(index) => lines[index] = set,
-        None => lines.insert(start + 1, set),
+        Some(index) => lines[index] = assignment,
+        None => lines.insert(start + 1, assignment),
     }
     Some(lines.join("\n") + "\n")
 }
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -20,9 +20,9 @@
 pub mod edit;
 mod error;
 mod overlay;
-mod process;
 pub mod schema;
 mod section;
+mod settings_file;
 mod teams;
 mod value;
 
@@ -30,6 +30,6 @@
 pub use deployment::{Deployment, Objective, Pool, Region, ServerProfile, Service};
 pub use error::{Error, Result};
 pub use overlay::{ChangeKind, KeyChange, diff};
-pub use process::SettingsFile;
 pub use section::{CheckedFile, CheckedSection};
+pub use settings_file::SettingsFile;
 pub use value::{parse_duration, parse_percent, parse_size};
--- a/crates/conf/src/teams.rs
+++ b/crates/conf/src/teams.rs
@@ -11,7 +11,7 @@
 
 impl Deployment {
     pub(crate) fn add_team(&mut self, section: &CheckedSection) -> Result<()> {
-        let team = team(section)?;
+        let team = parse_team(section)?;
         for region in &team.home_regions {
             if !self.regions.keys().any(|known| known.as_str() == region) {
                 return Err(undefined_name_error(section, "region", region));
@@ -26,11 +26,11 @@
     /// service would always be refused.
     fn check_shared_regions(&self, section: &CheckedSection, team: &TeamSpec) -> Result<()> {
         for service in self.services.values() {
-            let homes = service.regions.iter().map(|region| region.as_str());
+            let service_regions = service.regions.iter().map(|region| region.as_str());
             let mut shared_regions =
-                homes.filter(|home| team.home_regions.iter().any(|own| own == home));
-            let is_bound = !service.regions.is_empty() && !team.home_regions.is_empty();
-            if is_bound && shared_regions.next().is_none() {
+                service_regions.filter(|home| team.home_regions.iter().any(|own| own == home));
+            let are_both_restricted = !service.regions.is_empty() && !team.home_regions.is_empty();
+            if are_both_restricted && shared_regions.next().is_none() {
                 return Err(Error::Inconsistent(format!(
                     "{}: [{}] and [service {}] have no region in common; their requests would always be refused",
                     section.file(),
@@ -59,7 +59,7 @@
     }
 }
 
-fn team(section: &CheckedSection) -> Result<TeamSpec> {
+fn parse_team(section: &CheckedSection) -> Result<TeamSpec> {
     let regions = section.list("regions")?;
     let keys = section.list("keys")?.into_iter().map(KeyDigest::parse);
     let priority = section.text("priority")?;
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -15,12 +15,12 @@
 
 mod error;
 mod exit;
-mod logs;
+mod logging;
 mod registry;
-mod stop;
+mod signals;
 
 pub use error::{Error, Result};
 pub use exit::{ExitClass, report_exit};
-pub use logs::init_logging;
+pub use logging::init_logging;
 pub use registry::ServiceRegistry;
-pub use stop::wait_for_termination;
+pub use signals::wait_for_termination;
