--- a/crates/kernel/src/error.rs
+++ b/crates/kernel/src/error.rs
@@ -16,7 +16,7 @@
         }
         /// The service under the name has another type than requested.
         WrongType(name: &'static str) {
-            display("the service '{}' has another type than the one asked for", name)
+            display("the service '{}' has another type than requested", name)
         }
     }
 }
