--- a/crates/conf/src/schema/entry.rs
+++ b/crates/conf/src/schema/entry.rs
@@ -215,13 +215,13 @@
                     "processor_share",
                     number(0.0, 1024.0),
                     Some("1"),
-                    "Processor cores available to the process; may be a fraction.",
+                    "Share of a processor core that the process may use.",
                 ),
                 key(
                     "processor_speed",
                     number(0.0, 1024.0),
                     Some("1"),
-                    "Speed of a core relative to a usual one.",
+                    "Speed of that core relative to a usual one.",
                 ),
                 key(
                     "link_megabits",
