--- a/bin/lh-entry/src/quarantine.rs
+++ b/bin/lh-entry/src/quarantine.rs
@@ -15,7 +15,7 @@
 pub(crate) fn read(rows: &[&Row]) -> Vec<StoredQuarantine> {
     let mut kept = Vec::new();
     for row in rows {
-        if !QuarantineRow::is_one(row) {
+        if !QuarantineRow::is_quarantine_key(row) {
             continue;
         }
         let read = QuarantineRow::read(row)
@@ -35,7 +35,7 @@
     quarantines: Vec<(RequestFingerprint, Duration)>,
 ) {
     let writes = quarantines.iter();
-    let writes = writes.map(|(print, age)| QuarantineRow::keep(&print.key(), *age));
+    let writes = writes.map(|(print, age)| QuarantineRow::begin_write(&print.key(), *age));
     commit(&state, &writes.collect::<Vec<_>>()).await;
 }
 
@@ -43,12 +43,12 @@
 pub(crate) async fn drop_rows(state: Rc<InstanceState>, prints: Vec<RequestFingerprint>) {
     let writes = prints
         .iter()
-        .map(|print| QuarantineRow::delete(&print.key()));
+        .map(|print| QuarantineRow::delete_write(&print.key()));
     commit(&state, &writes.collect::<Vec<_>>()).await;
 }
 
 async fn commit(state: &InstanceState, writes: &[RowWrite]) {
-    let client = PlatformClient::new(state.config.store).with_patience(PATIENCE);
+    let client = PlatformClient::new(state.config.store).with_answer_timeout(PATIENCE);
     let result = client.commit(writes).await;
     let error = result.as_ref().err().map(store::Error::kind);
     state.metrics.on_store_call("quarantine", error);
--- a/crates/conf/src/desired.rs
+++ b/crates/conf/src/desired.rs
@@ -1,12 +1,12 @@
-//! The desired state that a deployment stands for: one route a service, by the first
-//! part of a request's path.
+//! Converts a deployment to the desired state. Each service gets one route, selected by the
+//! first segment of a request's path.
 
 use place::desired::{DesiredState, RouteSpec, ServiceSpec, SplitPart};
 
 use crate::deployment::{Deployment, Service};
 
 impl Deployment {
-    /// The desired state of `version`.
+    /// The desired state for this deployment, with the given version.
     pub fn desired_state(&self, version: u64) -> DesiredState {
         let mut services = Vec::new();
         for service in self.services.values() {
@@ -16,7 +16,7 @@
         }
         DesiredState {
             version,
-            routes: self.services.values().map(route).collect(),
+            routes: self.services.values().map(route_spec).collect(),
             services,
             teams: self.teams.values().cloned().collect(),
             limits: self.limits,
@@ -24,7 +24,7 @@
     }
 }
 
-fn route(service: &Service) -> RouteSpec {
+fn route_spec(service: &Service) -> RouteSpec {
     let parts = service.split.iter().map(|(part, weight)| SplitPart {
         service: part.clone(),
         weight: *weight,
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -1,6 +1,6 @@
-//! Settings of laurelhill: INI files that are checked against one table of
-//! sections and keys, the deployment's base with its overlays, and the hash
-//! that names a checked set of files.
+//! Settings of laurelhill: INI files that are validated against a schema of sections and
+//! keys, and a deployment's base file with its overlays. A set of files is identified by its
+//! hash.
 //!
 //! ```
 //! let base = "[deployment]\nname = demo\n[region north]\ndomains = n-1\n\
@@ -20,16 +20,16 @@
 pub mod edit;
 mod error;
 mod overlay;
-mod process;
 pub mod schema;
 mod section;
+mod settings_file;
 mod teams;
 mod value;
 
 pub use bundle::{BASE_FILE, ConfigBundle};
-pub use deployment::{Deployment, Objective, Pool, Region, ServerKind, Service};
+pub use deployment::{Deployment, Objective, Pool, Region, ServerProfile, Service};
 pub use error::{Error, Result};
 pub use overlay::{ChangeKind, KeyChange, diff};
-pub use process::ProcessFile;
 pub use section::{CheckedFile, CheckedSection};
+pub use settings_file::SettingsFile;
 pub use value::{parse_duration, parse_percent, parse_size};
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -1,8 +1,8 @@
-//! A micro-kernel: services register under a name and find each other by name while
-//! they are wired. Besides, what every program needs: stops, logs and exit codes.
+//! A registry through which services find each other by name at start-up, and what every
+//! program needs besides: termination signals, logging and exit codes.
 //!
-//! Look-ups by name happen only while wiring. The request path keeps the typed
-//! handle that it got then.
+//! Services are looked up by name only at start-up. Code on the request path keeps the
+//! typed handle that the look-up returned.
 //!
 //! ```
 //! use kernel::ServiceRegistry;
@@ -15,12 +15,12 @@
 
 mod error;
 mod exit;
-mod logs;
+mod logging;
 mod registry;
-mod stop;
+mod signals;
 
 pub use error::{Error, Result};
-pub use exit::{ExitClass, finish};
-pub use logs::start_logs;
+pub use exit::{ExitClass, report_exit};
+pub use logging::init_logging;
 pub use registry::ServiceRegistry;
-pub use stop::terminated;
+pub use signals::wait_for_termination;
