--- a/bin/lh-entry/src/fleet.rs
+++ b/bin/lh-entry/src/fleet.rs
@@ -242,7 +242,7 @@
             let now = Instant::now();
             if let Some(quota) = &beat.quota {
                 state.words.on_word(now, from);
-                state.quota.borrow_mut().on_word(now, beat.entry, quota);
+                state.quota.borrow_mut().on_report(now, beat.entry, quota);
             }
             let mut placer = state.placer.borrow_mut();
             placer.on_peer_load(now, beat.entry, beat.word);
--- a/bin/lh-entry/src/rollout.rs
+++ b/bin/lh-entry/src/rollout.rs
@@ -109,7 +109,7 @@
 
     /// Another entry's counts.
     pub(crate) fn on_beat(&self, beat: &RolloutBeat) {
-        self.change(|now, book| book.on_word(now, beat.entry, &beat.word));
+        self.change(|now, book| book.on_report(now, beat.entry, &beat.word));
     }
 
     /// A request goes to the server of `placement`; its token, and whether the new version runs
--- a/crates/emulate/src/quota/ways.rs
+++ b/crates/emulate/src/quota/ways.rs
@@ -69,7 +69,7 @@
     }
 
     fn on_word(&mut self, now: Instant, peer: u64, word: &QuotaWord) {
-        self.0.on_word(now, peer, word);
+        self.0.on_report(now, peer, word);
     }
 }
 
--- a/crates/emulate/src/rollout/world.rs
+++ b/crates/emulate/src/rollout/world.rs
@@ -294,7 +294,7 @@
             let Some(letter) = self.letters.pop_front() else {
                 return;
             };
-            self.books[letter.to].on_word(now, letter.from as u64, &letter.word);
+            self.books[letter.to].on_report(now, letter.from as u64, &letter.word);
         }
         let due: Vec<RolloutRecord> = {
             let ready = self.told.iter().filter(|(when, _)| *when <= at);
--- a/crates/place/src/limits/shift.rs
+++ b/crates/place/src/limits/shift.rs
@@ -9,7 +9,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use tally::{CountWord, PeerTally};
+use tally::{CountReport, PeerTally};
 
 /// Part of the platform's cap that is used: the rest covers requests that end up
 /// elsewhere than they were sent to, and what others sent and is not heard yet, as far
@@ -121,7 +121,7 @@
             add(window, counts);
         }
         for (region, unheard) in self.unheard.iter_mut().enumerate() {
-            *unheard = self.tally.unheard(now, region);
+            *unheard = self.tally.estimate_unreported(now, region);
         }
     }
 
@@ -176,7 +176,7 @@
     /// its region.
     pub fn sent(&self) -> Vec<u32> {
         let regions = 0..self.regions.len();
-        regions.map(|region| self.tally.own(region)).collect()
+        regions.map(|region| self.tally.own_total(region)).collect()
     }
 
     /// Takes in what the entry `peer` of the own region sent since its start. The first
@@ -195,14 +195,14 @@
         }
         known.clear();
         known.extend_from_slice(sent);
-        let word = CountWord {
+        let word = CountReport {
             run: *run,
             // What was sent before this entry heard of it is in no window of its own.
             age: Duration::MAX,
             counts: sent.iter().copied().enumerate().collect(),
         };
         let mut news = vec![0; self.regions.len()];
-        for (region, added) in self.tally.on_word(now, peer, &word) {
+        for (region, added) in self.tally.on_report(now, peer, &word) {
             news[region] = u32::try_from(added).unwrap_or_default();
         }
         self.count(now, &news);
--- a/crates/rollout/src/book/mod.rs
+++ b/crates/rollout/src/book/mod.rs
@@ -84,7 +84,7 @@
             rollouts: BTreeMap::new(),
             gates: HashMap::new(),
             ledger: VersionLedger::default(),
-            tally: PeerTally::new(WORD_LIFE).with_begin(now),
+            tally: PeerTally::new(WORD_LIFE).with_start(now),
             sends: SendBook::default(),
             entries: 1,
             is_listed: true,
--- a/crates/rollout/src/book/telling.rs
+++ b/crates/rollout/src/book/telling.rs
@@ -32,8 +32,8 @@
     }
 
     /// Takes in the word of the entry `peer`.
-    pub fn on_word(&mut self, now: Instant, peer: u64, word: &RolloutWord) {
-        let news = self.tally.on_word(now, peer, &word.counted());
+    pub fn on_report(&mut self, now: Instant, peer: u64, word: &RolloutWord) {
+        let news = self.tally.on_report(now, peer, &word.counted());
         let mut sums: BTreeMap<(u64, bool, u64), AnswerCounts> = BTreeMap::new();
         for (key, count) in news {
             let count = u32::try_from(count).unwrap_or(0);
@@ -70,7 +70,7 @@
     fn order_word(&self, rollout: &ServiceRollout) -> OrderWord {
         let order = &rollout.record.order;
         let (seen, bad) = rollout.evidence.servers();
-        let own = self.tally.own_counts();
+        let own = self.tally.own_totals();
         let counts = own.filter(|(key, _)| key.revision == order.revision);
         let counts = counts.map(|(key, count)| (key.route, key.is_new, key.kind, count));
         let mut counts: Vec<_> = counts.collect();
--- a/crates/rollout/src/word.rs
+++ b/crates/rollout/src/word.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use tally::CountWord;
+use tally::CountReport;
 
 use crate::evidence::{AnswerKey, AnswerKind, ServerMask};
 
@@ -40,7 +40,7 @@
 
 impl RolloutWord {
     /// All counts, as the tally takes them.
-    pub(crate) fn counted(&self) -> CountWord<AnswerKey> {
+    pub(crate) fn counted(&self) -> CountReport<AnswerKey> {
         let mut counts = Vec::new();
         for order in &self.orders {
             for (route, is_new, kind, count) in &order.counts {
@@ -53,7 +53,7 @@
                 counts.push((key, *count));
             }
         }
-        CountWord {
+        CountReport {
             run: self.run,
             age: Duration::from_millis(self.age),
             counts,
--- a/crates/rollout/tests/parts.rs
+++ b/crates/rollout/tests/parts.rs
@@ -287,7 +287,7 @@
     let other = running(now, 8);
     for peer in 0..4 {
         let word = other.word(due).unwrap();
-        book.on_word(due, peer, &word);
+        book.on_report(due, peer, &word);
     }
     assert_eq!(next_phase(&book, due), Some(RolloutPhase::Completed));
 }
@@ -301,7 +301,7 @@
     assert!(other.take_verdict());
     let mut word = other.word(now + ms(500)).unwrap();
     word.orders[0].counts.clear();
-    book.on_word(now + ms(500), 3, &word);
+    book.on_report(now + ms(500), 3, &word);
     assert_eq!(
         book.record("board").unwrap().phase,
         RolloutPhase::RolledBack
--- a/crates/tally/tests/tally.rs
+++ b/crates/tally/tests/tally.rs
@@ -4,14 +4,14 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use tally::{CountWord, PeerTally};
+use tally::{CountReport, PeerTally};
 
 /// Fixed, so that each run gives the same verdict.
 const SEED: u64 = 5;
-const LIFE: Duration = Duration::from_millis(500);
+const REPORT_TTL: Duration = Duration::from_millis(500);
 
-fn word(run: u64, age: u64, counts: &[(u8, u32)]) -> CountWord<u8> {
-    CountWord {
+fn report(run: u64, age: u64, counts: &[(u8, u32)]) -> CountReport<u8> {
+    CountReport {
         run,
         age: Duration::from_millis(age),
         counts: counts.to_vec(),
@@ -22,47 +22,53 @@
 /// and a later run counts anew.
 #[test]
 fn only_news_is_news() {
-    let begun = Instant::now();
-    let now = begun + Duration::from_secs(2);
-    let mut tally = PeerTally::new(LIFE).with_begin(begun);
+    let start = Instant::now();
+    let now = start + Duration::from_secs(2);
+    let mut tally = PeerTally::new(REPORT_TTL).with_start(start);
     assert!(
         tally
-            .on_word(now, 1, &word(7, 60_000, &[(0, 900)]))
+            .on_report(now, 1, &report(7, 60_000, &[(0, 900)]))
             .is_empty()
     );
     assert_eq!(
-        tally.on_word(now, 1, &word(7, 60_100, &[(0, 904)])),
+        tally.on_report(now, 1, &report(7, 60_100, &[(0, 904)])),
         [(0, 4)]
     );
-    assert_eq!(tally.on_word(now, 1, &word(8, 300, &[(0, 3)])), [(0, 3)]);
+    assert_eq!(
+        tally.on_report(now, 1, &report(8, 300, &[(0, 3)])),
+        [(0, 3)]
+    );
     assert!(
         tally
-            .on_word(now, 1, &word(7, 60_200, &[(0, 999)]))
+            .on_report(now, 1, &report(7, 60_200, &[(0, 999)]))
             .is_empty()
     );
     // One of the count was taken back.
-    assert_eq!(tally.on_word(now, 1, &word(8, 400, &[(0, 2)])), [(0, -1)]);
+    assert_eq!(
+        tally.on_report(now, 1, &report(8, 400, &[(0, 2)])),
+        [(0, -1)]
+    );
 }
 
 /// Promise: an entry that was forgotten and comes back isn't counted twice.
 #[test]
 fn who_comes_back_is_not_counted_twice() {
-    let begun = Instant::now();
-    let mut tally = PeerTally::new(LIFE).with_begin(begun);
-    let early = begun + Duration::from_secs(3);
+    let start = Instant::now();
+    let mut tally = PeerTally::new(REPORT_TTL).with_start(start);
+    let early = start + Duration::from_secs(3);
     assert_eq!(
-        tally.on_word(early, 1, &word(7, 900, &[(0, 50)])),
+        tally.on_report(early, 1, &report(7, 900, &[(0, 50)])),
         [(0, 50)]
     );
     tally.retain(|_, _| false);
-    let late = begun + Duration::from_secs(90);
+    let late = start + Duration::from_secs(90);
     assert!(
         tally
-            .on_word(late, 1, &word(7, 88_000, &[(0, 60)]))
+            .on_report(late, 1, &report(7, 88_000, &[(0, 60)]))
             .is_empty()
     );
     assert_eq!(
-        tally.on_word(late, 1, &word(7, 88_100, &[(0, 61)])),
+        tally.on_report(late, 1, &report(7, 88_100, &[(0, 61)])),
         [(0, 1)]
     );
 }
@@ -70,21 +76,21 @@
 /// Promise: others are taken to go on as this entry does, until they are heard or silent.
 #[test]
 fn the_unheard_is_reckoned() {
-    let begun = Instant::now();
-    let at = |millis| begun + Duration::from_millis(millis);
-    let mut tally = PeerTally::new(LIFE).with_begin(begun);
+    let start = Instant::now();
+    let at = |millis| start + Duration::from_millis(millis);
+    let mut tally = PeerTally::new(REPORT_TTL).with_start(start);
     for peer in [1, 2] {
-        tally.on_word(at(100), peer, &word(1, 100, &[]));
+        tally.on_report(at(100), peer, &report(1, 100, &[]));
     }
     for millis in [150, 200, 250] {
         tally.add(at(millis), 0_u8);
     }
-    assert_eq!(tally.unheard(at(260), 0), 6);
-    tally.on_word(at(210), 2, &word(1, 210, &[(0, 5)]));
-    assert_eq!(tally.unheard(at(260), 0), 4);
-    tally.take_back(0);
-    assert_eq!(tally.unheard(at(260), 0), 2);
-    assert_eq!(tally.unheard(at(650), 0), 0);
+    assert_eq!(tally.estimate_unreported(at(260), 0), 6);
+    tally.on_report(at(210), 2, &report(1, 210, &[(0, 5)]));
+    assert_eq!(tally.estimate_unreported(at(260), 0), 4);
+    tally.undo_add(0);
+    assert_eq!(tally.estimate_unreported(at(260), 0), 2);
+    assert_eq!(tally.estimate_unreported(at(650), 0), 0);
 }
 
 proptest! {
@@ -93,15 +99,15 @@
     /// Promise: whichever words get lost, all that a run counted is heard by its next word.
     #[test]
     fn lost_words_lose_no_count(steps in proptest::collection::vec((0..4_u32, any::<bool>()), 1..60)) {
-        let begun = Instant::now();
-        let mut tally = PeerTally::new(LIFE).with_begin(begun);
+        let start = Instant::now();
+        let mut tally = PeerTally::new(REPORT_TTL).with_start(start);
         let (mut total, mut heard) = (0, 0);
         for (turn, (added, arrives)) in steps.iter().enumerate() {
             total += added;
-            let now = begun + Duration::from_millis(100 * (turn as u64 + 1));
+            let now = start + Duration::from_millis(100 * (turn as u64 + 1));
             if *arrives {
-                let news = tally.on_word(now, 1, &word(1, 50, &[(0, total)]));
-                heard += news.iter().map(|(_, added)| added).sum::<i64>();
+                let deltas = tally.on_report(now, 1, &report(1, 50, &[(0, total)]));
+                heard += deltas.iter().map(|(_, added)| added).sum::<i64>();
                 prop_assert_eq!(heard, i64::from(total));
             }
         }
--- a/crates/team/src/quota.rs
+++ b/crates/team/src/quota.rs
@@ -12,7 +12,7 @@
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-use tally::{CountWord, PeerTally};
+use tally::{CountReport, PeerTally};
 
 use crate::bucket::{FleetShare, QuotaBounds, TeamBucket};
 use crate::spec::TeamSpec;
@@ -81,7 +81,7 @@
             teams: Vec::new(),
             set: 0,
             buckets: HashMap::new(),
-            tally: PeerTally::new(SILENT_AFTER).with_begin(now),
+            tally: PeerTally::new(SILENT_AFTER).with_start(now),
             changed: HashMap::new(),
             listed: HashMap::new(),
             has_others,
@@ -125,7 +125,7 @@
     /// again.
     pub fn set_entries(&mut self, now: Instant, entries: &[u64], pause: Duration) {
         self.silent_after = SILENT_AFTER.max(pause.mul_f64(SILENT_WORDS));
-        self.tally.set_life(self.silent_after);
+        self.tally.set_report_ttl(self.silent_after);
         self.listed.retain(|peer, _| entries.contains(peer));
         for peer in entries {
             self.listed.entry(*peer).or_insert(now);
@@ -135,7 +135,7 @@
             listed.contains_key(&peer) || now.saturating_duration_since(heard) < SET_ASIDE_FOR
         });
         let tally = &self.tally;
-        self.ended.retain(|peer| tally.heard(*peer).is_some());
+        self.ended.retain(|peer| tally.last_heard(*peer).is_some());
         self.look_around(now);
     }
 
@@ -146,7 +146,7 @@
     pub fn admit(&mut self, now: Instant, name: &str) -> Result<(), Duration> {
         let id = team_id(name);
         let share = self.share(now);
-        let unheard = self.tally.unheard(now, id);
+        let unheard = self.tally.estimate_unreported(now, id);
         let Some(bucket) = self.buckets.get_mut(&id) else {
             return Ok(());
         };
@@ -161,7 +161,7 @@
         let id = team_id(name);
         if let Some(bucket) = self.buckets.get_mut(&id) {
             bucket.count(-1.0);
-            self.tally.take_back(id);
+            self.tally.undo_add(id);
             self.changed.insert(id, now);
         }
     }
@@ -175,7 +175,7 @@
         let mut counts = Vec::with_capacity(self.changed.len());
         for (place, id) in (0..).zip(&self.teams) {
             if self.changed.contains_key(id) {
-                counts.push((place, self.tally.own(*id)));
+                counts.push((place, self.tally.own_total(*id)));
             }
         }
         QuotaWord {
@@ -198,7 +198,7 @@
     }
 
     /// Takes in what the entry `peer` let in.
-    pub fn on_word(&mut self, now: Instant, peer: u64, word: &QuotaWord) {
+    pub fn on_report(&mut self, now: Instant, peer: u64, word: &QuotaWord) {
         // Places among other teams say nothing; counts add up, so that nothing is lost by it.
         let teams = if word.teams == self.set {
             self.teams.as_slice()
@@ -207,13 +207,13 @@
         };
         let heard = self
             .tally
-            .heard(peer)
+            .last_heard(peer)
             .or_else(|| self.listed.get(&peer).copied());
         let silent_for = heard.map(|at| now.saturating_duration_since(at));
         let silent_for = silent_for.filter(|span| *span >= self.silent_after);
         let (share, ends) = (self.share, word.ends);
         let word = word.counted(teams);
-        for (id, added) in self.tally.on_word(now, peer, &word) {
+        for (id, added) in self.tally.on_report(now, peer, &word) {
             let Some(bucket) = self.buckets.get_mut(&id) else {
                 continue;
             };
@@ -237,7 +237,7 @@
     /// Counts what those that have just fallen silent likely let in since they were heard.
     fn charge(&mut self, now: Instant, silent: &HashSet<u64>) {
         for peer in silent.difference(&self.silent) {
-            for (id, own) in self.tally.since(*peer) {
+            for (id, own) in self.tally.own_since(*peer) {
                 if let Some(bucket) = self.buckets.get_mut(&id) {
                     bucket.charge(now, self.share, own);
                 }
@@ -270,7 +270,7 @@
             }
         }
         for (peer, since) in &self.listed {
-            if self.tally.heard(*peer).is_some() {
+            if self.tally.last_heard(*peer).is_some() {
                 continue;
             }
             known += 1;
@@ -293,12 +293,12 @@
 
 impl QuotaWord {
     /// The counts by the ids of `teams`, among which the word's places are.
-    fn counted(&self, teams: &[TeamId]) -> CountWord<TeamId> {
+    fn counted(&self, teams: &[TeamId]) -> CountReport<TeamId> {
         let counts = self.counts.iter().filter_map(|(place, count)| {
             let id = teams.get(usize::try_from(*place).ok()?)?;
             Some((*id, *count))
         });
-        CountWord {
+        CountReport {
             run: self.run,
             age: Duration::from_millis(self.age),
             counts: counts.collect(),
--- a/crates/team/tests/quota.rs
+++ b/crates/team/tests/quota.rs
@@ -44,7 +44,7 @@
         age,
         ..QuotaWord::default()
     };
-    limiter.on_word(now, peer, &word);
+    limiter.on_report(now, peer, &word);
 }
 
 /// Promise: a team gets its burst and its rate, no more; teams without a quota get all.
@@ -154,7 +154,7 @@
         ends: true,
         ..QuotaWord::default()
     };
-    limiter.on_word(now + PAUSE, 1, &last);
+    limiter.on_report(now + PAUSE, 1, &last);
     now += ms(10_000);
     assert_eq!(admitted(&mut limiter, now, 1000), 100);
 }
@@ -173,9 +173,9 @@
     hears(&mut behind, now, 7, 1, 4000);
     assert_eq!(admitted(&mut ahead, now, 9), 9);
     let word = ahead.word(now);
-    behind.on_word(now, 7, &word);
+    behind.on_report(now, 7, &word);
     behind.set_teams(now, &both);
-    behind.on_word(now + PAUSE, 7, &ahead.word(now + PAUSE));
+    behind.on_report(now + PAUSE, 7, &ahead.word(now + PAUSE));
     assert!(admitted(&mut behind, now + PAUSE, 100) <= 2);
 }
 
