--- a/bin/lh-entry/src/door.rs
+++ b/bin/lh-entry/src/door.rs
@@ -6,7 +6,7 @@
 use hyper::StatusCode;
 use place::desired::{DesiredState, RouteSpec};
 use team::access::{Access, KeyClaim};
-use team::homes::common_homes;
+use team::regions::allowed_regions;
 use team::spec::TeamSpec;
 
 use crate::problem::Problem;
@@ -37,7 +37,7 @@
         let (priority, homes) = match &team {
             None => (route.priority, route.home_regions.clone()),
             Some(team) => {
-                let homes = common_homes(&route.home_regions, &team.home_regions)?;
+                let homes = allowed_regions(&route.home_regions, &team.home_regions)?;
                 (team.priority.unwrap_or(route.priority), homes.into_owned())
             }
         };
@@ -129,7 +129,7 @@
     let mut apart = Vec::new();
     for team in &desired.teams {
         for route in &desired.routes {
-            if common_homes(&route.home_regions, &team.home_regions).is_none() {
+            if allowed_regions(&route.home_regions, &team.home_regions).is_none() {
                 apart.push(format!("{} on {}", team.name, route.name));
             }
         }
--- a/bin/lh-entry/src/state.rs
+++ b/bin/lh-entry/src/state.rs
@@ -21,8 +21,8 @@
 use place::routes::ANY_HOST;
 use platform::client::StoreClient;
 use platform::desired::OperatorChange;
-use team::book::TeamBook;
-use team::fairness::FairShares;
+use team::fairness::FairnessRanker;
+use team::index::TeamIndex;
 use team::quota::QuotaLimiter;
 
 use crate::config::EntryConfig;
@@ -51,7 +51,7 @@
     pub(crate) placer: RefCell<RequestPlacer>,
     pub(crate) routes: RefCell<Rc<RouteTable>>,
     pub(crate) desired: RefCell<Option<Rc<DesiredState>>>,
-    pub(crate) teams: RefCell<Rc<TeamBook>>,
+    pub(crate) teams: RefCell<Rc<TeamIndex>>,
     /// Lines of requests that were turned away at the door.
     pub(crate) denials: LineLimit,
     /// Teams and routes without a common home, as logged last.
@@ -76,7 +76,7 @@
     /// What each team asks for.
     pub(crate) quota: RefCell<QuotaLimiter>,
     /// Which teams ask for more than their part.
-    pub(crate) shares: RefCell<FairShares>,
+    pub(crate) shares: RefCell<FairnessRanker>,
     /// What is said and heard of load.
     pub(crate) words: WordDesk,
     /// Counts callers' requests.
@@ -448,7 +448,7 @@
     }
 
     fn set_teams(&self, desired: &DesiredState) {
-        let teams = TeamBook::new(&desired.teams);
+        let teams = TeamIndex::new(&desired.teams);
         for key in teams.shared_keys() {
             log::error!(key:%, version = desired.version; "key of two teams; it names neither");
         }
--- a/crates/emulate/src/policy.rs
+++ b/crates/emulate/src/policy.rs
@@ -7,7 +7,7 @@
 use place::placing::load::LoadWord;
 use place::prelude::*;
 use place::rank::stable_hash;
-use team::fairness::FairShares;
+use team::fairness::FairnessRanker;
 use team::spec::TeamSpec;
 
 /// Servers busier than this multiple of their slots get nothing from the naive way.
@@ -65,7 +65,7 @@
     placer: RequestPlacer,
     route: RouteSpec,
     /// Ranks teams; `None` where all rank alike.
-    shares: Option<FairShares>,
+    shares: Option<FairnessRanker>,
 }
 
 /// The naive way: the least busy server by own count, never beyond its slots,
@@ -100,7 +100,7 @@
     /// Ranks teams that ask for more than their part behind others.
     #[must_use]
     pub fn with_shares(mut self, teams: &[TeamSpec]) -> Self {
-        let mut shares = FairShares::default();
+        let mut shares = FairnessRanker::default();
         shares.set_teams(teams);
         self.shares = Some(shares);
         self
--- a/crates/team/src/access.rs
+++ b/crates/team/src/access.rs
@@ -7,12 +7,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use crate::book::TeamBook;
+use crate::index::TeamIndex;
 use crate::key::KeyDigest;
 use crate::spec::TeamSpec;
 
 /// Kept off each bound, for clocks that don't run quite alike.
-const MARGIN: Duration = Duration::from_millis(150);
+const CLOCK_MARGIN: Duration = Duration::from_millis(150);
 
 /// What a request says of its key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -56,23 +56,23 @@
         let Some(revoke) = self.revoke else {
             return true;
         };
-        age.is_some_and(|age| age + MARGIN < revoke)
+        age.is_some_and(|age| age + CLOCK_MARGIN < revoke)
     }
 
     /// Whether a request with `claim` may enter, on a route that is public or not, where
     /// the teams are known as of `age` ago.
     pub fn decide(
         &self,
-        book: &TeamBook,
+        index: &TeamIndex,
         claim: KeyClaim,
         is_public: bool,
         age: Option<Duration>,
     ) -> Access {
-        if book.is_empty() {
+        if index.is_empty() {
             return Access::Open;
         }
         let team = match claim {
-            KeyClaim::Key(key) => book.find(key),
+            KeyClaim::Key(key) => index.find(key),
             KeyClaim::None | KeyClaim::Malformed => None,
         };
         match team {
@@ -80,7 +80,7 @@
             _ if is_public => Access::Open,
             Some(_) => Access::Stale,
             None if claim == KeyClaim::Malformed => Access::Denied,
-            None if age.is_some_and(|age| age + MARGIN < self.learn) => Access::Denied,
+            None if age.is_some_and(|age| age + CLOCK_MARGIN < self.learn) => Access::Denied,
             None => Access::Unsure,
         }
     }
--- a/crates/team/src/bucket.rs
+++ b/crates/team/src/bucket.rs
@@ -7,20 +7,20 @@
 /// Parts of what a team may exceed its quota by: the first covers what isn't heard, the
 /// second what was let in before an entry began to count, and as much what entries need
 /// that have but a small part.
-const UNHEARD_SHARE: f64 = 0.15;
-const UNKNOWN_SHARE: f64 = 0.33;
+const UNREPORTED_TOLERANCE: f64 = 0.15;
+const UNKNOWN_TOLERANCE: f64 = 0.33;
 /// What was let in too much is made up for, but no more than of this time: beyond, those
 /// who ask now would pay for others.
-const DEBT: Duration = Duration::from_millis(1500);
+const MAX_DEBT_TIME: Duration = Duration::from_millis(1500);
 /// Time over which it is counted where a team's callers are.
-const RECENT: Duration = Duration::from_secs(2);
+const RECENT_DECAY_TIME: Duration = Duration::from_secs(2);
 /// Requests at each entry as which it counts before that is known.
 const SPREAD_PRIOR: f64 = 2.0;
 /// Longest time after which a refused caller is asked to come back: a quota that is asked
 /// for many times over has room for few of them.
-const RETURN_MOST: Duration = Duration::from_secs(3);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(3);
 /// Shortest one.
-const RETURN_LEAST: Duration = Duration::from_millis(50);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// How exactly quotas are to be kept.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -48,18 +48,18 @@
     /// Requests that may be let in now; below 0 where too many were.
     level: f64,
     /// How far below 0 it may fall.
-    debt_most: f64,
+    max_debt: f64,
     at: Instant,
     /// When the next caller that is refused is asked to come back.
-    returns: Instant,
+    next_retry_at: Instant,
     /// What this entry and all others let in lately: how the team's callers are spread.
-    own: RecentCount,
-    others: RecentCount,
+    own: DecayingCount,
+    others: DecayingCount,
 }
 
 /// A count in which what is old fades.
 #[derive(Debug, Clone, Copy)]
-struct RecentCount {
+struct DecayingCount {
     count: f64,
     at: Instant,
 }
@@ -72,8 +72,8 @@
     }
 
     /// The part of it that covers what an entry doesn't know of the others.
-    fn unknown(&self, quota: TeamQuota) -> f64 {
-        UNKNOWN_SHARE * self.tolerance(quota)
+    fn unknown_tolerance(&self, quota: TeamQuota) -> f64 {
+        UNKNOWN_TOLERANCE * self.tolerance(quota)
     }
 }
 
@@ -89,7 +89,7 @@
 
 impl FleetShare {
     /// Time between two looks at who is heard.
-    pub const LOOK_EVERY: Duration = Duration::from_millis(50);
+    pub const REFRESH_INTERVAL: Duration = Duration::from_millis(50);
 
     /// As of `now`, `silent` of the `known` entries, this one among them, aren't heard.
     pub fn new(now: Instant, silent: usize, known: usize) -> Self {
@@ -101,17 +101,17 @@
     }
 
     /// Whether another look is due.
-    pub fn is_old(&self, now: Instant) -> bool {
+    pub fn is_stale(&self, now: Instant) -> bool {
         self.at
-            .is_none_or(|at| now.saturating_duration_since(at) >= Self::LOOK_EVERY)
+            .is_none_or(|at| now.saturating_duration_since(at) >= Self::REFRESH_INTERVAL)
     }
 
     /// Part of a quota that those who hear each other have together.
-    fn part(&self) -> f64 {
+    fn reachable_fraction(&self) -> f64 {
         (self.known - self.silent.min(self.known - 1)) as f64 / self.known as f64
     }
 
-    fn each(&self) -> f64 {
+    fn entry_fraction(&self) -> f64 {
         1.0 / self.known as f64
     }
 }
@@ -126,16 +126,16 @@
         share: FleetShare,
         since: Duration,
     ) -> Self {
-        let filled =
-            bounds.unknown(quota) * share.each() + quota.rate * share.part() * since.as_secs_f64();
+        let filled = bounds.unknown_tolerance(quota) * share.entry_fraction()
+            + quota.rate * share.reachable_fraction() * since.as_secs_f64();
         Self {
             quota,
-            debt_most: debt_most(quota, bounds),
-            level: filled.min(room(quota, share)),
+            max_debt: max_debt(quota, bounds),
+            level: filled.min(capacity(quota, share)),
             at: now,
-            returns: now,
-            own: RecentCount::new(now),
-            others: RecentCount::new(now),
+            next_retry_at: now,
+            own: DecayingCount::new(now),
+            others: DecayingCount::new(now),
         }
     }
 
@@ -147,50 +147,51 @@
         bounds: &QuotaBounds,
         share: FleetShare,
     ) {
-        self.fill(now, share);
+        self.refill(now, share);
         self.quota = quota;
-        self.debt_most = debt_most(quota, bounds);
+        self.max_debt = max_debt(quota, bounds);
     }
 
-    /// Lets a request in, where the others that are heard let `unheard` more in if each did
+    /// Lets a request in, where the others that are heard let `unreported` more in if each did
     /// as this one does.
     ///
     /// # Errors
     /// The time after which its caller is to come back, where there is no room.
-    pub fn take(
+    pub fn try_take(
         &mut self,
         now: Instant,
         bounds: &QuotaBounds,
         share: FleetShare,
-        unheard: u32,
+        unreported: u32,
     ) -> Result<(), Duration> {
-        self.fill(now, share);
-        let unheard = f64::from(unheard) * self.spread(now, share);
-        let unheard = (unheard - UNHEARD_SHARE * bounds.tolerance(self.quota)).max(0.0);
+        self.refill(now, share);
+        let unreported = f64::from(unreported) * self.spread(now, share);
+        let unreported =
+            (unreported - UNREPORTED_TOLERANCE * bounds.tolerance(self.quota)).max(0.0);
         let least = if share.silent > 0 {
-            1.0 - bounds.unknown(self.quota) * share.each()
+            1.0 - bounds.unknown_tolerance(self.quota) * share.entry_fraction()
         } else {
             1.0
         };
-        let lacks = least - (self.level - unheard);
-        if lacks <= 0.0 {
+        let missing = least - (self.level - unreported);
+        if missing <= 0.0 {
             self.level -= 1.0;
             self.own.add(now, 1.0);
             return Ok(());
         }
-        let rate = self.quota.rate * share.part();
-        Err(self.returns_in(now, lacks / rate, share))
+        let rate = self.quota.rate * share.reachable_fraction();
+        Err(self.retry_after(now, missing / rate, share))
     }
 
     /// The others let `added` in: some of the team's callers are there.
-    pub fn on_others(&mut self, now: Instant, added: f64) {
+    pub fn on_peer_admitted(&mut self, now: Instant, added: f64) {
         self.others.add(now, added.max(0.0));
     }
 
     /// One of the others fell silent; since it was heard, this entry let `own` in.
-    pub fn charge(&mut self, now: Instant, share: FleetShare, own: u32) {
+    pub fn charge_silent(&mut self, now: Instant, share: FleetShare, own: u32) {
         let likely = f64::from(own) * self.spread(now, share);
-        self.count(likely);
+        self.debit(likely);
     }
 
     /// What each other entry lets in for each that this one does: 1 until it is known.
@@ -206,49 +207,50 @@
     }
 
     /// Takes `added` out.
-    pub fn count(&mut self, added: f64) {
-        self.level = (self.level - added).max(-self.debt_most);
+    pub fn debit(&mut self, added: f64) {
+        self.level = (self.level - added).max(-self.max_debt);
     }
 
-    /// What an entry may let in by itself that isn't heard for `span`.
-    pub fn part(&self, share: FleetShare, span: Duration) -> f64 {
+    /// What an entry may let in by itself that isn't heard for `period`.
+    pub fn entry_allowance(&self, share: FleetShare, period: Duration) -> f64 {
         let quota = self.quota;
-        (quota.burst + quota.rate * span.as_secs_f64()) * share.each()
+        (quota.burst + quota.rate * period.as_secs_f64()) * share.entry_fraction()
     }
 
     /// Others fell silent or are heard again. What those may let in that aren't heard is
     /// set aside.
-    pub fn on_share(&mut self, now: Instant, before: FleetShare, share: FleetShare) {
-        let (old, new) = (before.part(), share.part());
+    pub fn on_share_change(&mut self, now: Instant, before: FleetShare, share: FleetShare) {
+        let (old, new) = (before.reachable_fraction(), share.reachable_fraction());
         if before.at.is_some() && new < old && self.level > 0.0 {
-            self.fill(now, before);
+            self.refill(now, before);
             self.level *= new / old;
         }
     }
 
-    fn fill(&mut self, now: Instant, share: FleetShare) {
+    fn refill(&mut self, now: Instant, share: FleetShare) {
         let passed = now.saturating_duration_since(self.at).as_secs_f64();
         self.at = now;
-        let filled = self.level + self.quota.rate * share.part() * passed;
-        self.level = filled.min(room(self.quota, share));
+        let filled = self.level + self.quota.rate * share.reachable_fraction() * passed;
+        self.level = filled.min(capacity(self.quota, share));
     }
 
     /// When there is room in `after` seconds for one more than those who were told to come
     /// back before.
-    fn returns_in(&mut self, now: Instant, after: f64, share: FleetShare) -> Duration {
-        let room = now + seconds(after);
-        let returns = self.returns.max(room);
+    fn retry_after(&mut self, now: Instant, after: f64, share: FleetShare) -> Duration {
+        let free_at = now + seconds(after);
+        let next_retry_at = self.next_retry_at.max(free_at);
         // Each entry refuses its part of all callers.
-        self.returns = returns + seconds(1.0 / (self.quota.rate * share.each()));
-        let wait = returns.saturating_duration_since(now);
-        if wait > RETURN_MOST {
-            self.returns = now + RETURN_MOST;
+        self.next_retry_at =
+            next_retry_at + seconds(1.0 / (self.quota.rate * share.entry_fraction()));
+        let wait = next_retry_at.saturating_duration_since(now);
+        if wait > MAX_RETRY_AFTER {
+            self.next_retry_at = now + MAX_RETRY_AFTER;
         }
-        wait.clamp(RETURN_LEAST, RETURN_MOST)
+        wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 }
 
-impl RecentCount {
+impl DecayingCount {
     fn new(now: Instant) -> Self {
         Self {
             count: 0.0,
@@ -258,7 +260,7 @@
 
     fn value(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.at).as_secs_f64();
-        self.count * (-age / RECENT.as_secs_f64()).exp()
+        self.count * (-age / RECENT_DECAY_TIME.as_secs_f64()).exp()
     }
 
     fn add(&mut self, now: Instant, added: f64) {
@@ -267,17 +269,17 @@
     }
 }
 
-fn debt_most(quota: TeamQuota, bounds: &QuotaBounds) -> f64 {
-    quota.rate * DEBT.as_secs_f64() + bounds.tolerance(quota)
+fn max_debt(quota: TeamQuota, bounds: &QuotaBounds) -> f64 {
+    quota.rate * MAX_DEBT_TIME.as_secs_f64() + bounds.tolerance(quota)
 }
 
 /// What a bucket holds at most: one request at least.
-fn room(quota: TeamQuota, share: FleetShare) -> f64 {
-    (quota.burst * share.part()).max(1.0)
+fn capacity(quota: TeamQuota, share: FleetShare) -> f64 {
+    (quota.burst * share.reachable_fraction()).max(1.0)
 }
 
-fn seconds(span: f64) -> Duration {
-    Duration::try_from_secs_f64(span.max(0.0))
-        .unwrap_or(RETURN_MOST)
-        .min(RETURN_MOST * 2)
+fn seconds(period: f64) -> Duration {
+    Duration::try_from_secs_f64(period.max(0.0))
+        .unwrap_or(MAX_RETRY_AFTER)
+        .min(MAX_RETRY_AFTER * 2)
 }
--- a/crates/team/src/book.rs
+++ b/crates/team/src/index.rs
@@ -8,28 +8,28 @@
 
 /// Finds the team of a key.
 #[derive(Debug, Default)]
-pub struct TeamBook {
+pub struct TeamIndex {
     by_key: HashMap<KeyDigest, Rc<TeamSpec>>,
     teams: Vec<Rc<TeamSpec>>,
     shared: Vec<KeyDigest>,
 }
 
-impl TeamBook {
+impl TeamIndex {
     /// Indexes `teams`. A key that two teams hold names neither of them: whose request it
     /// is can't be told.
     pub fn new(teams: &[TeamSpec]) -> Self {
-        let mut book = Self::default();
+        let mut index = Self::default();
         for team in teams {
             let team = Rc::new(team.clone());
             for key in &team.keys {
-                book.add(*key, &team);
+                index.add(*key, &team);
             }
-            book.teams.push(team);
+            index.teams.push(team);
         }
-        for key in &book.shared {
-            book.by_key.remove(key);
+        for key in &index.shared {
+            index.by_key.remove(key);
         }
-        book
+        index
     }
 
     /// Whether no team is set: requests need no key then.
--- a/crates/team/src/lib.rs
+++ b/crates/team/src/lib.rs
@@ -4,12 +4,12 @@
 //! digests only, so that nothing that is stored, told or logged can be used as a key.
 
 pub mod access;
-pub mod book;
 pub mod bucket;
 pub mod error;
 pub mod fairness;
-pub mod homes;
+pub mod index;
 pub mod key;
 pub mod prelude;
 pub mod quota;
+pub mod regions;
 pub mod spec;
--- a/crates/team/src/prelude.rs
+++ b/crates/team/src/prelude.rs
@@ -1,8 +1,8 @@
 //! The types that almost every user of this crate needs.
 
 pub use crate::access::{Access, AccessBounds, KeyClaim};
-pub use crate::book::TeamBook;
 pub use crate::bucket::QuotaBounds;
+pub use crate::index::TeamIndex;
 pub use crate::key::KeyDigest;
 pub use crate::quota::{QuotaLimiter, QuotaWord};
 pub use crate::spec::{TeamQuota, TeamSpec};
--- a/crates/team/src/quota.rs
+++ b/crates/team/src/quota.rs
@@ -150,7 +150,7 @@
         let Some(bucket) = self.buckets.get_mut(&id) else {
             return Ok(());
         };
-        bucket.take(now, &self.bounds, share, unheard)?;
+        bucket.try_take(now, &self.bounds, share, unheard)?;
         self.tally.add(now, id);
         self.changed.insert(id, now);
         Ok(())
@@ -160,7 +160,7 @@
     pub fn give_back(&mut self, now: Instant, name: &str) {
         let id = team_id(name);
         if let Some(bucket) = self.buckets.get_mut(&id) {
-            bucket.count(-1.0);
+            bucket.debit(-1.0);
             self.tally.undo_add(id);
             self.changed.insert(id, now);
         }
@@ -218,10 +218,10 @@
                 continue;
             };
             // What it let in of its own part was set aside.
-            let own = silent_for.map_or(0.0, |span| bucket.part(share, span));
+            let own = silent_for.map_or(0.0, |span| bucket.entry_allowance(share, span));
             let added = added as f64;
-            bucket.on_others(now, added);
-            bucket.count(if added > 0.0 {
+            bucket.on_peer_admitted(now, added);
+            bucket.debit(if added > 0.0 {
                 (added - own).max(0.0)
             } else {
                 added
@@ -235,11 +235,11 @@
     }
 
     /// Counts what those that have just fallen silent likely let in since they were heard.
-    fn charge(&mut self, now: Instant, silent: &HashSet<u64>) {
+    fn charge_silent(&mut self, now: Instant, silent: &HashSet<u64>) {
         for peer in silent.difference(&self.silent) {
             for (id, own) in self.tally.own_since(*peer) {
                 if let Some(bucket) = self.buckets.get_mut(&id) {
-                    bucket.charge(now, self.share, own);
+                    bucket.charge_silent(now, self.share, own);
                 }
             }
         }
@@ -247,7 +247,7 @@
     }
 
     fn share(&mut self, now: Instant) -> FleetShare {
-        if self.share.is_old(now) {
+        if self.share.is_stale(now) {
             self.look_around(now);
         }
         self.share
@@ -278,14 +278,14 @@
                 silent.insert(*peer);
             }
         }
-        self.charge(now, &silent);
+        self.charge_silent(now, &silent);
         let mut silent = silent.len();
         if known == 1 && self.has_others {
             (known, silent) = (UNMET, UNMET - 1);
         }
         let share = FleetShare::new(now, silent, known);
         for bucket in self.buckets.values_mut() {
-            bucket.on_share(now, self.share, share);
+            bucket.on_share_change(now, self.share, share);
         }
         self.share = share;
     }
--- a/crates/team/src/homes.rs
+++ b/crates/team/src/regions.rs
@@ -4,7 +4,7 @@
 
 /// The regions that both a route and a team allow; empty where neither names any.
 /// `None` where no region is allowed by both.
-pub fn common_homes<'a>(route: &'a [String], team: &'a [String]) -> Option<Cow<'a, [String]>> {
+pub fn allowed_regions<'a>(route: &'a [String], team: &'a [String]) -> Option<Cow<'a, [String]>> {
     if team.is_empty() {
         return Some(Cow::Borrowed(route));
     }
--- a/crates/team/tests/access.rs
+++ b/crates/team/tests/access.rs
@@ -5,8 +5,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use team::error::Error;
-use team::homes::common_homes;
-use team::prelude::{Access, AccessBounds, KeyClaim, KeyDigest, TeamBook, TeamQuota, TeamSpec};
+use team::prelude::{Access, AccessBounds, KeyClaim, KeyDigest, TeamIndex, TeamQuota, TeamSpec};
+use team::regions::allowed_regions;
 
 /// Fixed, so that each run gives the same verdict.
 const SEED: u64 = 3;
@@ -49,8 +49,8 @@
 /// Promise: a request is its key's team's, and nobody else's.
 #[test]
 fn a_key_names_its_team() {
-    let book = TeamBook::new(&[team("red", &["r1", "r2"]), team("blue", &["b1"])]);
-    let decide = |claim| bounds(Some(secs(5))).decide(&book, claim, false, Some(secs(1)));
+    let index = TeamIndex::new(&[team("red", &["r1", "r2"]), team("blue", &["b1"])]);
+    let decide = |claim| bounds(Some(secs(5))).decide(&index, claim, false, Some(secs(1)));
     assert_eq!(name_of(&decide(claim("r2"))), Some("red"));
     assert_eq!(name_of(&decide(claim("b1"))), Some("blue"));
     assert_eq!(decide(claim("b2")), Access::Denied);
@@ -66,11 +66,11 @@
         team("blue", &["k"]),
         team("grey", &["k"]),
     ];
-    let book = TeamBook::new(&teams);
-    assert!(book.find(KeyDigest::of(b"k")).is_none());
-    assert!(book.find(KeyDigest::of(b"r")).is_some());
-    assert!(book.shared_keys().contains(&KeyDigest::of(b"k")));
-    let twice = TeamBook::new(&[team("red", &["k", "k"])]);
+    let index = TeamIndex::new(&teams);
+    assert!(index.find(KeyDigest::of(b"k")).is_none());
+    assert!(index.find(KeyDigest::of(b"r")).is_some());
+    assert!(index.shared_keys().contains(&KeyDigest::of(b"k")));
+    let twice = TeamIndex::new(&[team("red", &["k", "k"])]);
     assert!(twice.find(KeyDigest::of(b"k")).is_some());
     assert!(twice.shared_keys().is_empty());
 }
@@ -79,23 +79,23 @@
 /// there still names its team.
 #[test]
 fn who_needs_no_key() {
-    let nobody = TeamBook::new(&[]);
-    let book = TeamBook::new(&[team("red", &["r1"]), team("empty", &[])]);
+    let nobody = TeamIndex::new(&[]);
+    let index = TeamIndex::new(&[team("red", &["r1"]), team("empty", &[])]);
     let at = bounds(Some(secs(5)));
     assert_eq!(
         at.decide(&nobody, KeyClaim::None, false, None),
         Access::Open
     );
-    assert_eq!(at.decide(&book, KeyClaim::None, true, None), Access::Open);
+    assert_eq!(at.decide(&index, KeyClaim::None, true, None), Access::Open);
     assert_eq!(
-        at.decide(&book, claim("x"), true, Some(secs(1))),
+        at.decide(&index, claim("x"), true, Some(secs(1))),
         Access::Open
     );
-    let named = at.decide(&book, claim("r1"), true, Some(secs(1)));
+    let named = at.decide(&index, claim("r1"), true, Some(secs(1)));
     assert_eq!(name_of(&named), Some("red"));
     // Who it was can't be told any more.
     assert_eq!(
-        at.decide(&book, claim("r1"), true, Some(secs(9))),
+        at.decide(&index, claim("r1"), true, Some(secs(9))),
         Access::Open
     );
 }
@@ -103,9 +103,9 @@
 /// Promise: a key counts only while it is known that it held less than the bound ago.
 #[test]
 fn stale_knowledge_serves_no_key() {
-    let book = TeamBook::new(&[team("red", &["r1"])]);
+    let index = TeamIndex::new(&[team("red", &["r1"])]);
     let at = bounds(Some(secs(5)));
-    let decide = |age| at.decide(&book, claim("r1"), false, age);
+    let decide = |age| at.decide(&index, claim("r1"), false, age);
     assert_eq!(
         name_of(&decide(Some(Duration::from_millis(4800)))),
         Some("red")
@@ -113,16 +113,16 @@
     assert_eq!(decide(Some(secs(5))), Access::Stale);
     assert_eq!(decide(None), Access::Stale);
     let unbound = bounds(None);
-    let served = unbound.decide(&book, claim("r1"), false, Some(secs(3600)));
+    let served = unbound.decide(&index, claim("r1"), false, Some(secs(3600)));
     assert_eq!(name_of(&served), Some("red"));
 }
 
 /// Promise: a key that may just have been added is not denied.
 #[test]
 fn an_unknown_key_is_denied_only_on_fresh_knowledge() {
-    let book = TeamBook::new(&[team("red", &["r1"])]);
+    let index = TeamIndex::new(&[team("red", &["r1"])]);
     let at = bounds(Some(secs(5)));
-    let decide = |claim, age| at.decide(&book, claim, false, age);
+    let decide = |claim, age| at.decide(&index, claim, false, age);
     assert_eq!(decide(claim("new"), Some(secs(2))), Access::Denied);
     assert_eq!(decide(claim("new"), Some(secs(3))), Access::Unsure);
     assert_eq!(decide(KeyClaim::None, Some(secs(3))), Access::Unsure);
@@ -137,7 +137,7 @@
     let regions =
         |names: &[&str]| -> Vec<String> { names.iter().map(|name| (*name).to_owned()).collect() };
     let common = |route: &[&str], team: &[&str]| {
-        common_homes(&regions(route), &regions(team)).map(|homes| homes.into_owned())
+        allowed_regions(&regions(route), &regions(team)).map(|homes| homes.into_owned())
     };
     assert_eq!(common(&[], &[]), Some(Vec::new()));
     assert_eq!(common(&["a"], &[]), Some(regions(&["a"])));
