--- a/bin/lh-entry/src/door.rs
+++ b/bin/lh-entry/src/door.rs
@@ -92,7 +92,7 @@
 fn admit_team(state: &InstanceState, team: &str) -> Result<(), Problem> {
     let now = Instant::now();
     let mut quota = state.quota.borrow_mut();
-    let was_used = quota.is_used();
+    let was_used = quota.has_changes();
     let admitted = quota.admit(now, team);
     if !was_used && !state.fleet.is_listed() {
         state.words.wake.notify_one();
--- a/bin/lh-entry/src/record.rs
+++ b/bin/lh-entry/src/record.rs
@@ -247,7 +247,7 @@
         let has_run = outcome != RequestOutcome::NotRun && self.count > 0;
         if let Some(team) = self.team.as_ref().filter(|_| !has_run) {
             let mut quota = self.state.quota.borrow_mut();
-            quota.give_back(Instant::now(), &team.name);
+            quota.refund(Instant::now(), &team.name);
         }
     }
 }
--- a/bin/lh-entry/src/words.rs
+++ b/bin/lh-entry/src/words.rs
@@ -9,7 +9,7 @@
 use place::fleet::message::{LoadBeat, PeerMessage};
 use place::placing::load::{LoadWord, is_told_far, load_pause};
 use place::rank::stable_hash;
-use team::quota::QuotaWord;
+use team::quota::QuotaReport;
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 
@@ -54,8 +54,8 @@
 /// and then; returns the time until the next word. An entry that gets none tells none.
 pub(crate) async fn speak(state: &InstanceState, socket: &UdpSocket) -> Duration {
     let is_listed = state.fleet.is_listed();
-    let is_used = state.quota.borrow().is_used();
-    let is_needed = state.quota.borrow().is_needed();
+    let is_used = state.quota.borrow().has_changes();
+    let is_needed = state.quota.borrow().has_quotas();
     if is_listed || is_used {
         state.words.last_words.replace(LAST_WORDS);
     } else if !is_needed || state.words.last_words.take() == 0 {
@@ -73,9 +73,9 @@
         far.clear();
     }
     let now = Instant::now();
-    let quota = is_needed.then(|| QuotaWord {
-        ends: !is_listed && !is_used,
-        ..state.quota.borrow_mut().word(now)
+    let quota = is_needed.then(|| QuotaReport {
+        stops: !is_listed && !is_used,
+        ..state.quota.borrow_mut().report(now)
     });
     let word = state.placer.borrow_mut().own_load(now);
     send(socket, &near, &message(state, word.clone(), quota.clone())).await;
@@ -112,7 +112,7 @@
     (near, far)
 }
 
-fn message(state: &InstanceState, word: LoadWord, quota: Option<QuotaWord>) -> PeerMessage {
+fn message(state: &InstanceState, word: LoadWord, quota: Option<QuotaReport>) -> PeerMessage {
     PeerMessage::Load(LoadBeat {
         entry: stable_hash(state.config.instance.as_bytes()),
         word,
--- a/crates/emulate/src/quota/ways.rs
+++ b/crates/emulate/src/quota/ways.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use place::placing::load::load_pause;
-use team::quota::{QuotaLimiter, QuotaWord};
+use team::quota::{QuotaLimiter, QuotaReport};
 use team::spec::{TeamQuota, TeamSpec};
 
 /// Regions of the fleet.
@@ -42,7 +42,7 @@
 pub struct ToldCounts(pub QuotaLimiter);
 
 impl EntryQuota for ToldCounts {
-    type Word = QuotaWord;
+    type Word = QuotaReport;
 
     fn set_teams(&mut self, now: Instant, teams: &[TeamSpec]) {
         self.0.set_teams(now, teams);
@@ -57,18 +57,18 @@
         self.0.admit(now, team)
     }
 
-    fn word(&mut self, now: Instant) -> (QuotaWord, usize) {
-        let word = self.0.word(now);
+    fn word(&mut self, now: Instant) -> (QuotaReport, usize) {
+        let word = self.0.report(now);
         // Run, age and set of teams take about 16 bytes, a count 4.
         let bytes = 16 + 4 * word.counts.len();
         (word, bytes)
     }
 
-    fn is_told(&self, _: u64, _: &QuotaWord) -> bool {
+    fn is_told(&self, _: u64, _: &QuotaReport) -> bool {
         true
     }
 
-    fn on_word(&mut self, now: Instant, peer: u64, word: &QuotaWord) {
+    fn on_word(&mut self, now: Instant, peer: u64, word: &QuotaReport) {
         self.0.on_report(now, peer, word);
     }
 }
--- a/crates/place/src/fleet/message.rs
+++ b/crates/place/src/fleet/message.rs
@@ -9,7 +9,7 @@
 use crate::fleet::seat::LeadSeat;
 use crate::placing::load::LoadWord;
 use rollout::word::RolloutWord;
-use team::quota::QuotaWord;
+use team::quota::QuotaReport;
 
 base::common! {
     /// One datagram between entries.
@@ -38,7 +38,7 @@
         /// What it has sent.
         pub word: LoadWord,
         /// What it let in of teams that have quotas, where there are such.
-        pub quota: Option<QuotaWord>,
+        pub quota: Option<QuotaReport>,
     }
 
     /// An entry's counts in rollouts.
--- a/crates/team/src/quota.rs
+++ b/crates/team/src/quota.rs
@@ -20,18 +20,18 @@
 /// An entry that wasn't heard for this long, or for so many times that others take between
 /// two words, is silent: its part is set aside. Until then it is taken to go on.
 const SILENT_AFTER: Duration = Duration::from_millis(500);
-const SILENT_WORDS: f64 = 3.2;
+const SILENT_INTERVALS: f64 = 3.2;
 /// A silent entry is reckoned with for so long: it may be cut off and go on.
-const SET_ASIDE_FOR: Duration = Duration::from_secs(60);
+const RESERVATION_TIME: Duration = Duration::from_secs(60);
 /// Entries that one which has met none of the others is taken to be among.
-const UNMET: usize = 8;
+const ASSUMED_FLEET_SIZE: usize = 8;
 /// A count that changed is told for this long: some of several words may get lost.
-const TOLD_FOR: Duration = Duration::from_millis(1000);
+const REPORT_CHANGE_FOR: Duration = Duration::from_millis(1000);
 
 base::common! {
     /// What an entry let in, as it tells others.
     #[derive(Eq, Default, PartialOrd, Ord)]
-    pub struct QuotaWord {
+    pub struct QuotaReport {
         /// One run of the entry's process.
         pub run: u64,
         /// Milliseconds since it began to count.
@@ -39,7 +39,7 @@
         /// Tells apart sets of teams, in which places differ.
         pub teams: u32,
         /// Whether it lets nothing in any more until it speaks again.
-        pub ends: bool,
+        pub stops: bool,
         /// Requests let in since the start, of teams for which that changed lately, by their
         /// places in the order of all teams' names.
         pub counts: Vec<(u32, u32)>,
@@ -56,7 +56,7 @@
     run: u64,
     /// All teams, by name.
     teams: Vec<TeamId>,
-    set: u32,
+    teams_hash: u32,
     buckets: HashMap<TeamId, TeamBucket>,
     tally: PeerTally<TeamId>,
     changed: HashMap<TeamId, Instant>,
@@ -65,7 +65,7 @@
     has_others: bool,
     silent_after: Duration,
     /// Others that let nothing in until they speak again.
-    ended: HashSet<u64>,
+    stopped: HashSet<u64>,
     /// The others that are silent.
     silent: HashSet<u64>,
     share: FleetShare,
@@ -79,14 +79,14 @@
             bounds,
             run,
             teams: Vec::new(),
-            set: 0,
+            teams_hash: 0,
             buckets: HashMap::new(),
             tally: PeerTally::new(SILENT_AFTER).with_start(now),
             changed: HashMap::new(),
             listed: HashMap::new(),
             has_others,
             silent_after: SILENT_AFTER,
-            ended: HashSet::new(),
+            stopped: HashSet::new(),
             silent: HashSet::new(),
             share: FleetShare::default(),
         }
@@ -98,11 +98,11 @@
         names.sort_unstable();
         names.dedup();
         self.teams = names.iter().map(|name| team_id(name)).collect();
-        let set = self
+        let hash = self
             .teams
             .iter()
-            .fold(0, |set: u64, id| set.rotate_left(5) ^ id);
-        self.set = (set ^ (set >> 32)) as u32;
+            .fold(0, |hash: u64, id| hash.rotate_left(5) ^ id);
+        self.teams_hash = (hash ^ (hash >> 32)) as u32;
         let share = self.share(now);
         let mut buckets = HashMap::new();
         for team in teams {
@@ -123,20 +123,22 @@
 
     /// Takes in which other entries get requests, and after what time each of them speaks
     /// again.
-    pub fn set_entries(&mut self, now: Instant, entries: &[u64], pause: Duration) {
-        self.silent_after = SILENT_AFTER.max(pause.mul_f64(SILENT_WORDS));
+    pub fn set_entries(&mut self, now: Instant, entries: &[u64], report_interval: Duration) {
+        self.silent_after = SILENT_AFTER.max(report_interval.mul_f64(SILENT_INTERVALS));
         self.tally.set_report_ttl(self.silent_after);
         self.listed.retain(|peer, _| entries.contains(peer));
         for peer in entries {
             self.listed.entry(*peer).or_insert(now);
         }
         let listed = &self.listed;
-        self.tally.retain(|peer, heard| {
-            listed.contains_key(&peer) || now.saturating_duration_since(heard) < SET_ASIDE_FOR
+        self.tally.retain(|peer, last_heard| {
+            listed.contains_key(&peer)
+                || now.saturating_duration_since(last_heard) < RESERVATION_TIME
         });
         let tally = &self.tally;
-        self.ended.retain(|peer| tally.last_heard(*peer).is_some());
-        self.look_around(now);
+        self.stopped
+            .retain(|peer| tally.last_heard(*peer).is_some());
+        self.refresh_share(now);
     }
 
     /// Lets a request of the team `name` in.
@@ -146,18 +148,18 @@
     pub fn admit(&mut self, now: Instant, name: &str) -> Result<(), Duration> {
         let id = team_id(name);
         let share = self.share(now);
-        let unheard = self.tally.estimate_unreported(now, id);
+        let unreported = self.tally.estimate_unreported(now, id);
         let Some(bucket) = self.buckets.get_mut(&id) else {
             return Ok(());
         };
-        bucket.try_take(now, &self.bounds, share, unheard)?;
+        bucket.try_take(now, &self.bounds, share, unreported)?;
         self.tally.add(now, id);
         self.changed.insert(id, now);
         Ok(())
     }
 
     /// A request of the team `name` that was let in has not run and never will.
-    pub fn give_back(&mut self, now: Instant, name: &str) {
+    pub fn refund(&mut self, now: Instant, name: &str) {
         let id = team_id(name);
         if let Some(bucket) = self.buckets.get_mut(&id) {
             bucket.debit(-1.0);
@@ -167,53 +169,53 @@
     }
 
     /// What this entry let in, for the others. Call it several times a second while
-    /// [`Self::is_used`].
-    pub fn word(&mut self, now: Instant) -> QuotaWord {
-        self.look_around(now);
+    /// [`Self::has_changes`].
+    pub fn report(&mut self, now: Instant) -> QuotaReport {
+        self.refresh_share(now);
         self.changed
-            .retain(|_, at| now.saturating_duration_since(*at) < TOLD_FOR);
+            .retain(|_, at| now.saturating_duration_since(*at) < REPORT_CHANGE_FOR);
         let mut counts = Vec::with_capacity(self.changed.len());
-        for (place, id) in (0..).zip(&self.teams) {
+        for (index, id) in (0..).zip(&self.teams) {
             if self.changed.contains_key(id) {
-                counts.push((place, self.tally.own_total(*id)));
+                counts.push((index, self.tally.own_total(*id)));
             }
         }
-        QuotaWord {
+        QuotaReport {
             run: self.run,
             age: u64::try_from(self.tally.age(now).as_millis()).unwrap_or(u64::MAX),
-            teams: self.set,
-            ends: false,
+            teams: self.teams_hash,
+            stops: false,
             counts,
         }
     }
 
     /// Whether any team has a quota.
-    pub fn is_needed(&self) -> bool {
+    pub fn has_quotas(&self) -> bool {
         !self.buckets.is_empty()
     }
 
     /// Whether this entry let something in lately that the others may not have heard.
-    pub fn is_used(&self) -> bool {
+    pub fn has_changes(&self) -> bool {
         !self.changed.is_empty()
     }
 
     /// Takes in what the entry `peer` let in.
-    pub fn on_report(&mut self, now: Instant, peer: u64, word: &QuotaWord) {
+    pub fn on_report(&mut self, now: Instant, peer: u64, report: &QuotaReport) {
         // Places among other teams say nothing; counts add up, so that nothing is lost by it.
-        let teams = if word.teams == self.set {
+        let teams = if report.teams == self.teams_hash {
             self.teams.as_slice()
         } else {
             &[]
         };
-        let heard = self
+        let last_heard = self
             .tally
             .last_heard(peer)
             .or_else(|| self.listed.get(&peer).copied());
-        let silent_for = heard.map(|at| now.saturating_duration_since(at));
+        let silent_for = last_heard.map(|at| now.saturating_duration_since(at));
         let silent_for = silent_for.filter(|span| *span >= self.silent_after);
-        let (share, ends) = (self.share, word.ends);
-        let word = word.counted(teams);
-        for (id, added) in self.tally.on_report(now, peer, &word) {
+        let (share, stops) = (self.share, report.stops);
+        let report = report.to_count_report(teams);
+        for (id, added) in self.tally.on_report(now, peer, &report) {
             let Some(bucket) = self.buckets.get_mut(&id) else {
                 continue;
             };
@@ -227,10 +229,10 @@
                 added
             });
         }
-        if ends {
-            self.ended.insert(peer);
+        if stops {
+            self.stopped.insert(peer);
         } else {
-            self.ended.remove(&peer);
+            self.stopped.remove(&peer);
         }
     }
 
@@ -248,24 +250,24 @@
 
     fn share(&mut self, now: Instant) -> FleetShare {
         if self.share.is_stale(now) {
-            self.look_around(now);
+            self.refresh_share(now);
         }
         self.share
     }
 
     /// Finds out which of the others are silent. Where there are more, their parts are set
     /// aside.
-    fn look_around(&mut self, now: Instant) {
+    fn refresh_share(&mut self, now: Instant) {
         let is_silent = |at: Instant| now.saturating_duration_since(at) >= self.silent_after;
         let (mut known, mut silent) = (1, HashSet::new());
-        for (peer, heard) in self.tally.peers() {
-            let is_old = now.saturating_duration_since(heard) >= SET_ASIDE_FOR;
+        for (peer, last_heard) in self.tally.peers() {
+            let is_old = now.saturating_duration_since(last_heard) >= RESERVATION_TIME;
             let is_listed = self.listed.contains_key(&peer);
-            if self.ended.contains(&peer) || is_old && !is_listed {
+            if self.stopped.contains(&peer) || is_old && !is_listed {
                 continue;
             }
             known += 1;
-            if is_silent(heard) {
+            if is_silent(last_heard) {
                 silent.insert(peer);
             }
         }
@@ -281,7 +283,7 @@
         self.charge_silent(now, &silent);
         let mut silent = silent.len();
         if known == 1 && self.has_others {
-            (known, silent) = (UNMET, UNMET - 1);
+            (known, silent) = (ASSUMED_FLEET_SIZE, ASSUMED_FLEET_SIZE - 1);
         }
         let share = FleetShare::new(now, silent, known);
         for bucket in self.buckets.values_mut() {
@@ -291,11 +293,11 @@
     }
 }
 
-impl QuotaWord {
+impl QuotaReport {
     /// The counts by the ids of `teams`, among which the word's places are.
-    fn counted(&self, teams: &[TeamId]) -> CountReport<TeamId> {
-        let counts = self.counts.iter().filter_map(|(place, count)| {
-            let id = teams.get(usize::try_from(*place).ok()?)?;
+    fn to_count_report(&self, teams: &[TeamId]) -> CountReport<TeamId> {
+        let counts = self.counts.iter().filter_map(|(index, count)| {
+            let id = teams.get(usize::try_from(*index).ok()?)?;
             Some((*id, *count))
         });
         CountReport {
--- a/crates/team/tests/quota.rs
+++ b/crates/team/tests/quota.rs
@@ -2,9 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-use team::prelude::{QuotaBounds, QuotaLimiter, QuotaWord, TeamQuota, TeamSpec};
+use team::prelude::{QuotaBounds, QuotaLimiter, QuotaReport, TeamQuota, TeamSpec};
 
-const PAUSE: Duration = Duration::from_millis(80);
+const REPORT_INTERVAL: Duration = Duration::from_millis(80);
 const BOUNDS: QuotaBounds = QuotaBounds {
     window: Duration::from_secs(5),
     excess: 0.1,
@@ -26,7 +26,7 @@
 }
 
 /// A limiter that knows the team `red` and has run alone for a while.
-fn alone(rate: f64, burst: f64) -> (Instant, QuotaLimiter) {
+fn lone_limiter(rate: f64, burst: f64) -> (Instant, QuotaLimiter) {
     let start = Instant::now();
     let mut limiter = QuotaLimiter::new(start, BOUNDS, 1, false);
     limiter.set_teams(start, &[team("red", rate, burst)]);
@@ -38,19 +38,19 @@
     tries.count() as u32
 }
 
-fn hears(limiter: &mut QuotaLimiter, now: Instant, peer: u64, run: u64, age: u64) {
-    let word = QuotaWord {
+fn receive_report(limiter: &mut QuotaLimiter, now: Instant, peer: u64, run: u64, age: u64) {
+    let report = QuotaReport {
         run,
         age,
-        ..QuotaWord::default()
+        ..QuotaReport::default()
     };
-    limiter.on_report(now, peer, &word);
+    limiter.on_report(now, peer, &report);
 }
 
 /// Promise: a team gets its burst and its rate, no more; teams without a quota get all.
 #[test]
 fn a_quota_is_a_rate_and_a_burst() {
-    let (now, mut limiter) = alone(10.0, 30.0);
+    let (now, mut limiter) = lone_limiter(10.0, 30.0);
     assert_eq!(admitted(&mut limiter, now, 100), 30);
     assert_eq!(admitted(&mut limiter, now + ms(2000), 100), 20);
     assert!((0..1000).all(|_| limiter.admit(now, "free").is_ok()));
@@ -60,7 +60,7 @@
 /// then.
 #[test]
 fn a_small_quota_is_not_none() {
-    let (now, mut limiter) = alone(0.1, 0.0);
+    let (now, mut limiter) = lone_limiter(0.1, 0.0);
     assert_eq!(admitted(&mut limiter, now, 5), 1);
     assert_eq!(admitted(&mut limiter, now + ms(9000), 5), 0);
     assert_eq!(admitted(&mut limiter, now + ms(10_100), 5), 1);
@@ -69,16 +69,16 @@
 /// Promise: what hasn't run doesn't count.
 #[test]
 fn what_has_not_run_is_given_back() {
-    let (now, mut limiter) = alone(1.0, 2.0);
+    let (now, mut limiter) = lone_limiter(1.0, 2.0);
     assert_eq!(admitted(&mut limiter, now, 5), 2);
-    limiter.give_back(now, "red");
+    limiter.refund(now, "red");
     assert_eq!(admitted(&mut limiter, now, 5), 1);
 }
 
 /// Promise: callers are told to come back when there is room, one after the other.
 #[test]
 fn refused_callers_come_back_one_after_the_other() {
-    let (now, mut limiter) = alone(4.0, 4.0);
+    let (now, mut limiter) = lone_limiter(4.0, 4.0);
     assert_eq!(admitted(&mut limiter, now, 4), 4);
     let waits: Vec<Duration> = (0..4)
         .map(|_| limiter.admit(now, "red").unwrap_err())
@@ -102,9 +102,9 @@
     let start = Instant::now();
     let mut limiter = QuotaLimiter::new(start, BOUNDS, 2, true);
     for peer in 1..=8 {
-        hears(&mut limiter, start, peer, 1, 60_000);
+        receive_report(&mut limiter, start, peer, 1, 60_000);
     }
-    limiter.set_entries(start, &[1, 2, 3, 4, 5, 6, 7, 8], PAUSE);
+    limiter.set_entries(start, &[1, 2, 3, 4, 5, 6, 7, 8], REPORT_INTERVAL);
     let now = start + ms(100);
     limiter.set_teams(now, &[team("red", 100.0, 100.0)]);
     let first = admitted(&mut limiter, now, 1000);
@@ -119,25 +119,25 @@
     let mut limiter = QuotaLimiter::new(start, BOUNDS, 1, true);
     limiter.set_teams(start, &[team("red", 90.0, 90.0)]);
     let peers: Vec<u64> = (1..=8).collect();
-    limiter.set_entries(start, &peers, PAUSE);
+    limiter.set_entries(start, &peers, REPORT_INTERVAL);
     let mut now = start;
     for _ in 0..50 {
         now += ms(100);
         for peer in &peers {
-            hears(&mut limiter, now, *peer, 1, 1000);
+            receive_report(&mut limiter, now, *peer, 1, 1000);
         }
     }
     now += ms(20_000);
-    let alone = admitted(&mut limiter, now, 1000);
+    let lone_limiter = admitted(&mut limiter, now, 1000);
     // A ninth of the burst, and a little for what it can't know.
-    assert!((10..=14).contains(&alone), "{alone}");
+    assert!((10..=14).contains(&lone_limiter), "{lone_limiter}");
     now += ms(5000);
     for _ in 0..12 {
         now += ms(100);
         for peer in &peers {
-            hears(&mut limiter, now, *peer, 1, 30_000);
+            receive_report(&mut limiter, now, *peer, 1, 30_000);
         }
-        limiter.word(now);
+        limiter.report(now);
     }
     let together = admitted(&mut limiter, now, 1000);
     assert!(together >= 90, "{together}");
@@ -146,15 +146,15 @@
 /// Promise: an entry that says that it lets nothing in any more has no part set aside.
 #[test]
 fn who_stands_by_takes_no_part() {
-    let (mut now, mut limiter) = alone(100.0, 100.0);
-    hears(&mut limiter, now, 1, 1, 1000);
-    let last = QuotaWord {
+    let (mut now, mut limiter) = lone_limiter(100.0, 100.0);
+    receive_report(&mut limiter, now, 1, 1, 1000);
+    let last = QuotaReport {
         run: 1,
         age: 1080,
-        ends: true,
-        ..QuotaWord::default()
+        stops: true,
+        ..QuotaReport::default()
     };
-    limiter.on_report(now + PAUSE, 1, &last);
+    limiter.on_report(now + REPORT_INTERVAL, 1, &last);
     now += ms(10_000);
     assert_eq!(admitted(&mut limiter, now, 1000), 100);
 }
@@ -170,13 +170,17 @@
     let mut behind = QuotaLimiter::new(start, BOUNDS, 1, false);
     behind.set_teams(start, &[team("red", 10.0, 10.0)]);
     let now = start + ms(4000);
-    hears(&mut behind, now, 7, 1, 4000);
+    receive_report(&mut behind, now, 7, 1, 4000);
     assert_eq!(admitted(&mut ahead, now, 9), 9);
-    let word = ahead.word(now);
-    behind.on_report(now, 7, &word);
+    let report = ahead.report(now);
+    behind.on_report(now, 7, &report);
     behind.set_teams(now, &both);
-    behind.on_report(now + PAUSE, 7, &ahead.word(now + PAUSE));
-    assert!(admitted(&mut behind, now + PAUSE, 100) <= 2);
+    behind.on_report(
+        now + REPORT_INTERVAL,
+        7,
+        &ahead.report(now + REPORT_INTERVAL),
+    );
+    assert!(admitted(&mut behind, now + REPORT_INTERVAL, 100) <= 2);
 }
 
 /// Promise: a hundred thousand teams cost a request no more than one does, and a word tells
@@ -193,6 +197,6 @@
     for index in 0..40 {
         assert!(limiter.admit(now, &format!("team-{}", index * 7)).is_ok());
     }
-    assert_eq!(limiter.word(now).counts.len(), 40);
-    assert_eq!(limiter.word(now + ms(1500)).counts.len(), 0);
+    assert_eq!(limiter.report(now).counts.len(), 40);
+    assert_eq!(limiter.report(now + ms(1500)).counts.len(), 0);
 }
