--- a/bin/lh-entry/src/problem.rs
+++ b/bin/lh-entry/src/problem.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use hyper::header::{CONTENT_TYPE, HeaderName, HeaderValue, RETRY_AFTER, WWW_AUTHENTICATE};
 use hyper::{Response, StatusCode};
-use once::KeptAnswer;
+use once::StoredAnswer;
 use platform::headers;
 
 use crate::body::AnswerBody;
@@ -23,7 +23,7 @@
     detail: String,
     pub(crate) outcome: Outcome,
     pub(crate) retry_after: Option<Duration>,
-    replay: Option<Box<KeptAnswer>>,
+    replay: Option<Box<StoredAnswer>>,
 }
 
 impl Problem {
@@ -40,7 +40,7 @@
     }
 
     /// The kept answer of a request that was run before, given again.
-    pub(crate) fn replay(answer: KeptAnswer) -> Self {
+    pub(crate) fn replay(answer: StoredAnswer) -> Self {
         let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
         let mut problem = Self::new(status, "replay", "").with_outcome(Outcome::Done);
         problem.replay = Some(Box::new(answer));
@@ -121,7 +121,7 @@
     response
 }
 
-fn replayed(answer: KeptAnswer) -> Response<AnswerBody> {
+fn replayed(answer: StoredAnswer) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::whole(answer.body));
     if let Some(Ok(value)) = answer.content_type.map(HeaderValue::try_from) {
         response.headers_mut().insert(CONTENT_TYPE, value);
--- a/bin/lh-entry/src/rollout.rs
+++ b/bin/lh-entry/src/rollout.rs
@@ -48,7 +48,7 @@
             exposure_slack: config.exposure.slack,
             run: incarnation,
         };
-        let schedule = LateSchedule::new(bounds.exposure_share);
+        let schedule = CanarySchedule::new(bounds.exposure_share);
         Self {
             book: RefCell::new(RolloutBook::new(Instant::now(), bounds, schedule)),
             wake: Notify::new(),
@@ -182,7 +182,7 @@
     let mut book = state.rollouts.book.borrow_mut();
     let is_repeat = !request.tried.is_empty();
     let choice = book.choose(now, service, is_repeat, operator_age(state));
-    let (rule, fallback) = book.rules(service, choice);
+    let (rule, fallback) = book.filters(service, choice);
     let mut placer = state.placer.borrow_mut();
     let placed = placer.place(now, &request.with_versions(rule));
     let (Err(refusal), Some((rule, is_last_resort))) = (&placed, fallback) else {
--- a/bin/lh-entry/src/status.rs
+++ b/bin/lh-entry/src/status.rs
@@ -88,7 +88,7 @@
         version: record.order.version.clone(),
         phase: record.phase.as_str(),
         share: book.share(now, &record.order.service),
-        barred: record.kept_out(),
+        barred: record.excluded_versions(),
     };
     book.records().map(status).collect()
 }
--- a/bin/lh-entry/src/ticket.rs
+++ b/bin/lh-entry/src/ticket.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use hyper::header::{CONTENT_LENGTH, CONTENT_TYPE};
 use hyper::{HeaderMap, Method, Response, StatusCode};
-use once::{KeptAnswer, OnceKey, OnceState, OnceTable, OnceVerdict, StampKey, TicketVerdict};
+use once::{OnceKey, OnceState, OnceTable, OnceVerdict, StampKey, StoredAnswer, TicketVerdict};
 
 use crate::body::AnswerBody;
 use crate::caller::TicketHead;
@@ -78,7 +78,7 @@
                 "ticket-forged",
                 "the ticket was not issued by this instance; look up again",
             )),
-            TicketVerdict::Expired(end) if now < end + OnceTable::memory() => {
+            TicketVerdict::Expired(end) if now < end + OnceTable::retention() => {
                 let known = self.table.borrow().find(&key).cloned();
                 Err(known.map_or_else(expired, repeat_problem))
             }
@@ -202,10 +202,10 @@
     hasher.finish()
 }
 
-fn kept_answer(response: &Response<AnswerBody>) -> Option<KeptAnswer> {
+fn kept_answer(response: &Response<AnswerBody>) -> Option<StoredAnswer> {
     let content_type = response.headers().get(CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok());
-    Some(KeptAnswer {
+    Some(StoredAnswer {
         status: response.status().as_u16(),
         content_type: content_type.map(str::to_owned),
         body: response.body().bytes()?,
--- a/bin/lh-load/src/rollout.rs
+++ b/bin/lh-load/src/rollout.rs
@@ -7,7 +7,7 @@
     EXPOSURE_SHARE, RolloutFault, RolloutHistory, RolloutOutcome, play_rollout,
 };
 use rollout::prelude::*;
-use rollout::schedule::EvenSchedule;
+use rollout::schedule::LinearSchedule;
 
 use crate::error::Result;
 use crate::plot;
@@ -34,8 +34,8 @@
     for entries in SIZES {
         for seed in 1..=seeds {
             for (name, history) in histories(seed, entries) {
-                let late = play_rollout(history, LateSchedule::new(EXPOSURE_SHARE));
-                let even = play_rollout(history, EvenSchedule { steps: STEPS });
+                let late = play_rollout(history, CanarySchedule::new(EXPOSURE_SHARE));
+                let even = play_rollout(history, LinearSchedule { steps: STEPS });
                 for (way, outcome) in [("late", &late), ("even", &even)] {
                     print_row(name, &history, way, outcome);
                 }
--- a/crates/emulate/src/rollout/world.rs
+++ b/crates/emulate/src/rollout/world.rs
@@ -175,7 +175,7 @@
         let is_new = match choice {
             VersionChoice::New | VersionChoice::NewOnly => true,
             VersionChoice::Old => false,
-            VersionChoice::Usual => is_over == Some(RolloutPhase::Completed),
+            VersionChoice::NoRollout => is_over == Some(RolloutPhase::Completed),
         };
         let route = self.rng.random_range(1..=3);
         let server = self.rng.random_range(0..20);
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -4,5 +4,5 @@
 mod table;
 mod ticket;
 
-pub use table::{KeptAnswer, OnceKey, OnceState, OnceTable, OnceVerdict};
+pub use table::{OnceKey, OnceState, OnceTable, OnceVerdict, StoredAnswer};
 pub use ticket::{StampKey, Ticket, TicketVerdict};
--- a/crates/once/src/table.rs
+++ b/crates/once/src/table.rs
@@ -10,11 +10,11 @@
 use bytes::Bytes;
 
 /// Time that a record is kept after its ticket has ended.
-const MEMORY: Duration = Duration::from_secs(900);
+const RETENTION: Duration = Duration::from_secs(900);
 /// Largest answer that is kept, in bytes.
-const MAX_KEPT_ANSWER: usize = 16 << 10;
+const MAX_STORED_ANSWER: usize = 16 << 10;
 /// Bytes of all kept answers together.
-const MAX_KEPT_TOTAL: usize = 32 << 20;
+const MAX_STORED_TOTAL: usize = 32 << 20;
 
 /// Names a request that must not repeat: a number under a ticket, of one owner. Whoever else
 /// comes with the same ticket and number is told nothing of it.
@@ -30,7 +30,7 @@
 
 /// An answer that is kept for repeats of its request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct KeptAnswer {
+pub struct StoredAnswer {
     /// The status code.
     pub status: u16,
     /// The content type, where given.
@@ -47,7 +47,7 @@
     /// It was refused and will never run.
     Refused,
     /// It was run; the answer is kept if it was small.
-    Done(Option<KeptAnswer>),
+    Done(Option<StoredAnswer>),
     /// It may have run.
     Unknown,
 }
@@ -87,25 +87,25 @@
 #[derive(Debug, Clone)]
 pub struct OnceTable {
     records: HashMap<OnceKey, OnceRecord>,
-    by_end: BTreeSet<(Instant, OnceKey)>,
-    most: usize,
-    kept_bytes: usize,
+    by_expiry: BTreeSet<(Instant, OnceKey)>,
+    capacity: usize,
+    stored_bytes: usize,
 }
 
 impl OnceTable {
-    /// A table of at most `most` records.
-    pub fn new(most: usize) -> Self {
+    /// A table of at most `capacity` records.
+    pub fn new(capacity: usize) -> Self {
         Self {
             records: HashMap::new(),
-            by_end: BTreeSet::new(),
-            most,
-            kept_bytes: 0,
+            by_expiry: BTreeSet::new(),
+            capacity,
+            stored_bytes: 0,
         }
     }
 
     /// How long a record outlives its ticket. Copies that come later can't be judged.
-    pub const fn memory() -> Duration {
-        MEMORY
+    pub const fn retention() -> Duration {
+        RETENTION
     }
 
     /// A request with `key` has arrived; its ticket ends at `valid_until`.
@@ -123,11 +123,11 @@
             }
             return OnceVerdict::Known(record.state.clone());
         }
-        if self.records.len() >= self.most {
+        if self.records.len() >= self.capacity {
             return OnceVerdict::Full;
         }
-        let forget_at = valid_until + MEMORY;
-        self.by_end.insert((forget_at, *key));
+        let expires_at = valid_until + RETENTION;
+        self.by_expiry.insert((expires_at, *key));
         self.records.insert(
             *key,
             OnceRecord {
@@ -151,8 +151,9 @@
         let state = match state {
             OnceState::Done(Some(answer)) => {
                 let size = answer.body.len();
-                let fits = size <= MAX_KEPT_ANSWER && self.kept_bytes + size <= MAX_KEPT_TOTAL;
-                self.kept_bytes += if fits { size } else { 0 };
+                let fits =
+                    size <= MAX_STORED_ANSWER && self.stored_bytes + size <= MAX_STORED_TOTAL;
+                self.stored_bytes += if fits { size } else { 0 };
                 OnceState::Done(fits.then_some(answer))
             }
             other => other,
@@ -162,17 +163,17 @@
 
     fn release_answer(&mut self, record: &OnceRecord) {
         if let OnceState::Done(Some(answer)) = &record.state {
-            self.kept_bytes = self.kept_bytes.saturating_sub(answer.body.len());
+            self.stored_bytes = self.stored_bytes.saturating_sub(answer.body.len());
         }
     }
 
     /// Forgets the records whose time is over.
     pub fn expire(&mut self, now: Instant) {
-        while let Some((end, key)) = self.by_end.first().copied() {
+        while let Some((end, key)) = self.by_expiry.first().copied() {
             if end > now {
                 return;
             }
-            self.by_end.remove(&(end, key));
+            self.by_expiry.remove(&(end, key));
             let Some(record) = self.records.remove(&key) else {
                 continue;
             };
--- a/crates/once/src/ticket.rs
+++ b/crates/once/src/ticket.rs
@@ -65,7 +65,7 @@
 
     /// A stamp that is valid until `expires`.
     pub fn stamp(&self, expires: Instant) -> String {
-        let expires_ms = self.milliseconds(expires);
+        let expires_ms = self.millis_since_start(expires);
         let signature = self.sign(expires_ms);
         format!(
             "{}~{}~{expires_ms}~{signature}",
@@ -86,7 +86,7 @@
         TicketVerdict::Valid(end)
     }
 
-    fn milliseconds(&self, at: Instant) -> u64 {
+    fn millis_since_start(&self, at: Instant) -> u64 {
         let since = at.saturating_duration_since(self.start);
         u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
     }
--- a/crates/once/tests/once.rs
+++ b/crates/once/tests/once.rs
@@ -5,7 +5,7 @@
 use base::prelude::*;
 use bytes::Bytes;
 use once::{
-    KeptAnswer, OnceKey, OnceState, OnceTable, OnceVerdict, StampKey, Ticket, TicketVerdict,
+    OnceKey, OnceState, OnceTable, OnceVerdict, StampKey, StoredAnswer, Ticket, TicketVerdict,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -27,7 +27,7 @@
     }
 }
 
-fn stamps(run: u64, start: Instant) -> StampKey {
+fn signer(run: u64, start: Instant) -> StampKey {
     StampKey::new(
         &NodeId::new(&InstanceId::new("a"), Incarnation(run)),
         [run as u8; 32],
@@ -84,7 +84,7 @@
         OnceVerdict::Known(OnceState::Running)
     );
     assert_eq!(table.begin(now, &key(1), 9, now), OnceVerdict::OtherRequest);
-    let later = now + OnceTable::memory();
+    let later = now + OnceTable::retention();
     assert_eq!(table.begin(later, &key(3), 0, later), OnceVerdict::Run);
     assert_eq!(table.len(), 1);
 }
@@ -96,7 +96,7 @@
     let now = Instant::now();
     for (number, size) in [(1, 100), (2, 100_000)] {
         table.begin(now, &key(number), 0, now);
-        let answer = KeptAnswer {
+        let answer = StoredAnswer {
             status: 200,
             content_type: None,
             body: Bytes::from(vec![0; size]),
@@ -114,24 +114,24 @@
 #[test]
 fn tickets_hold_for_one_run_and_one_time() {
     let start = Instant::now();
-    let stamps_of_run = stamps(1, start);
-    let stamp = stamps_of_run.stamp(start + Duration::from_secs(10));
+    let signer_of_run = signer(1, start);
+    let stamp = signer_of_run.stamp(start + Duration::from_secs(10));
     let ticket = Ticket::parse(&Ticket::issue(&stamp, 77)).unwrap();
     assert_eq!(ticket.nonce, 77);
     let check = |key: &StampKey, seconds| key.check(start + Duration::from_secs(seconds), &ticket);
-    assert!(matches!(check(&stamps_of_run, 9), TicketVerdict::Valid(_)));
+    assert!(matches!(check(&signer_of_run, 9), TicketVerdict::Valid(_)));
     assert!(matches!(
-        check(&stamps_of_run, 10),
+        check(&signer_of_run, 10),
         TicketVerdict::Expired(_)
     ));
-    assert_eq!(check(&stamps(2, start), 1), TicketVerdict::Forged);
+    assert_eq!(check(&signer(2, start), 1), TicketVerdict::Forged);
 }
 
 /// Whatever text comes as a ticket, reading it ends, and nothing but the own stamp is valid.
 #[test]
 fn hostile_tickets_are_forged_or_unreadable() {
     let start = Instant::now();
-    let key = stamps(1, start);
+    let key = signer(1, start);
     let good = Ticket::issue(&key.stamp(start + Duration::from_secs(10)), 1);
     runner()
         .run(&(0..good.len(), "[ -~]"), |(at, with)| {
--- a/crates/place/src/request.rs
+++ b/crates/place/src/request.rs
@@ -6,7 +6,7 @@
 use crate::desired::RouteSpec;
 use crate::placing::warmth::Belief;
 use crate::server::ServerEntry;
-use rollout::rule::VersionRule;
+use rollout::filter::VersionFilter;
 
 /// A request that wants a server.
 #[derive(Debug, Clone, Copy)]
@@ -30,7 +30,7 @@
     /// Servers that it was sent to before.
     pub tried: &'a [ServerHandle],
     /// Which versions of the service may run it.
-    pub versions: VersionRule<'a>,
+    pub versions: VersionFilter<'a>,
 }
 
 impl<'a> PlacementRequest<'a> {
@@ -47,7 +47,7 @@
             returning: false,
             body_bytes: 0,
             tried: &[],
-            versions: VersionRule::Any,
+            versions: VersionFilter::Any,
         }
     }
 
@@ -60,7 +60,7 @@
 
     /// Servers of the versions that `versions` allows may run it.
     #[must_use]
-    pub fn with_versions(mut self, versions: VersionRule<'a>) -> Self {
+    pub fn with_versions(mut self, versions: VersionFilter<'a>) -> Self {
         self.versions = versions;
         self
     }
--- a/crates/rollout/src/book/gate.rs
+++ b/crates/rollout/src/book/gate.rs
@@ -22,7 +22,7 @@
         record: Option<&RolloutRecord>,
         held: Vec<(String, Instant)>,
     ) -> Option<Self> {
-        let barred = record.map_or_else(Vec::new, RolloutRecord::kept_out);
+        let barred = record.map_or_else(Vec::new, RolloutRecord::excluded_versions);
         let mut closed = barred.clone();
         let in_phase = |phase| record.filter(|record| record.phase == phase);
         let until = held.iter().map(|(_, until)| *until).min();
--- a/crates/rollout/src/book/mod.rs
+++ b/crates/rollout/src/book/mod.rs
@@ -13,9 +13,9 @@
 use crate::book::gate::VersionGate;
 use crate::book::service::ServiceRollout;
 use crate::evidence::{ALL_ROUTES, AnswerCounts, AnswerKey, AnswerKind, BadVersion, ServerMask};
+use crate::filter::{VersionChoice, VersionFilter};
 use crate::order::{RolloutOrder, RolloutPhase, RolloutRecord};
-use crate::rule::{VersionChoice, VersionRule};
-use crate::schedule::{LateSchedule, RolloutStage, ShareSchedule};
+use crate::schedule::{CanarySchedule, RolloutStage, ShareSchedule};
 use crate::sends::{FaredSend, SendBook, SendOutcome, SendToken, VersionSend};
 use crate::versions::VersionLedger;
 
@@ -58,7 +58,7 @@
 
 /// The rollouts of all services, as one entry knows them.
 #[derive(Debug)]
-pub struct RolloutBook<S = LateSchedule> {
+pub struct RolloutBook<S = CanarySchedule> {
     config: RolloutConfig,
     schedule: S,
     rollouts: BTreeMap<String, ServiceRollout>,
@@ -189,18 +189,18 @@
         age: Option<Duration>,
     ) -> VersionChoice {
         let Some(gate) = self.gates.get(service) else {
-            return VersionChoice::Usual;
+            return VersionChoice::NoRollout;
         };
         if gate.until.is_some_and(|until| now >= until) {
             self.refresh_gate(now, service);
         }
         let Some(rollout) = self.rollouts.get_mut(service) else {
-            return VersionChoice::Usual;
+            return VersionChoice::NoRollout;
         };
         match rollout.record.phase {
             RolloutPhase::Ordered => return VersionChoice::Old,
             RolloutPhase::Running => {}
-            RolloutPhase::RolledBack | RolloutPhase::Completed => return VersionChoice::Usual,
+            RolloutPhase::RolledBack | RolloutPhase::Completed => return VersionChoice::NoRollout,
         }
         if rollout.is_overdue(now) || age.is_none_or(|age| age > DARK_AFTER) {
             return VersionChoice::Old;
@@ -210,7 +210,7 @@
             RolloutStage::Exclusive => VersionChoice::NewOnly,
             _ if is_repeat => VersionChoice::Old,
             RolloutStage::Preferred => VersionChoice::New,
-            RolloutStage::Share(share) if self.is_listed && rollout.limiter.take(share) => {
+            RolloutStage::Share(share) if self.is_listed && rollout.limiter.try_take(share) => {
                 VersionChoice::New
             }
             RolloutStage::Share(_) => VersionChoice::Old,
@@ -219,22 +219,22 @@
 
     /// The filter for `choice`, and the one to try where that refuses the request, with
     /// whether only where it finds no server at all.
-    pub fn rules(
+    pub fn filters(
         &self,
         service: &str,
         choice: VersionChoice,
-    ) -> (VersionRule<'_>, Option<(VersionRule<'_>, bool)>) {
+    ) -> (VersionFilter<'_>, Option<(VersionFilter<'_>, bool)>) {
         let Some(gate) = self.gates.get(service) else {
-            return (VersionRule::Any, None);
+            return (VersionFilter::Any, None);
         };
-        let others = VersionRule::Without(&gate.closed);
+        let others = VersionFilter::Except(&gate.closed);
         let rollout = self.rollouts.get(service);
         let Some(version) = rollout.map(|rollout| rollout.record.order.version.as_str()) else {
-            return (others, Some((VersionRule::Any, true)));
+            return (others, Some((VersionFilter::Any, true)));
         };
-        let only = VersionRule::Only(version);
+        let only = VersionFilter::Only(version);
         match choice {
-            VersionChoice::Usual => (others, Some((VersionRule::Without(&gate.barred), true))),
+            VersionChoice::NoRollout => (others, Some((VersionFilter::Except(&gate.barred), true))),
             VersionChoice::Old => (others, Some((only, true))),
             VersionChoice::New => (only, Some((others, false))),
             VersionChoice::NewOnly => (only, Some((others, true))),
@@ -244,7 +244,7 @@
     /// A request that was to go to the new version of `service` went to another.
     pub fn on_diverted(&mut self, service: &str) {
         if let Some(rollout) = self.rollouts.get_mut(service) {
-            rollout.limiter.give_back();
+            rollout.limiter.refund();
         }
     }
 
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -8,7 +8,7 @@
 pub const ALL_ROUTES: u64 = 0;
 /// Servers that must have given bad answers before the version is to blame, where there are
 /// as many: fewer may be faulty themselves.
-const SERVERS_LEAST: u32 = 3;
+const MIN_BAD_SERVERS: u32 = 3;
 /// Answers of the old version that are taken to have been good before any came, so that the
 /// first bad ones don't count as usual.
 const PRIOR_ANSWERS: f64 = 20.0;
@@ -80,7 +80,7 @@
 pub struct VersionEvidence {
     routes: HashMap<u64, RouteEvidence>,
     /// Servers of the new version that answered.
-    seen: ServerMask,
+    answered: ServerMask,
     /// Those among them that gave bad answers.
     bad: ServerMask,
 }
@@ -121,10 +121,10 @@
     pub fn add(&mut self, route: u64, is_new: bool, counts: AnswerCounts) {
         let evidence = self.routes.entry(route).or_default();
         if !is_new {
-            add_all(&mut evidence.old, counts);
+            add_counts(&mut evidence.old, counts);
             return;
         }
-        add_all(&mut evidence.new, counts);
+        add_counts(&mut evidence.new, counts);
         let old = evidence.old;
         let not_failed = counts.good + counts.slow;
         evidence.failures.on_outcomes(
@@ -139,14 +139,14 @@
     }
 
     /// Adds servers of the new version that answered, and those that gave bad answers.
-    pub fn add_servers(&mut self, seen: ServerMask, bad: ServerMask) {
-        self.seen.0 |= seen.0;
+    pub fn add_servers(&mut self, answered: ServerMask, bad: ServerMask) {
+        self.answered.0 |= answered.0;
         self.bad.0 |= bad.0;
     }
 
     /// The servers of the new version that answered, and those that gave bad answers.
     pub fn servers(&self) -> (ServerMask, ServerMask) {
-        (self.seen, self.bad)
+        (self.answered, self.bad)
     }
 
     /// Answers of the new version.
@@ -157,12 +157,12 @@
 
     /// What shows that the version is bad, if anything does.
     pub fn verdict(&self) -> Option<BadVersion> {
-        if self.bad.count() < SERVERS_LEAST.min(self.seen.count()) {
+        if self.bad.count() < MIN_BAD_SERVERS.min(self.answered.count()) {
             return None;
         }
         let risen = |(route, evidence): (&u64, &RouteEvidence)| {
-            let fails = evidence.failures.is_risen();
-            (fails || evidence.delays.is_risen()).then_some(BadVersion {
+            let fails = evidence.failures.has_alarm();
+            (fails || evidence.delays.has_alarm()).then_some(BadVersion {
                 route: *route,
                 fails,
                 new: evidence.new,
@@ -174,7 +174,7 @@
     }
 }
 
-fn add_all(sum: &mut AnswerCounts, counts: AnswerCounts) {
+fn add_counts(sum: &mut AnswerCounts, counts: AnswerCounts) {
     sum.good += counts.good;
     sum.failed += counts.failed;
     sum.slow += counts.slow;
--- a/crates/rollout/src/exposure.rs
+++ b/crates/rollout/src/exposure.rs
@@ -19,20 +19,20 @@
 
     /// Another request of the service came, of which `share` may go to the version; whether
     /// this one may.
-    pub fn take(&mut self, share: f64) -> bool {
+    pub fn try_take(&mut self, share: f64) -> bool {
         if self.allowance < BURST {
             self.allowance = (self.allowance + share).min(BURST);
         }
         // Sums of shares fall short of whole numbers by rounding.
-        let may = self.allowance >= 1.0 - 1e-9;
-        if may {
+        let is_allowed = self.allowance >= 1.0 - 1e-9;
+        if is_allowed {
             self.allowance -= 1.0;
         }
-        may
+        is_allowed
     }
 
     /// The request didn't go to the version after all.
-    pub fn give_back(&mut self) {
+    pub fn refund(&mut self) {
         self.allowance += 1.0;
     }
 }
--- a/crates/rollout/src/rule.rs
+++ b/crates/rollout/src/filter.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VersionChoice {
     /// Nothing is ordered: any version that isn't kept out.
-    Usual,
+    NoRollout,
     /// The old versions; the new one only where none of them can be reached.
     Old,
     /// The new version, or an old one where that has no room.
@@ -15,23 +15,23 @@
 
 /// A filter on servers by their version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum VersionRule<'a> {
+pub enum VersionFilter<'a> {
     /// All versions.
     #[default]
     Any,
     /// This version alone.
     Only(&'a str),
     /// All but these.
-    Without(&'a [String]),
+    Except(&'a [String]),
 }
 
-impl VersionRule<'_> {
+impl VersionFilter<'_> {
     /// Whether a server of `version` may run the request.
     pub fn allows(&self, version: &str) -> bool {
         match self {
             Self::Any => true,
             Self::Only(only) => *only == version,
-            Self::Without(versions) => !versions.iter().any(|other| other == version),
+            Self::Except(versions) => !versions.iter().any(|other| other == version),
         }
     }
 }
--- a/crates/rollout/src/order.rs
+++ b/crates/rollout/src/order.rs
@@ -65,7 +65,7 @@
 impl RolloutRecord {
     /// A new order for a service whose rollout before it, if any, was `before`.
     pub fn new(order: RolloutOrder, before: Option<&Self>) -> Self {
-        let mut barred = before.map_or_else(Vec::new, Self::kept_out);
+        let mut barred = before.map_or_else(Vec::new, Self::excluded_versions);
         let mut phase = RolloutPhase::Ordered;
         match before {
             Some(before) if before.phase != RolloutPhase::Completed => {
@@ -92,7 +92,7 @@
     }
 
     /// Versions that get nothing by this record alone.
-    pub fn kept_out(&self) -> Vec<String> {
+    pub fn excluded_versions(&self) -> Vec<String> {
         let mut versions = self.barred.clone();
         if self.phase == RolloutPhase::RolledBack || self.phase == RolloutPhase::Ordered {
             versions.push(self.order.version.clone());
--- a/crates/rollout/src/prelude.rs
+++ b/crates/rollout/src/prelude.rs
@@ -1,8 +1,8 @@
 //! The types that almost every user of this crate needs.
 
 pub use crate::book::{RolloutBook, RolloutConfig, ServiceSight};
+pub use crate::filter::{VersionChoice, VersionFilter};
 pub use crate::order::{RolloutOrder, RolloutPhase, RolloutRecord};
-pub use crate::rule::{VersionChoice, VersionRule};
-pub use crate::schedule::{LateSchedule, RolloutStage, ShareSchedule};
+pub use crate::schedule::{CanarySchedule, RolloutStage, ShareSchedule};
 pub use crate::sends::{SendOutcome, SendToken, VersionSend};
 pub use crate::word::RolloutWord;
--- a/crates/rollout/tests/histories.rs
+++ b/crates/rollout/tests/histories.rs
@@ -10,11 +10,11 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rollout::prelude::*;
-use rollout::schedule::EvenSchedule;
+use rollout::schedule::LinearSchedule;
 
 /// Plays `history` with the schedule that entries use.
 fn play(history: History) -> RolloutOutcome {
-    play_rollout(history, LateSchedule::new(EXPOSURE_SHARE))
+    play_rollout(history, CanarySchedule::new(EXPOSURE_SHARE))
 }
 
 fn secs(seconds: f64) -> Duration {
@@ -170,7 +170,7 @@
         fault_at: secs(7.0),
         ..History::new(5)
     };
-    let even = play_rollout(history, EvenSchedule { steps: 5 });
+    let even = play_rollout(history, LinearSchedule { steps: 5 });
     assert!(even.excess() > 0.0, "{}", even.excess());
     let late = play(history);
     assert!(late.excess() <= 0.0, "{}", late.excess());
--- a/crates/rollout/tests/parts.rs
+++ b/crates/rollout/tests/parts.rs
@@ -17,7 +17,7 @@
         exposure_slack: 0.0,
         run: 1,
     };
-    RolloutBook::new(now, config, LateSchedule::new(0.1))
+    RolloutBook::new(now, config, CanarySchedule::new(0.1))
 }
 
 fn order(version: &str, revision: u64) -> RolloutOrder {
@@ -40,7 +40,7 @@
 
 fn allows(book: &mut RolloutBook, now: Instant, version: &str) -> bool {
     let choice = book.choose(now, "board", false, Some(ms(300)));
-    book.rules("board", choice).0.allows(version)
+    book.filters("board", choice).0.allows(version)
 }
 
 /// Promise: over any run of requests the version gets its share, rounded down, and its bonus.
@@ -50,7 +50,7 @@
         let mut limiter = ExposureLimiter::new(bonus);
         let mut taken = 0;
         for number in 1..=1000 {
-            taken += usize::from(limiter.take(share));
+            taken += usize::from(limiter.try_take(share));
             let most = share * f64::from(number) + bonus;
             assert!(taken as f64 <= most + 1e-6, "{taken} of {number}, {share}");
         }
@@ -162,7 +162,7 @@
             assert_eq!(choice, VersionChoice::Old);
         }
     }
-    let (rule, fallback) = book.rules("board", VersionChoice::Old);
+    let (rule, fallback) = book.filters("board", VersionChoice::Old);
     assert!(rule.allows("v1") && !rule.allows("v2"));
     let (last, only_without_servers) = fallback.unwrap();
     assert!(last.allows("v2") && only_without_servers);
