--- a/bin/lh-entry/src/rollout.rs
+++ b/bin/lh-entry/src/rollout.rs
@@ -141,12 +141,12 @@
         let outcome = match outcome {
             ServerOutcome::Answered { good: true } => SendOutcome::Answered,
             ServerOutcome::Answered { good: false } | ServerOutcome::Broken => SendOutcome::Failed,
-            ServerOutcome::OutOfTime => SendOutcome::Late,
+            ServerOutcome::OutOfTime => SendOutcome::TimedOut,
             ServerOutcome::Full
             | ServerOutcome::Misdirected
             | ServerOutcome::Unreachable
             | ServerOutcome::Withdrawn
-            | ServerOutcome::Abandoned => SendOutcome::Void,
+            | ServerOutcome::Abandoned => SendOutcome::Inconclusive,
         };
         self.change(|now, book| book.on_outcome(now, token, outcome));
     }
@@ -211,7 +211,7 @@
         return;
     }
     state.rollouts.change(|now, book| book.review(now));
-    let Some(word) = state.rollouts.book().word(Instant::now()) else {
+    let Some(word) = state.rollouts.book().report(Instant::now()) else {
         return;
     };
     let mut targets = listeners.to_vec();
--- a/crates/emulate/src/rollout/world.rs
+++ b/crates/emulate/src/rollout/world.rs
@@ -41,7 +41,7 @@
     to: usize,
     from: usize,
     at: Duration,
-    word: RolloutWord,
+    word: RolloutReport,
 }
 
 /// The entries, what is on its way between them, and what the store holds.
@@ -270,7 +270,7 @@
     fn speak(&mut self, at: Duration) {
         let now = self.start + at;
         for from in 0..self.books.len() {
-            let Some(word) = self.books[from].word(now) else {
+            let Some(word) = self.books[from].report(now) else {
                 continue;
             };
             if self.is_cut_off(from, at) {
--- a/crates/place/src/fleet/message.rs
+++ b/crates/place/src/fleet/message.rs
@@ -8,7 +8,7 @@
 use crate::fleet::list::ListVersion;
 use crate::fleet::seat::LeadSeat;
 use crate::placing::load::LoadWord;
-use rollout::word::RolloutWord;
+use rollout::report::RolloutReport;
 use team::quota::QuotaReport;
 
 base::common! {
@@ -47,7 +47,7 @@
         /// Hash of the entry's name.
         pub entry: u64,
         /// What it counted.
-        pub word: RolloutWord,
+        pub word: RolloutReport,
     }
 
     /// What an entry says of itself.
--- a/crates/rollout/src/book/mod.rs
+++ b/crates/rollout/src/book/mod.rs
@@ -16,8 +16,8 @@
 use crate::filter::{VersionChoice, VersionFilter};
 use crate::order::{RolloutOrder, RolloutPhase, RolloutRecord};
 use crate::schedule::{CanarySchedule, RolloutStage, ShareSchedule};
-use crate::sends::{FaredSend, SendBook, SendOutcome, SendToken, VersionSend};
-use crate::versions::VersionLedger;
+use crate::sends::{ClassifiedSend, SendOutcome, SendToken, SendTracker, VersionSend};
+use crate::versions::VersionHistory;
 
 pub use service::ServiceSight;
 
@@ -63,9 +63,9 @@
     schedule: S,
     rollouts: BTreeMap<String, ServiceRollout>,
     gates: HashMap<String, VersionGate>,
-    ledger: VersionLedger,
+    history: VersionHistory,
     tally: PeerTally<AnswerKey>,
-    sends: SendBook,
+    sends: SendTracker,
     /// Entries that get requests, this one included.
     entries: usize,
     /// Whether this entry is one of them. Others hear no words.
@@ -83,9 +83,9 @@
             schedule,
             rollouts: BTreeMap::new(),
             gates: HashMap::new(),
-            ledger: VersionLedger::default(),
+            history: VersionHistory::default(),
             tally: PeerTally::new(WORD_LIFE).with_start(now),
-            sends: SendBook::default(),
+            sends: SendTracker::default(),
             entries: 1,
             is_listed: true,
             notes: Vec::new(),
@@ -102,8 +102,8 @@
     /// A server of `service` has `version`; `is_first` where no server was known before the
     /// reading that tells so.
     pub fn on_server(&mut self, now: Instant, service: &str, version: &str, is_first: bool) {
-        self.ledger.on_server(now, service, version, is_first);
-        if !self.ledger.held(now, service).is_empty() {
+        self.history.on_server(now, service, version, is_first);
+        if !self.history.held_versions(now, service).is_empty() {
             self.refresh_gate(now, service);
         }
     }
@@ -262,18 +262,18 @@
 
     /// Takes in what became of a request.
     pub fn on_outcome(&mut self, now: Instant, token: SendToken, outcome: SendOutcome) {
-        if let Some(fared) = self.sends.close(now, token, outcome) {
-            self.count(now, &fared);
-            self.judge(now, &fared.service);
+        if let Some(classified) = self.sends.close(now, token, outcome) {
+            self.count(now, &classified);
+            self.judge(now, &classified.service);
         }
     }
 
     /// Looks for requests that take too long. Call it several times a second while
     /// [`Self::is_active`].
     pub fn review(&mut self, now: Instant) {
-        for fared in self.sends.overdue(now) {
-            self.count(now, &fared);
-            self.judge(now, &fared.service);
+        for classified in self.sends.overdue(now) {
+            self.count(now, &classified);
+            self.judge(now, &classified.service);
         }
     }
 
@@ -290,13 +290,15 @@
         let rollout = self.rollouts.get(service)?;
         let phase = match rollout.record.phase {
             RolloutPhase::Ordered => RolloutPhase::Running,
-            RolloutPhase::Running => match rollout.end(now, sight, self.at_old(now, rollout)) {
-                // Others may know better.
-                Some(RolloutPhase::Completed) if !self.hears_fleet(now) => return None,
-                Some(phase) => phase,
-                None if rollout.is_stored => return None,
-                None => RolloutPhase::Running,
-            },
+            RolloutPhase::Running => {
+                match rollout.end(now, sight, self.in_flight_on_old(now, rollout)) {
+                    // Others may know better.
+                    Some(RolloutPhase::Completed) if !self.hears_fleet(now) => return None,
+                    Some(phase) => phase,
+                    None if rollout.is_stored => return None,
+                    None => RolloutPhase::Running,
+                }
+            }
             _ if rollout.is_stored => return None,
             phase => phase,
         };
@@ -309,7 +311,7 @@
             record.begun = store_now.saturating_sub(since.as_millis() as u64).max(1);
         }
         if phase == RolloutPhase::Completed {
-            let old = self.ledger.others(service, &record.order.version);
+            let old = self.history.others(service, &record.order.version);
             record.barred.extend(old);
             record.barred.sort_unstable();
             record.barred.dedup();
@@ -363,7 +365,7 @@
     }
 
     fn refresh_gate(&mut self, now: Instant, service: &str) {
-        let held = self.ledger.held(now, service);
+        let held = self.history.held_versions(now, service);
         match VersionGate::new(self.record(service), held) {
             Some(gate) => {
                 self.gates.insert(service.to_owned(), gate);
@@ -374,29 +376,29 @@
         }
     }
 
-    fn count(&mut self, now: Instant, fared: &FaredSend) {
-        let Some(rollout) = self.rollouts.get_mut(&fared.service) else {
+    fn count(&mut self, now: Instant, classified: &ClassifiedSend) {
+        let Some(rollout) = self.rollouts.get_mut(&classified.service) else {
             return;
         };
         if rollout.record.phase != RolloutPhase::Running {
             return;
         }
         let mut counts = AnswerCounts::default();
-        counts.add(fared.kind, 1);
-        for route in [fared.route, ALL_ROUTES] {
+        counts.add(classified.kind, 1);
+        for route in [classified.route, ALL_ROUTES] {
             let key = AnswerKey {
                 revision: rollout.record.order.revision,
                 route,
-                is_new: fared.is_new,
-                kind: fared.kind,
+                is_new: classified.is_new,
+                kind: classified.kind,
             };
             self.tally.add(now, key);
-            rollout.evidence.add(route, fared.is_new, counts);
+            rollout.evidence.add(route, classified.is_new, counts);
         }
-        if fared.is_new {
+        if classified.is_new {
             let mut server = ServerMask::default();
-            server.add(fared.server);
-            let bad = match fared.kind {
+            server.add(classified.server);
+            let bad = match classified.kind {
                 AnswerKind::Good => ServerMask::default(),
                 AnswerKind::Failed | AnswerKind::Slow => server,
             };
--- a/crates/rollout/src/book/service.rs
+++ b/crates/rollout/src/book/service.rs
@@ -48,7 +48,7 @@
     /// What the new version may get from here.
     pub(super) limiter: ExposureLimiter,
     /// Requests that other entries have at old versions.
-    pub(super) at_old: HashMap<u64, (Instant, u32)>,
+    pub(super) in_flight_on_old: HashMap<u64, (Instant, u32)>,
     /// What answers usually take, in seconds; 0 before any was expected.
     pub(super) answer_time: f64,
     /// When this entry heard of the order.
@@ -67,7 +67,7 @@
             is_stored: false,
             evidence: VersionEvidence::default(),
             limiter: ExposureLimiter::new(bonus),
-            at_old: HashMap::new(),
+            in_flight_on_old: HashMap::new(),
             answer_time: 0.0,
             heard_at: now,
             judged_at: None,
@@ -129,7 +129,7 @@
         &self,
         now: Instant,
         sight: ServiceSight,
-        at_old: u32,
+        in_flight_on_old: u32,
     ) -> Option<RolloutPhase> {
         let (elapsed, duration) = (self.elapsed(now), self.record.order.duration);
         if elapsed >= duration {
@@ -142,6 +142,6 @@
         let is_due = elapsed + COMPLETION_LEAD.min(duration / 8) >= duration;
         let is_moved = is_proven && sight.new > 0 && is_due;
         let is_last = elapsed + LAST_TIME.min(duration / 20) >= duration;
-        (is_moved && (at_old == 0 || is_last)).then_some(RolloutPhase::Completed)
+        (is_moved && (in_flight_on_old == 0 || is_last)).then_some(RolloutPhase::Completed)
     }
 }
--- a/crates/rollout/src/book/telling.rs
+++ b/crates/rollout/src/book/telling.rs
@@ -8,23 +8,23 @@
 use crate::book::{RolloutBook, VERDICT_TOLD_FOR, WORD_LIFE};
 use crate::evidence::{ALL_ROUTES, AnswerCounts};
 use crate::order::RolloutPhase;
+use crate::report::{OrderReport, RolloutReport};
 use crate::schedule::ShareSchedule;
-use crate::word::{OrderWord, RolloutWord};
 
 /// Counts told of one rollout: a datagram holds no more.
-const COUNTS_MOST: usize = 240;
+const MAX_COUNTS: usize = 240;
 
 impl<S: ShareSchedule> RolloutBook<S> {
     /// What this entry counted, for the others; `None` where there is nothing to tell.
-    pub fn word(&self, now: Instant) -> Option<RolloutWord> {
-        let is_told = |rollout: &&ServiceRollout| {
+    pub fn report(&self, now: Instant) -> Option<RolloutReport> {
+        let is_reported = |rollout: &&ServiceRollout| {
             let is_recent = |at| now.saturating_duration_since(at) < VERDICT_TOLD_FOR;
             let running = rollout.record.phase == RolloutPhase::Running;
             running || rollout.judged_at.is_some_and(is_recent)
         };
-        let told = self.rollouts.values().filter(is_told);
-        let orders: Vec<OrderWord> = told.map(|rollout| self.order_word(rollout)).collect();
-        (!orders.is_empty()).then(|| RolloutWord {
+        let reported = self.rollouts.values().filter(is_reported);
+        let orders: Vec<OrderReport> = reported.map(|rollout| self.order_report(rollout)).collect();
+        (!orders.is_empty()).then(|| RolloutReport {
             run: self.config.run,
             age: u64::try_from(self.tally.age(now).as_millis()).unwrap_or(u64::MAX),
             orders,
@@ -32,15 +32,15 @@
     }
 
     /// Takes in the word of the entry `peer`.
-    pub fn on_report(&mut self, now: Instant, peer: u64, word: &RolloutWord) {
-        let news = self.tally.on_report(now, peer, &word.counted());
+    pub fn on_report(&mut self, now: Instant, peer: u64, report: &RolloutReport) {
+        let news = self.tally.on_report(now, peer, &report.to_count_report());
         let mut sums: BTreeMap<(u64, bool, u64), AnswerCounts> = BTreeMap::new();
         for (key, count) in news {
             let count = u32::try_from(count).unwrap_or(0);
             let sum = sums.entry((key.revision, key.is_new, key.route));
             sum.or_default().add(key.kind, count);
         }
-        for order in &word.orders {
+        for order in &report.orders {
             let Some(rollout) = self.rollouts.get_mut(&order.service) else {
                 continue;
             };
@@ -56,7 +56,9 @@
             }
             let (seen, bad) = order.servers();
             rollout.evidence.add_servers(seen, bad);
-            rollout.at_old.insert(peer, (now, order.at_old));
+            rollout
+                .in_flight_on_old
+                .insert(peer, (now, order.in_flight_on_old));
             if order.is_bad && !rollout.record.phase.is_final() {
                 rollout.judged_at = Some(now);
                 rollout.enter(RolloutPhase::RolledBack);
@@ -67,7 +69,7 @@
         }
     }
 
-    fn order_word(&self, rollout: &ServiceRollout) -> OrderWord {
+    fn order_report(&self, rollout: &ServiceRollout) -> OrderReport {
         let order = &rollout.record.order;
         let (seen, bad) = rollout.evidence.servers();
         let own = self.tally.own_totals();
@@ -76,12 +78,12 @@
         let mut counts: Vec<_> = counts.collect();
         // Those of all routes first, then the largest: what is left out shows among all routes.
         counts.sort_unstable_by_key(|(route, .., count)| (*route != ALL_ROUTES, Reverse(*count)));
-        counts.truncate(COUNTS_MOST);
-        OrderWord {
+        counts.truncate(MAX_COUNTS);
+        OrderReport {
             service: order.service.clone(),
             revision: order.revision,
             is_bad: rollout.judged_at.is_some(),
-            at_old: self.sends.at_old(&order.service),
+            in_flight_on_old: self.sends.in_flight_on_old(&order.service),
             seen: seen.0,
             bad: bad.0,
             counts,
@@ -97,10 +99,10 @@
     }
 
     /// Requests of all entries that are heard at servers of old versions.
-    pub(super) fn at_old(&self, now: Instant, rollout: &ServiceRollout) -> u32 {
-        let heard = rollout.at_old.values();
+    pub(super) fn in_flight_on_old(&self, now: Instant, rollout: &ServiceRollout) -> u32 {
+        let heard = rollout.in_flight_on_old.values();
         let fresh = heard.filter(|(at, _)| now.saturating_duration_since(*at) < WORD_LIFE);
         let others: u32 = fresh.map(|(_, count)| count).sum();
-        others + self.sends.at_old(&rollout.record.order.service)
+        others + self.sends.in_flight_on_old(&rollout.record.order.service)
     }
 }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! An operator orders a version and a time ([`order`]). Every entry follows the same
 //! [`schedule`] and counts how requests fare on either version ([`evidence`]); entries tell
-//! each other their counts ([`word`]), so that each of them can judge for the whole fleet.
+//! each other their counts ([`report`]), so that each of them can judge for the whole fleet.
 //! [`book`] is what one entry knows and does.
 //!
 //! Everything here is decision code: no sockets, clocks, threads or randomness.
@@ -15,7 +15,7 @@
 pub mod filter;
 pub mod order;
 pub mod prelude;
+pub mod report;
 pub mod schedule;
 pub mod sends;
 pub mod versions;
-pub mod word;
--- a/crates/rollout/src/prelude.rs
+++ b/crates/rollout/src/prelude.rs
@@ -3,6 +3,6 @@
 pub use crate::book::{RolloutBook, RolloutConfig, ServiceSight};
 pub use crate::filter::{VersionChoice, VersionFilter};
 pub use crate::order::{RolloutOrder, RolloutPhase, RolloutRecord};
+pub use crate::report::RolloutReport;
 pub use crate::schedule::{CanarySchedule, RolloutStage, ShareSchedule};
 pub use crate::sends::{SendOutcome, SendToken, VersionSend};
-pub use crate::word::RolloutWord;
--- a/crates/rollout/src/word.rs
+++ b/crates/rollout/src/report.rs
@@ -9,18 +9,18 @@
 base::common! {
     /// One entry's counts in all rollouts that run.
     #[derive(Eq, Default)]
-    pub struct RolloutWord {
+    pub struct RolloutReport {
         /// One run of the entry's process.
         pub run: u64,
         /// Milliseconds since it began to count.
         pub age: u64,
         /// One for each rollout.
-        pub orders: Vec<OrderWord>,
+        pub orders: Vec<OrderReport>,
     }
 
     /// One entry's counts in a rollout.
     #[derive(Eq)]
-    pub struct OrderWord {
+    pub struct OrderReport {
         /// The order's service.
         pub service: String,
         /// The order's revision.
@@ -28,7 +28,7 @@
         /// Whether the version was found to be bad.
         pub is_bad: bool,
         /// Requests at servers of old versions.
-        pub at_old: u32,
+        pub in_flight_on_old: u32,
         /// Servers of the new version that answered, by bits of their hashes.
         pub seen: u64,
         /// Those that gave bad answers.
@@ -38,9 +38,9 @@
     }
 }
 
-impl RolloutWord {
+impl RolloutReport {
     /// All counts, as the tally takes them.
-    pub(crate) fn counted(&self) -> CountReport<AnswerKey> {
+    pub(crate) fn to_count_report(&self) -> CountReport<AnswerKey> {
         let mut counts = Vec::new();
         for order in &self.orders {
             for (route, is_new, kind, count) in &order.counts {
@@ -61,7 +61,7 @@
     }
 }
 
-impl OrderWord {
+impl OrderReport {
     /// The servers of the new version that answered, and those that gave bad answers.
     pub(crate) fn servers(&self) -> (ServerMask, ServerMask) {
         (ServerMask(self.seen), ServerMask(self.bad))
--- a/crates/rollout/src/sends.rs
+++ b/crates/rollout/src/sends.rs
@@ -8,7 +8,7 @@
 /// An answer that takes this many times what was expected is slow.
 const SLOW_FACTOR: f64 = 2.2;
 /// Time beyond the expected one that is never slow: networks and schedulers take as much.
-const SLOW_LEAST: Duration = Duration::from_millis(150);
+const MIN_SLOW_DELAY: Duration = Duration::from_millis(150);
 
 /// A request that goes to a server.
 #[derive(Debug, Clone, Copy)]
@@ -39,9 +39,9 @@
     /// A failure of the server's, or a connection that it broke off.
     Failed,
     /// No answer before the end of the request's time.
-    Late,
+    TimedOut,
     /// Nothing that speaks for or against the version: not run, or given up by the caller.
-    Void,
+    Inconclusive,
 }
 
 #[derive(Debug)]
@@ -52,12 +52,12 @@
     is_new: bool,
     is_cold: bool,
     due: Instant,
-    is_judged: bool,
+    is_classified: bool,
 }
 
 /// How one request fared.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct FaredSend {
+pub struct ClassifiedSend {
     /// The service.
     pub service: String,
     /// Hash of the route's name.
@@ -72,15 +72,15 @@
 
 /// The requests at servers.
 #[derive(Debug, Default)]
-pub struct SendBook {
+pub struct SendTracker {
     next: u64,
     open: HashMap<u64, OpenSend>,
 }
 
-impl SendBook {
+impl SendTracker {
     /// A request goes to a server, of the new version where `is_new`.
     pub fn open(&mut self, now: Instant, send: &VersionSend<'_>, is_new: bool) -> SendToken {
-        let slack = send.expected.mul_f64(SLOW_FACTOR - 1.0).max(SLOW_LEAST);
+        let slack = send.expected.mul_f64(SLOW_FACTOR - 1.0).max(MIN_SLOW_DELAY);
         let id = self.next;
         self.next += 1;
         self.open.insert(
@@ -92,7 +92,7 @@
                 is_new,
                 is_cold: send.is_cold,
                 due: now + send.expected + slack,
-                is_judged: false,
+                is_classified: false,
             },
         );
         SendToken(id)
@@ -104,40 +104,40 @@
         now: Instant,
         token: SendToken,
         outcome: SendOutcome,
-    ) -> Option<FaredSend> {
+    ) -> Option<ClassifiedSend> {
         let send = self.open.remove(&token.0)?;
-        if send.is_judged {
+        if send.is_classified {
             return None;
         }
         let is_slow = now >= send.due && !send.is_cold;
         let kind = match outcome {
-            SendOutcome::Void => return None,
+            SendOutcome::Inconclusive => return None,
             SendOutcome::Failed => AnswerKind::Failed,
             // A caller in a hurry says nothing of the version.
-            SendOutcome::Late if !is_slow => return None,
-            SendOutcome::Late => AnswerKind::Slow,
+            SendOutcome::TimedOut if !is_slow => return None,
+            SendOutcome::TimedOut => AnswerKind::Slow,
             SendOutcome::Answered if is_slow => AnswerKind::Slow,
             SendOutcome::Answered => AnswerKind::Good,
         };
-        Some(send.fared(kind))
+        Some(send.classify(kind))
     }
 
     /// Requests that have taken too long by now, each once: waiting for the answers of a slow
     /// version would let it have more.
-    pub fn overdue(&mut self, now: Instant) -> Vec<FaredSend> {
-        let mut fared = Vec::new();
+    pub fn overdue(&mut self, now: Instant) -> Vec<ClassifiedSend> {
+        let mut classified = Vec::new();
         for send in self.open.values_mut() {
-            if send.is_judged || send.is_cold || now < send.due {
+            if send.is_classified || send.is_cold || now < send.due {
                 continue;
             }
-            send.is_judged = true;
-            fared.push(send.fared(AnswerKind::Slow));
+            send.is_classified = true;
+            classified.push(send.classify(AnswerKind::Slow));
         }
-        fared
+        classified
     }
 
     /// Requests of `service` at servers of its old versions.
-    pub fn at_old(&self, service: &str) -> u32 {
+    pub fn in_flight_on_old(&self, service: &str) -> u32 {
         let open = self.open.values();
         let old = open.filter(|send| !send.is_new && send.service == service);
         old.count() as u32
@@ -145,8 +145,8 @@
 }
 
 impl OpenSend {
-    fn fared(&self, kind: AnswerKind) -> FaredSend {
-        FaredSend {
+    fn classify(&self, kind: AnswerKind) -> ClassifiedSend {
+        ClassifiedSend {
             service: self.service.clone(),
             route: self.route,
             server: self.server,
--- a/crates/rollout/src/versions.rs
+++ b/crates/rollout/src/versions.rs
@@ -5,18 +5,18 @@
 
 /// A version that appears beside others gets nothing for this long: the order for it may
 /// still be on its way, and until then it must not get more than a part of the traffic.
-const ORDER_WAIT: Duration = Duration::from_millis(1500);
+const NEW_VERSION_HOLD: Duration = Duration::from_millis(1500);
 
 /// Versions of a service that are remembered.
-const VERSIONS_MOST: usize = 64;
+const MAX_VERSIONS: usize = 64;
 
 /// When each version was seen first.
 #[derive(Debug, Default)]
-pub struct VersionLedger {
+pub struct VersionHistory {
     services: HashMap<String, BTreeMap<String, Option<Instant>>>,
 }
 
-impl VersionLedger {
+impl VersionHistory {
     /// A server of `service` has `version`. `is_first` where nothing was known of any server
     /// before: what is there then isn't new.
     pub fn on_server(&mut self, now: Instant, service: &str, version: &str, is_first: bool) {
@@ -29,23 +29,23 @@
         if versions.contains_key(version) {
             return;
         }
-        if versions.len() >= VERSIONS_MOST {
+        if versions.len() >= MAX_VERSIONS {
             versions.pop_first();
         }
-        let is_lone = versions.is_empty();
-        let since = (!is_first && !is_lone).then_some(now);
-        versions.insert(version.to_owned(), since);
+        let is_only_version = versions.is_empty();
+        let held_from = (!is_first && !is_only_version).then_some(now);
+        versions.insert(version.to_owned(), held_from);
     }
 
     /// The versions of `service` that are too new to be used without an order, and until
     /// when.
-    pub fn held(&self, now: Instant, service: &str) -> Vec<(String, Instant)> {
+    pub fn held_versions(&self, now: Instant, service: &str) -> Vec<(String, Instant)> {
         let versions = self.services.get(service).into_iter().flatten();
-        let held = versions.filter_map(|(version, since)| {
-            let until = (*since)? + ORDER_WAIT;
+        let held_versions = versions.filter_map(|(version, held_from)| {
+            let until = (*held_from)? + NEW_VERSION_HOLD;
             (now < until).then(|| (version.clone(), until))
         });
-        held.collect()
+        held_versions.collect()
     }
 
     /// All versions of `service` but `version`.
--- a/crates/rollout/tests/parts.rs
+++ b/crates/rollout/tests/parts.rs
@@ -5,7 +5,7 @@
 use rollout::evidence::{ALL_ROUTES, AnswerCounts, ServerMask, VersionEvidence};
 use rollout::exposure::ExposureLimiter;
 use rollout::prelude::*;
-use rollout::versions::VersionLedger;
+use rollout::versions::VersionHistory;
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -64,16 +64,19 @@
 #[test]
 fn a_new_version_waits_for_its_order() {
     let now = Instant::now();
-    let mut ledger = VersionLedger::default();
-    ledger.on_server(now, "board", "v1", false);
-    ledger.on_server(now, "desk", "v1", true);
-    ledger.on_server(now, "desk", "v2", true);
-    assert!(ledger.held(now, "board").is_empty() && ledger.held(now, "desk").is_empty());
-    ledger.on_server(now, "board", "v2", false);
-    let held = ledger.held(now, "board");
+    let mut history = VersionHistory::default();
+    history.on_server(now, "board", "v1", false);
+    history.on_server(now, "desk", "v1", true);
+    history.on_server(now, "desk", "v2", true);
+    assert!(
+        history.held_versions(now, "board").is_empty()
+            && history.held_versions(now, "desk").is_empty()
+    );
+    history.on_server(now, "board", "v2", false);
+    let held = history.held_versions(now, "board");
     assert_eq!(held[0].0, "v2");
-    assert!(ledger.held(held[0].1, "board").is_empty());
-    assert_eq!(ledger.others("board", "v2"), ["v1"]);
+    assert!(history.held_versions(held[0].1, "board").is_empty());
+    assert_eq!(history.others("board", "v2"), ["v1"]);
 }
 
 /// Promise: a version is used by nobody before its rollout runs, and by nobody after it was
@@ -219,9 +222,9 @@
     };
     for server in 0..20 {
         let (token, _) = book.on_sent(now, &send(server)).unwrap();
-        book.on_outcome(now + ms(100), token, SendOutcome::Void);
+        book.on_outcome(now + ms(100), token, SendOutcome::Inconclusive);
         let (token, _) = book.on_sent(now, &send(server)).unwrap();
-        book.on_outcome(now + ms(100), token, SendOutcome::Late);
+        book.on_outcome(now + ms(100), token, SendOutcome::TimedOut);
     }
     assert_eq!(book.record("board").unwrap().phase, RolloutPhase::Running);
     for server in 0..20 {
@@ -286,8 +289,8 @@
     assert_eq!(next_phase(&book, due), None);
     let other = running(now, 8);
     for peer in 0..4 {
-        let word = other.word(due).unwrap();
-        book.on_report(due, peer, &word);
+        let report = other.report(due).unwrap();
+        book.on_report(due, peer, &report);
     }
     assert_eq!(next_phase(&book, due), Some(RolloutPhase::Completed));
 }
@@ -299,9 +302,9 @@
     let (mut book, mut other) = (running(now, 8), running(now, 8));
     answered(&mut other, now, "v2", 3, true);
     assert!(other.take_verdict());
-    let mut word = other.word(now + ms(500)).unwrap();
-    word.orders[0].counts.clear();
-    book.on_report(now + ms(500), 3, &word);
+    let mut report = other.report(now + ms(500)).unwrap();
+    report.orders[0].counts.clear();
+    book.on_report(now + ms(500), 3, &report);
     assert_eq!(
         book.record("board").unwrap().phase,
         RolloutPhase::RolledBack
@@ -392,8 +395,8 @@
     for route in 1..=3000 {
         answered(&mut book, now, "v1", route, false);
     }
-    let word = book.word(now + ms(500)).unwrap();
-    let counts = &word.orders[0].counts;
+    let report = book.report(now + ms(500)).unwrap();
+    let counts = &report.orders[0].counts;
     assert!(counts.len() <= 240, "{}", counts.len());
     let all = counts.iter().find(|(route, ..)| *route == ALL_ROUTES);
     assert_eq!(all.unwrap().3, 60_000);
