--- a/bin/lh-entry/src/rollout.rs
+++ b/bin/lh-entry/src/rollout.rs
@@ -12,7 +12,7 @@
 use place::rank::stable_hash;
 use platform::rollouts::status_write;
 use platform::tables::PlatformClient;
-use rollout::book::RolloutNote;
+use rollout::controller::RolloutEvent;
 use rollout::evidence::ALL_ROUTES;
 use rollout::prelude::*;
 use store::{Commit, ENTRY_TABLE, ROLLOUT_PREFIX, Row, RowWrite, TableService};
@@ -33,7 +33,7 @@
 /// The rollouts as this entry knows them.
 #[derive(Debug)]
 pub(crate) struct RolloutDesk {
-    book: RefCell<RolloutBook>,
+    book: RefCell<RolloutController>,
     /// Something changed that the store should say.
     wake: Notify,
     /// A version was found to be bad, and the other entries are to be told.
@@ -50,14 +50,14 @@
         };
         let schedule = CanarySchedule::new(bounds.exposure_share);
         Self {
-            book: RefCell::new(RolloutBook::new(Instant::now(), bounds, schedule)),
+            book: RefCell::new(RolloutController::new(Instant::now(), bounds, schedule)),
             wake: Notify::new(),
             verdict: Notify::new(),
         }
     }
 
     /// Looks something up.
-    pub(crate) fn book(&self) -> Ref<'_, RolloutBook> {
+    pub(crate) fn book(&self) -> Ref<'_, RolloutController> {
         self.book.borrow()
     }
 
@@ -66,7 +66,7 @@
         self.book.borrow_mut().set_entries(entries, is_listed);
     }
 
-    /// A server of `service` has `version`; see [`RolloutBook::on_server`].
+    /// A server of `service` has `version`; see [`RolloutController::on_server`].
     pub(crate) fn on_server(&self, service: &str, version: &str, is_first: bool) {
         let mut book = self.book.borrow_mut();
         book.on_server(Instant::now(), service, version, is_first);
@@ -151,10 +151,10 @@
         self.change(|now, book| book.on_outcome(now, token, outcome));
     }
 
-    fn change(&self, change: impl FnOnce(Instant, &mut RolloutBook)) {
+    fn change(&self, change: impl FnOnce(Instant, &mut RolloutController)) {
         let mut book = self.book.borrow_mut();
         change(Instant::now(), &mut book);
-        let notes = book.take_notes();
+        let notes = book.take_events();
         if book.take_verdict() {
             self.verdict.notify_one();
         }
@@ -276,7 +276,7 @@
 fn next_record(state: &InstanceState, service: &str) -> Option<RolloutRecord> {
     let book = state.rollouts.book();
     let version = &book.record(service)?.order.version;
-    let mut sight = ServiceSight::default();
+    let mut sight = ServerCounts::default();
     let placer = state.placer.borrow();
     for (_, server) in placer.catalog.open_servers(service) {
         if server.entry.version == *version {
@@ -289,7 +289,7 @@
     if !store_now.is_some() {
         return None;
     }
-    book.next(Instant::now(), service, sight, store_now.0)
+    book.next_record(Instant::now(), service, sight, store_now.0)
 }
 
 /// The row of the rollout of `service`, which this entry takes in; `None` where the store
@@ -365,10 +365,10 @@
     }
 }
 
-fn log_note(note: &RolloutNote) {
+fn log_note(note: &RolloutEvent) {
     let (service, version) = (note.service.as_str(), note.version.as_str());
     let phase = note.phase.as_str();
-    let Some(found) = note.found else {
+    let Some(found) = note.verdict else {
         log::info!(service, version, phase; "rollout");
         return;
     };
--- a/crates/emulate/src/rollout/world.rs
+++ b/crates/emulate/src/rollout/world.rs
@@ -50,7 +50,7 @@
     schedule: S,
     start: Instant,
     rng: ChaCha8Rng,
-    books: Vec<RolloutBook<S>>,
+    books: Vec<RolloutController<S>>,
     runs: Vec<u64>,
     running: Vec<Running>,
     letters: VecDeque<Letter>,
@@ -82,14 +82,14 @@
         world
     }
 
-    fn book(&self, entry: usize, at: Duration) -> RolloutBook<S> {
+    fn book(&self, entry: usize, at: Duration) -> RolloutController<S> {
         let config = RolloutConfig {
             exposure_share: EXPOSURE_SHARE,
             exposure_slack: EXPOSURE_SLACK,
             run: self.runs[entry],
         };
         let now = self.start + at;
-        let mut book = RolloutBook::new(now, config, self.schedule);
+        let mut book = RolloutController::new(now, config, self.schedule);
         book.set_entries(self.history.entries, true);
         for version in ["v1", "v2"] {
             book.on_server(now, SERVICE, version, true);
@@ -318,9 +318,9 @@
             return;
         }
         let now = self.start + at;
-        let sight = ServiceSight { new: 20, old: 20 };
+        let sight = ServerCounts { new: 20, old: 20 };
         let store_now = at.as_millis() as u64;
-        let Some(record) = self.books[lead].next(now, SERVICE, sight, store_now) else {
+        let Some(record) = self.books[lead].next_record(now, SERVICE, sight, store_now) else {
             return;
         };
         let stored = self.stored.clone();
--- a/crates/rollout/src/book/mod.rs
+++ b/crates/rollout/src/controller/mod.rs
@@ -1,17 +1,17 @@
 //! One entry's part in rollouts: which version a request runs on, what is counted, and when
 //! a rollout goes on to its next phase.
 
-mod gate;
+mod exclusions;
+mod reports;
 mod service;
-mod telling;
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
 use tally::PeerTally;
 
-use crate::book::gate::VersionGate;
-use crate::book::service::ServiceRollout;
+use crate::controller::exclusions::VersionExclusions;
+use crate::controller::service::ServiceRollout;
 use crate::evidence::{ALL_ROUTES, AnswerCounts, AnswerKey, AnswerKind, BadVersion, ServerMask};
 use crate::filter::{VersionChoice, VersionFilter};
 use crate::order::{RolloutOrder, RolloutPhase, RolloutRecord};
@@ -19,18 +19,18 @@
 use crate::sends::{ClassifiedSend, SendOutcome, SendToken, SendTracker, VersionSend};
 use crate::versions::VersionHistory;
 
-pub use service::ServiceSight;
+pub use service::ServerCounts;
 
 /// An entry that heard nothing of the operator's rows for this long uses the old versions: a
 /// verdict may not reach it. Longer than a feed that is quiet stays open.
-const DARK_AFTER: Duration = Duration::from_secs(4);
+const OPERATOR_STALE_AFTER: Duration = Duration::from_secs(4);
 /// An entry's word counts as its present for this long.
-const WORD_LIFE: Duration = Duration::from_secs(2);
+const REPORT_TTL: Duration = Duration::from_secs(2);
 /// Part of the exposure slack that entries use at once: more answers early on, where few
 /// requests come.
-const EARLY_PART: f64 = 0.4;
+const INITIAL_SLACK_FRACTION: f64 = 0.4;
 /// A version that was found bad is told to be so for this long.
-const VERDICT_TOLD_FOR: Duration = Duration::from_secs(10);
+const VERDICT_REPORT_TIME: Duration = Duration::from_secs(10);
 
 /// What the book must know of its entry and bounds.
 #[derive(Debug, Clone, Copy)]
@@ -45,7 +45,7 @@
 
 /// What changed in a rollout, for the log.
 #[derive(Debug, Clone, PartialEq)]
-pub struct RolloutNote {
+pub struct RolloutEvent {
     /// The service.
     pub service: String,
     /// The version that was ordered.
@@ -53,16 +53,16 @@
     /// The phase from now on.
     pub phase: RolloutPhase,
     /// What shows that the version is bad, where this entry found it.
-    pub found: Option<BadVersion>,
+    pub verdict: Option<BadVersion>,
 }
 
 /// The rollouts of all services, as one entry knows them.
 #[derive(Debug)]
-pub struct RolloutBook<S = CanarySchedule> {
+pub struct RolloutController<S = CanarySchedule> {
     config: RolloutConfig,
     schedule: S,
     rollouts: BTreeMap<String, ServiceRollout>,
-    gates: HashMap<String, VersionGate>,
+    exclusions: HashMap<String, VersionExclusions>,
     history: VersionHistory,
     tally: PeerTally<AnswerKey>,
     sends: SendTracker,
@@ -70,25 +70,25 @@
     entries: usize,
     /// Whether this entry is one of them. Others hear no words.
     is_listed: bool,
-    notes: Vec<RolloutNote>,
+    events: Vec<RolloutEvent>,
     /// Whether this entry found a version to be bad that the others haven't been told of.
     has_verdict: bool,
 }
 
-impl<S: ShareSchedule> RolloutBook<S> {
+impl<S: ShareSchedule> RolloutController<S> {
     /// A book that knows no rollout, at `now`.
     pub fn new(now: Instant, config: RolloutConfig, schedule: S) -> Self {
         Self {
             config,
             schedule,
             rollouts: BTreeMap::new(),
-            gates: HashMap::new(),
+            exclusions: HashMap::new(),
             history: VersionHistory::default(),
-            tally: PeerTally::new(WORD_LIFE).with_start(now),
+            tally: PeerTally::new(REPORT_TTL).with_start(now),
             sends: SendTracker::default(),
             entries: 1,
             is_listed: true,
-            notes: Vec::new(),
+            events: Vec::new(),
             has_verdict: false,
         }
     }
@@ -104,7 +104,7 @@
     pub fn on_server(&mut self, now: Instant, service: &str, version: &str, is_first: bool) {
         self.history.on_server(now, service, version, is_first);
         if !self.history.held_versions(now, service).is_empty() {
-            self.refresh_gate(now, service);
+            self.refresh_exclusions(now, service);
         }
     }
 
@@ -123,9 +123,9 @@
     pub fn on_withdrawn(&mut self, now: Instant, service: &str) {
         let is_open = |rollout: &&mut ServiceRollout| !rollout.record.phase.is_final();
         if let Some(rollout) = self.rollouts.get_mut(service).filter(is_open) {
-            rollout.enter(RolloutPhase::RolledBack);
-            self.note(service, None);
-            self.refresh_gate(now, service);
+            rollout.set_phase(RolloutPhase::RolledBack);
+            self.push_event(service, None);
+            self.refresh_exclusions(now, service);
         }
     }
 
@@ -149,8 +149,8 @@
             known.record = record.clone();
             known.begun = begun.or(known.begun);
             known.is_stored = is_stored;
-            self.note(service, None);
-            self.refresh_gate(now, service);
+            self.push_event(service, None);
+            self.refresh_exclusions(now, service);
         } else if *record == known.record {
             known.is_stored |= is_stored;
         }
@@ -188,11 +188,11 @@
         is_repeat: bool,
         age: Option<Duration>,
     ) -> VersionChoice {
-        let Some(gate) = self.gates.get(service) else {
+        let Some(excluded) = self.exclusions.get(service) else {
             return VersionChoice::NoRollout;
         };
-        if gate.until.is_some_and(|until| now >= until) {
-            self.refresh_gate(now, service);
+        if excluded.until.is_some_and(|until| now >= until) {
+            self.refresh_exclusions(now, service);
         }
         let Some(rollout) = self.rollouts.get_mut(service) else {
             return VersionChoice::NoRollout;
@@ -202,7 +202,7 @@
             RolloutPhase::Running => {}
             RolloutPhase::RolledBack | RolloutPhase::Completed => return VersionChoice::NoRollout,
         }
-        if rollout.is_overdue(now) || age.is_none_or(|age| age > DARK_AFTER) {
+        if rollout.is_overdue(now) || age.is_none_or(|age| age > OPERATOR_STALE_AFTER) {
             return VersionChoice::Old;
         }
         let stage = rollout.stage(now, &self.schedule, self.is_listed);
@@ -224,17 +224,20 @@
         service: &str,
         choice: VersionChoice,
     ) -> (VersionFilter<'_>, Option<(VersionFilter<'_>, bool)>) {
-        let Some(gate) = self.gates.get(service) else {
+        let Some(excluded) = self.exclusions.get(service) else {
             return (VersionFilter::Any, None);
         };
-        let others = VersionFilter::Except(&gate.closed);
+        let others = VersionFilter::Except(&excluded.versions);
         let rollout = self.rollouts.get(service);
         let Some(version) = rollout.map(|rollout| rollout.record.order.version.as_str()) else {
             return (others, Some((VersionFilter::Any, true)));
         };
         let only = VersionFilter::Only(version);
         match choice {
-            VersionChoice::NoRollout => (others, Some((VersionFilter::Except(&gate.barred), true))),
+            VersionChoice::NoRollout => (
+                others,
+                Some((VersionFilter::Except(&excluded.barred), true)),
+            ),
             VersionChoice::Old => (others, Some((only, true))),
             VersionChoice::New => (only, Some((others, false))),
             VersionChoice::NewOnly => (only, Some((others, true))),
@@ -255,7 +258,7 @@
         if rollout.record.phase != RolloutPhase::Running {
             return None;
         }
-        rollout.on_expected(send.expected);
+        rollout.update_response_time(send.expected);
         let is_new = rollout.record.order.version == send.version;
         Some((self.sends.open(now, send, is_new), is_new))
     }
@@ -264,7 +267,7 @@
     pub fn on_outcome(&mut self, now: Instant, token: SendToken, outcome: SendOutcome) {
         if let Some(classified) = self.sends.close(now, token, outcome) {
             self.count(now, &classified);
-            self.judge(now, &classified.service);
+            self.check_verdict(now, &classified.service);
         }
     }
 
@@ -273,27 +276,27 @@
     pub fn review(&mut self, now: Instant) {
         for classified in self.sends.overdue(now) {
             self.count(now, &classified);
-            self.judge(now, &classified.service);
+            self.check_verdict(now, &classified.service);
         }
     }
 
-    /// What the store should say of the rollout of `service`, as a lead that sees `sight` of
+    /// What the store should say of the rollout of `service`, as a lead that sees `servers` of
     /// its servers finds; `None` where it says so or nothing changes. `store_now` is the time
     /// by the store's clock.
-    pub fn next(
+    pub fn next_record(
         &self,
         now: Instant,
         service: &str,
-        sight: ServiceSight,
+        servers: ServerCounts,
         store_now: u64,
     ) -> Option<RolloutRecord> {
         let rollout = self.rollouts.get(service)?;
         let phase = match rollout.record.phase {
             RolloutPhase::Ordered => RolloutPhase::Running,
             RolloutPhase::Running => {
-                match rollout.end(now, sight, self.in_flight_on_old(now, rollout)) {
+                match rollout.final_phase(now, servers, self.in_flight_on_old(now, rollout)) {
                     // Others may know better.
-                    Some(RolloutPhase::Completed) if !self.hears_fleet(now) => return None,
+                    Some(RolloutPhase::Completed) if !self.hears_majority(now) => return None,
                     Some(phase) => phase,
                     None if rollout.is_stored => return None,
                     None => RolloutPhase::Running,
@@ -307,7 +310,7 @@
             ..rollout.record.clone()
         };
         if record.begun == 0 && phase == RolloutPhase::Running {
-            let since = now.saturating_duration_since(rollout.heard_at);
+            let since = now.saturating_duration_since(rollout.learned_at);
             record.begun = store_now.saturating_sub(since.as_millis() as u64).max(1);
         }
         if phase == RolloutPhase::Completed {
@@ -320,8 +323,8 @@
     }
 
     /// What changed since the last call, for the log.
-    pub fn take_notes(&mut self) -> Vec<RolloutNote> {
-        std::mem::take(&mut self.notes)
+    pub fn take_events(&mut self) -> Vec<RolloutEvent> {
+        std::mem::take(&mut self.events)
     }
 
     /// Whether this entry found a version to be bad since the last call: the others are to be
@@ -353,25 +356,25 @@
         is_stored: bool,
     ) {
         let service = record.order.service.clone();
-        let bonus = EARLY_PART * self.config.exposure_slack / self.entries as f64;
+        let bonus = INITIAL_SLACK_FRACTION * self.config.exposure_slack / self.entries as f64;
         let rollout = ServiceRollout {
             begun,
             is_stored,
             ..ServiceRollout::new(now, record, bonus)
         };
         self.rollouts.insert(service.clone(), rollout);
-        self.note(&service, None);
-        self.refresh_gate(now, &service);
+        self.push_event(&service, None);
+        self.refresh_exclusions(now, &service);
     }
 
-    fn refresh_gate(&mut self, now: Instant, service: &str) {
+    fn refresh_exclusions(&mut self, now: Instant, service: &str) {
         let held = self.history.held_versions(now, service);
-        match VersionGate::new(self.record(service), held) {
-            Some(gate) => {
-                self.gates.insert(service.to_owned(), gate);
+        match VersionExclusions::new(self.record(service), held) {
+            Some(excluded) => {
+                self.exclusions.insert(service.to_owned(), excluded);
             }
             None => {
-                self.gates.remove(service);
+                self.exclusions.remove(service);
             }
         }
     }
@@ -406,33 +409,33 @@
         }
     }
 
-    fn judge(&mut self, now: Instant, service: &str) {
+    fn check_verdict(&mut self, now: Instant, service: &str) {
         let Some(rollout) = self.rollouts.get_mut(service) else {
             return;
         };
         if rollout.record.phase != RolloutPhase::Running {
             return;
         }
-        let Some(found) = rollout.evidence.verdict() else {
+        let Some(verdict) = rollout.evidence.verdict() else {
             return;
         };
-        rollout.judged_at = Some(now);
-        rollout.enter(RolloutPhase::RolledBack);
+        rollout.verdict_at = Some(now);
+        rollout.set_phase(RolloutPhase::RolledBack);
         self.has_verdict = true;
-        self.note(service, Some(found));
-        self.refresh_gate(now, service);
+        self.push_event(service, Some(verdict));
+        self.refresh_exclusions(now, service);
     }
 
-    fn note(&mut self, service: &str, found: Option<BadVersion>) {
+    fn push_event(&mut self, service: &str, verdict: Option<BadVersion>) {
         let Some(record) = self.record(service) else {
             return;
         };
-        let note = RolloutNote {
+        let event = RolloutEvent {
             service: service.to_owned(),
             version: record.order.version.clone(),
             phase: record.phase,
-            found,
+            verdict,
         };
-        self.notes.push(note);
+        self.events.push(event);
     }
 }
--- a/crates/rollout/src/book/telling.rs
+++ b/crates/rollout/src/controller/reports.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-use crate::book::service::ServiceRollout;
-use crate::book::{RolloutBook, VERDICT_TOLD_FOR, WORD_LIFE};
+use crate::controller::service::ServiceRollout;
+use crate::controller::{REPORT_TTL, RolloutController, VERDICT_REPORT_TIME};
 use crate::evidence::{ALL_ROUTES, AnswerCounts};
 use crate::order::RolloutPhase;
 use crate::report::{OrderReport, RolloutReport};
@@ -14,13 +14,13 @@
 /// Counts told of one rollout: a datagram holds no more.
 const MAX_COUNTS: usize = 240;
 
-impl<S: ShareSchedule> RolloutBook<S> {
+impl<S: ShareSchedule> RolloutController<S> {
     /// What this entry counted, for the others; `None` where there is nothing to tell.
     pub fn report(&self, now: Instant) -> Option<RolloutReport> {
         let is_reported = |rollout: &&ServiceRollout| {
-            let is_recent = |at| now.saturating_duration_since(at) < VERDICT_TOLD_FOR;
+            let is_recent = |at| now.saturating_duration_since(at) < VERDICT_REPORT_TIME;
             let running = rollout.record.phase == RolloutPhase::Running;
-            running || rollout.judged_at.is_some_and(is_recent)
+            running || rollout.verdict_at.is_some_and(is_recent)
         };
         let reported = self.rollouts.values().filter(is_reported);
         let orders: Vec<OrderReport> = reported.map(|rollout| self.order_report(rollout)).collect();
@@ -60,12 +60,12 @@
                 .in_flight_on_old
                 .insert(peer, (now, order.in_flight_on_old));
             if order.is_bad && !rollout.record.phase.is_final() {
-                rollout.judged_at = Some(now);
-                rollout.enter(RolloutPhase::RolledBack);
-                self.note(&order.service, None);
-                self.refresh_gate(now, &order.service);
+                rollout.verdict_at = Some(now);
+                rollout.set_phase(RolloutPhase::RolledBack);
+                self.push_event(&order.service, None);
+                self.refresh_exclusions(now, &order.service);
             }
-            self.judge(now, &order.service);
+            self.check_verdict(now, &order.service);
         }
     }
 
@@ -82,7 +82,7 @@
         OrderReport {
             service: order.service.clone(),
             revision: order.revision,
-            is_bad: rollout.judged_at.is_some(),
+            is_bad: rollout.verdict_at.is_some(),
             in_flight_on_old: self.sends.in_flight_on_old(&order.service),
             seen: seen.0,
             bad: bad.0,
@@ -92,8 +92,8 @@
 
     /// Whether at least half of the entries that get requests were heard lately. One that is cut
     /// off from them, but not from the store, must not complete what they have rolled back.
-    pub(super) fn hears_fleet(&self, now: Instant) -> bool {
-        let is_fresh = |at: Instant| now.saturating_duration_since(at) < WORD_LIFE;
+    pub(super) fn hears_majority(&self, now: Instant) -> bool {
+        let is_fresh = |at: Instant| now.saturating_duration_since(at) < REPORT_TTL;
         let heard = self.tally.peers().filter(|(_, at)| is_fresh(*at)).count();
         (heard + 1) * 2 >= self.entries
     }
@@ -101,7 +101,7 @@
     /// Requests of all entries that are heard at servers of old versions.
     pub(super) fn in_flight_on_old(&self, now: Instant, rollout: &ServiceRollout) -> u32 {
         let heard = rollout.in_flight_on_old.values();
-        let fresh = heard.filter(|(at, _)| now.saturating_duration_since(*at) < WORD_LIFE);
+        let fresh = heard.filter(|(at, _)| now.saturating_duration_since(*at) < REPORT_TTL);
         let others: u32 = fresh.map(|(_, count)| count).sum();
         others + self.sends.in_flight_on_old(&rollout.record.order.service)
     }
--- a/crates/rollout/src/book/service.rs
+++ b/crates/rollout/src/controller/service.rs
@@ -9,7 +9,7 @@
 use crate::schedule::{RolloutStage, ShareSchedule};
 
 /// Answers of the new version without which it gets no more than a part of the requests.
-const ANSWERS_LEAST: u32 = 10;
+const MIN_ANSWERS: u32 = 10;
 /// What it gets until then.
 const UNPROVEN_SHARE: f64 = 0.25;
 /// Time after its start within which a rollout isn't completed even where nothing has to move.
@@ -18,16 +18,16 @@
 /// rolled back under full load. Enough for two attempts at the store; less in short rollouts.
 const COMPLETION_LEAD: Duration = Duration::from_millis(1500);
 /// Time before the end at which a rollout is completed though old versions still run some.
-const LAST_TIME: Duration = Duration::from_millis(400);
+const FORCED_COMPLETION_LEAD: Duration = Duration::from_millis(400);
 /// A rollout that isn't over for this long after its end will be rolled back: the leads had no
 /// store to say so in. Until then its completion may still be on the way.
 const OVERDUE_AFTER: Duration = Duration::from_millis(2500);
 /// Weight of the newest request in the time that answers usually take.
-const ANSWER_WEIGHT: f64 = 0.03;
+const RESPONSE_TIME_WEIGHT: f64 = 0.03;
 
 /// What a lead sees of a service's servers that may get requests.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct ServiceSight {
+pub struct ServerCounts {
     /// Servers of the version that was ordered.
     pub new: usize,
     /// Servers of others.
@@ -50,11 +50,11 @@
     /// Requests that other entries have at old versions.
     pub(super) in_flight_on_old: HashMap<u64, (Instant, u32)>,
     /// What answers usually take, in seconds; 0 before any was expected.
-    pub(super) answer_time: f64,
+    pub(super) response_time: f64,
     /// When this entry heard of the order.
-    pub(super) heard_at: Instant,
+    pub(super) learned_at: Instant,
     /// When the version was found or told to be bad.
-    pub(super) judged_at: Option<Instant>,
+    pub(super) verdict_at: Option<Instant>,
 }
 
 impl ServiceRollout {
@@ -68,9 +68,9 @@
             evidence: VersionEvidence::default(),
             limiter: ExposureLimiter::new(bonus),
             in_flight_on_old: HashMap::new(),
-            answer_time: 0.0,
-            heard_at: now,
-            judged_at: None,
+            response_time: 0.0,
+            learned_at: now,
+            verdict_at: None,
         }
     }
 
@@ -80,20 +80,20 @@
     }
 
     /// Goes on to `phase`, which the store doesn't say yet.
-    pub(super) fn enter(&mut self, phase: RolloutPhase) {
+    pub(super) fn set_phase(&mut self, phase: RolloutPhase) {
         self.record.phase = phase;
         self.is_stored = false;
     }
 
     /// An answer is expected within `expected`.
-    pub(super) fn on_expected(&mut self, expected: Duration) {
+    pub(super) fn update_response_time(&mut self, expected: Duration) {
         let expected = expected.as_secs_f64();
-        let weight = if self.answer_time > 0.0 {
-            ANSWER_WEIGHT
+        let weight = if self.response_time > 0.0 {
+            RESPONSE_TIME_WEIGHT
         } else {
             1.0
         };
-        self.answer_time += weight * (expected - self.answer_time);
+        self.response_time += weight * (expected - self.response_time);
     }
 
     /// Whether it should have ended long ago.
@@ -114,34 +114,34 @@
         schedule: &impl ShareSchedule,
         hears_counts: bool,
     ) -> RolloutStage {
-        let answer = Duration::from_secs_f64(self.answer_time);
+        let answer = Duration::from_secs_f64(self.response_time);
         let duration = self.record.order.duration;
         let stage = schedule.stage(self.elapsed(now), duration, answer);
-        let is_whole = matches!(stage, RolloutStage::Preferred | RolloutStage::Exclusive);
-        if is_whole && hears_counts && self.evidence.answers() < ANSWERS_LEAST {
+        let is_full = matches!(stage, RolloutStage::Preferred | RolloutStage::Exclusive);
+        if is_full && hears_counts && self.evidence.answers() < MIN_ANSWERS {
             return RolloutStage::Share(UNPROVEN_SHARE);
         }
         stage
     }
 
     /// How the rollout ends, where it does now.
-    pub(super) fn end(
+    pub(super) fn final_phase(
         &self,
         now: Instant,
-        sight: ServiceSight,
+        servers: ServerCounts,
         in_flight_on_old: u32,
     ) -> Option<RolloutPhase> {
         let (elapsed, duration) = (self.elapsed(now), self.record.order.duration);
         if elapsed >= duration {
             return Some(RolloutPhase::RolledBack);
         }
-        if sight.new > 0 && sight.old == 0 && elapsed >= SETTLE_TIME {
+        if servers.new > 0 && servers.old == 0 && elapsed >= SETTLE_TIME {
             return Some(RolloutPhase::Completed);
         }
-        let is_proven = self.evidence.answers() >= ANSWERS_LEAST;
+        let is_proven = self.evidence.answers() >= MIN_ANSWERS;
         let is_due = elapsed + COMPLETION_LEAD.min(duration / 8) >= duration;
-        let is_moved = is_proven && sight.new > 0 && is_due;
-        let is_last = elapsed + LAST_TIME.min(duration / 20) >= duration;
-        (is_moved && (in_flight_on_old == 0 || is_last)).then_some(RolloutPhase::Completed)
+        let is_moved = is_proven && servers.new > 0 && is_due;
+        let is_forced = elapsed + FORCED_COMPLETION_LEAD.min(duration / 20) >= duration;
+        (is_moved && (in_flight_on_old == 0 || is_forced)).then_some(RolloutPhase::Completed)
     }
 }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -4,11 +4,11 @@
 //! An operator orders a version and a time ([`order`]). Every entry follows the same
 //! [`schedule`] and counts how requests fare on either version ([`evidence`]); entries tell
 //! each other their counts ([`report`]), so that each of them can judge for the whole fleet.
-//! [`book`] is what one entry knows and does.
+//! [`controller`] is what one entry knows and does.
 //!
 //! Everything here is decision code: no sockets, clocks, threads or randomness.
 
-pub mod book;
+pub mod controller;
 pub mod detector;
 pub mod evidence;
 pub mod exposure;
--- a/crates/rollout/src/prelude.rs
+++ b/crates/rollout/src/prelude.rs
@@ -1,6 +1,6 @@
 //! The types that almost every user of this crate needs.
 
-pub use crate::book::{RolloutBook, RolloutConfig, ServiceSight};
+pub use crate::controller::{RolloutConfig, RolloutController, ServerCounts};
 pub use crate::filter::{VersionChoice, VersionFilter};
 pub use crate::order::{RolloutOrder, RolloutPhase, RolloutRecord};
 pub use crate::report::RolloutReport;
--- a/crates/rollout/tests/parts.rs
+++ b/crates/rollout/tests/parts.rs
@@ -11,13 +11,13 @@
     Duration::from_millis(millis)
 }
 
-fn book(now: Instant) -> RolloutBook {
+fn controller(now: Instant) -> RolloutController {
     let config = RolloutConfig {
         exposure_share: 0.1,
         exposure_slack: 0.0,
         run: 1,
     };
-    RolloutBook::new(now, config, CanarySchedule::new(0.1))
+    RolloutController::new(now, config, CanarySchedule::new(0.1))
 }
 
 fn order(version: &str, revision: u64) -> RolloutOrder {
@@ -38,9 +38,9 @@
     }
 }
 
-fn allows(book: &mut RolloutBook, now: Instant, version: &str) -> bool {
-    let choice = book.choose(now, "board", false, Some(ms(300)));
-    book.filters("board", choice).0.allows(version)
+fn allows(controller: &mut RolloutController, now: Instant, version: &str) -> bool {
+    let choice = controller.choose(now, "board", false, Some(ms(300)));
+    controller.filters("board", choice).0.allows(version)
 }
 
 /// Promise: over any run of requests the version gets its share, rounded down, and its bonus.
@@ -84,32 +84,32 @@
 #[test]
 fn what_was_rolled_back_stays_out() {
     let now = Instant::now();
-    let mut book = book(now);
-    book.on_order(now, &order("v2", 5));
-    assert!(!allows(&mut book, now, "v2") && allows(&mut book, now, "v1"));
-    book.on_record(
+    let mut controller = controller(now);
+    controller.on_order(now, &order("v2", 5));
+    assert!(!allows(&mut controller, now, "v2") && allows(&mut controller, now, "v1"));
+    controller.on_record(
         now,
         &record(order("v2", 5), RolloutPhase::RolledBack),
         Some(now),
         true,
     );
-    book.on_record(
+    controller.on_record(
         now,
         &record(order("v2", 5), RolloutPhase::Running),
         Some(now),
         true,
     );
-    assert!(!allows(&mut book, now, "v2"));
-    book.on_order(now, &order("v3", 9));
-    book.on_record(
+    assert!(!allows(&mut controller, now, "v2"));
+    controller.on_order(now, &order("v3", 9));
+    controller.on_record(
         now,
         &record(order("v1", 4), RolloutPhase::Completed),
         Some(now),
         true,
     );
-    assert!(!allows(&mut book, now, "v2") && !allows(&mut book, now, "v3"));
-    book.on_order(now, &order("v2", 12));
-    let again = book.record("board").unwrap();
+    assert!(!allows(&mut controller, now, "v2") && !allows(&mut controller, now, "v3"));
+    controller.on_order(now, &order("v2", 12));
+    let again = controller.record("board").unwrap();
     assert_eq!(again.phase, RolloutPhase::Ordered);
     assert_eq!(again.barred, ["v3"]);
 }
@@ -118,28 +118,34 @@
 #[test]
 fn completed_is_final() {
     let now = Instant::now();
-    let mut book = book(now);
-    book.on_record(
+    let mut controller = controller(now);
+    controller.on_record(
         now,
         &record(order("v2", 5), RolloutPhase::Running),
         Some(now),
         true,
     );
-    book.on_withdrawn(now, "board");
+    controller.on_withdrawn(now, "board");
     assert_eq!(
-        book.record("board").unwrap().phase,
+        controller.record("board").unwrap().phase,
         RolloutPhase::RolledBack
     );
     let completed = RolloutRecord {
         barred: vec!["v1".to_owned()],
         ..record(order("v2", 5), RolloutPhase::Completed)
     };
-    book.on_record(now, &completed, Some(now), true);
-    assert!(allows(&mut book, now, "v2") && !allows(&mut book, now, "v1"));
-    book.on_withdrawn(now, "board");
-    assert_eq!(book.record("board").unwrap().phase, RolloutPhase::Completed);
-    book.on_order(now, &order("v2", 8));
-    assert_eq!(book.record("board").unwrap().phase, RolloutPhase::Completed);
+    controller.on_record(now, &completed, Some(now), true);
+    assert!(allows(&mut controller, now, "v2") && !allows(&mut controller, now, "v1"));
+    controller.on_withdrawn(now, "board");
+    assert_eq!(
+        controller.record("board").unwrap().phase,
+        RolloutPhase::Completed
+    );
+    controller.on_order(now, &order("v2", 8));
+    assert_eq!(
+        controller.record("board").unwrap().phase,
+        RolloutPhase::Completed
+    );
 }
 
 /// Promise: an entry that hears nothing of the operator's rows, and one at which a request
@@ -147,8 +153,8 @@
 #[test]
 fn doubt_means_the_old_version() {
     let now = Instant::now();
-    let mut book = book(now);
-    book.on_record(
+    let mut controller = controller(now);
+    controller.on_record(
         now,
         &record(order("v2", 5), RolloutPhase::Running),
         Some(now),
@@ -161,11 +167,11 @@
         (Some(ms(300)), true),
     ] {
         for _ in 0..100 {
-            let choice = book.choose(late - ms(9000), "board", is_repeat, age);
+            let choice = controller.choose(late - ms(9000), "board", is_repeat, age);
             assert_eq!(choice, VersionChoice::Old);
         }
     }
-    let (rule, fallback) = book.filters("board", VersionChoice::Old);
+    let (rule, fallback) = controller.filters("board", VersionChoice::Old);
     assert!(rule.allows("v1") && !rule.allows("v2"));
     let (last, only_without_servers) = fallback.unwrap();
     assert!(last.allows("v2") && only_without_servers);
@@ -205,8 +211,8 @@
 #[test]
 fn slow_answers_count_while_they_are_awaited() {
     let now = Instant::now();
-    let mut book = book(now);
-    book.on_record(
+    let mut controller = controller(now);
+    controller.on_record(
         now,
         &record(order("v2", 5), RolloutPhase::Running),
         Some(now),
@@ -221,35 +227,47 @@
         expected: ms(400),
     };
     for server in 0..20 {
-        let (token, _) = book.on_sent(now, &send(server)).unwrap();
-        book.on_outcome(now + ms(100), token, SendOutcome::Inconclusive);
-        let (token, _) = book.on_sent(now, &send(server)).unwrap();
-        book.on_outcome(now + ms(100), token, SendOutcome::TimedOut);
+        let (token, _) = controller.on_sent(now, &send(server)).unwrap();
+        controller.on_outcome(now + ms(100), token, SendOutcome::Inconclusive);
+        let (token, _) = controller.on_sent(now, &send(server)).unwrap();
+        controller.on_outcome(now + ms(100), token, SendOutcome::TimedOut);
     }
-    assert_eq!(book.record("board").unwrap().phase, RolloutPhase::Running);
+    assert_eq!(
+        controller.record("board").unwrap().phase,
+        RolloutPhase::Running
+    );
     for server in 0..20 {
-        book.on_sent(now, &send(server)).unwrap();
+        controller.on_sent(now, &send(server)).unwrap();
     }
-    book.review(now + ms(800));
-    assert_eq!(book.record("board").unwrap().phase, RolloutPhase::Running);
-    book.review(now + ms(900));
+    controller.review(now + ms(800));
+    assert_eq!(
+        controller.record("board").unwrap().phase,
+        RolloutPhase::Running
+    );
+    controller.review(now + ms(900));
     assert_eq!(
-        book.record("board").unwrap().phase,
+        controller.record("board").unwrap().phase,
         RolloutPhase::RolledBack
     );
 }
 
 /// A rollout of 20 s that runs, at an entry among `entries` that get requests.
-fn running(now: Instant, entries: usize) -> RolloutBook {
-    let mut book = book(now);
-    book.set_entries(entries, true);
+fn running(now: Instant, entries: usize) -> RolloutController {
+    let mut controller = controller(now);
+    controller.set_entries(entries, true);
     let record = record(order("v2", 5), RolloutPhase::Running);
-    book.on_record(now, &record, Some(now), true);
-    book
+    controller.on_record(now, &record, Some(now), true);
+    controller
 }
 
 /// Answers of `version` on `route`, from twenty servers.
-fn answered(book: &mut RolloutBook, now: Instant, version: &str, route: u64, bad: bool) {
+fn answered(
+    controller: &mut RolloutController,
+    now: Instant,
+    version: &str,
+    route: u64,
+    bad: bool,
+) {
     for server in 0..20 {
         let send = VersionSend {
             service: "board",
@@ -259,7 +277,7 @@
             is_cold: false,
             expected: ms(400),
         };
-        let Some((token, _)) = book.on_sent(now, &send) else {
+        let Some((token, _)) = controller.on_sent(now, &send) else {
             return;
         };
         let outcome = if bad {
@@ -267,14 +285,14 @@
         } else {
             SendOutcome::Answered
         };
-        book.on_outcome(now + ms(400), token, outcome);
+        controller.on_outcome(now + ms(400), token, outcome);
     }
 }
 
-const SIGHT: ServiceSight = ServiceSight { new: 5, old: 5 };
+const SERVERS: ServerCounts = ServerCounts { new: 5, old: 5 };
 
-fn next_phase(book: &RolloutBook, now: Instant) -> Option<RolloutPhase> {
-    let next = book.next(now, "board", SIGHT, 20_000);
+fn next_phase(controller: &RolloutController, now: Instant) -> Option<RolloutPhase> {
+    let next = controller.next_record(now, "board", SERVERS, 20_000);
     next.map(|record| record.phase)
 }
 
@@ -283,30 +301,30 @@
 #[test]
 fn who_hears_nobody_completes_nothing() {
     let now = Instant::now();
-    let mut book = running(now, 8);
-    answered(&mut book, now, "v2", 3, false);
+    let mut controller = running(now, 8);
+    answered(&mut controller, now, "v2", 3, false);
     let due = now + ms(18_600);
-    assert_eq!(next_phase(&book, due), None);
+    assert_eq!(next_phase(&controller, due), None);
     let other = running(now, 8);
     for peer in 0..4 {
         let report = other.report(due).unwrap();
-        book.on_report(due, peer, &report);
+        controller.on_report(due, peer, &report);
     }
-    assert_eq!(next_phase(&book, due), Some(RolloutPhase::Completed));
+    assert_eq!(next_phase(&controller, due), Some(RolloutPhase::Completed));
 }
 
 /// Promise: a verdict that another entry tells is taken at once, whatever was seen here.
 #[test]
 fn a_verdict_is_taken_from_others() {
     let now = Instant::now();
-    let (mut book, mut other) = (running(now, 8), running(now, 8));
+    let (mut controller, mut other) = (running(now, 8), running(now, 8));
     answered(&mut other, now, "v2", 3, true);
     assert!(other.take_verdict());
     let mut report = other.report(now + ms(500)).unwrap();
     report.orders[0].counts.clear();
-    book.on_report(now + ms(500), 3, &report);
+    controller.on_report(now + ms(500), 3, &report);
     assert_eq!(
-        book.record("board").unwrap().phase,
+        controller.record("board").unwrap().phase,
         RolloutPhase::RolledBack
     );
 }
@@ -315,24 +333,24 @@
 #[test]
 fn nothing_is_completed_after_the_end() {
     let now = Instant::now();
-    let mut book = running(now, 1);
-    answered(&mut book, now, "v2", 3, false);
+    let mut controller = running(now, 1);
+    answered(&mut controller, now, "v2", 3, false);
     assert_eq!(
-        next_phase(&book, now + ms(18_600)),
+        next_phase(&controller, now + ms(18_600)),
         Some(RolloutPhase::Completed)
     );
     assert_eq!(
-        next_phase(&book, now + ms(20_000)),
+        next_phase(&controller, now + ms(20_000)),
         Some(RolloutPhase::RolledBack)
     );
     let fresh = Some(ms(300));
-    let soon = book.choose(now + ms(20_100), "board", false, fresh);
+    let soon = controller.choose(now + ms(20_100), "board", false, fresh);
     assert_eq!(
         soon,
         VersionChoice::NewOnly,
         "its completion may be on the way"
     );
-    let late = book.choose(now + ms(22_600), "board", false, fresh);
+    let late = controller.choose(now + ms(22_600), "board", false, fresh);
     assert_eq!(late, VersionChoice::Old);
 }
 
@@ -340,16 +358,16 @@
 #[test]
 fn an_unproven_version_gets_a_part() {
     let now = Instant::now();
-    let mut book = running(now, 1);
+    let mut controller = running(now, 1);
     let late = now + ms(18_000);
     let mut old = 0;
     for _ in 0..100 {
-        let choice = book.choose(late, "board", false, Some(ms(300)));
+        let choice = controller.choose(late, "board", false, Some(ms(300)));
         old += usize::from(choice == VersionChoice::Old);
     }
     assert!(old > 60, "{old}");
-    answered(&mut book, now, "v2", 3, false);
-    let choice = book.choose(late, "board", false, Some(ms(300)));
+    answered(&mut controller, now, "v2", 3, false);
+    let choice = controller.choose(late, "board", false, Some(ms(300)));
     assert_eq!(choice, VersionChoice::NewOnly);
 }
 
@@ -358,19 +376,22 @@
 #[test]
 fn a_fault_on_one_route_is_found() {
     let now = Instant::now();
-    let mut book = running(now, 1);
+    let mut controller = running(now, 1);
     for turn in 0..40 {
-        answered(&mut book, now + ms(100 * turn), "v1", 3, false);
-        answered(&mut book, now + ms(100 * turn), "v2", 3, false);
-        answered(&mut book, now + ms(100 * turn), "v2", 4, false);
+        answered(&mut controller, now + ms(100 * turn), "v1", 3, false);
+        answered(&mut controller, now + ms(100 * turn), "v2", 3, false);
+        answered(&mut controller, now + ms(100 * turn), "v2", 4, false);
     }
-    assert_eq!(book.record("board").unwrap().phase, RolloutPhase::Running);
+    assert_eq!(
+        controller.record("board").unwrap().phase,
+        RolloutPhase::Running
+    );
     let mut failures = 0;
-    while book.record("board").unwrap().phase == RolloutPhase::Running {
+    while controller.record("board").unwrap().phase == RolloutPhase::Running {
         let at = now + ms(5000);
-        answered(&mut book, at, "v2", 3, false);
-        answered(&mut book, at, "v2", 3, false);
-        answered(&mut book, at, "v2", 3, false);
+        answered(&mut controller, at, "v2", 3, false);
+        answered(&mut controller, at, "v2", 3, false);
+        answered(&mut controller, at, "v2", 3, false);
         let send = VersionSend {
             service: "board",
             version: "v2",
@@ -379,8 +400,8 @@
             is_cold: false,
             expected: ms(400),
         };
-        let (token, _) = book.on_sent(at, &send).unwrap();
-        book.on_outcome(at, token, SendOutcome::Failed);
+        let (token, _) = controller.on_sent(at, &send).unwrap();
+        controller.on_outcome(at, token, SendOutcome::Failed);
         failures += 1;
         assert!(failures < 10, "{failures} failures of one route");
     }
@@ -391,11 +412,11 @@
 #[test]
 fn a_word_stays_small() {
     let now = Instant::now();
-    let mut book = running(now, 8);
+    let mut controller = running(now, 8);
     for route in 1..=3000 {
-        answered(&mut book, now, "v1", route, false);
+        answered(&mut controller, now, "v1", route, false);
     }
-    let report = book.report(now + ms(500)).unwrap();
+    let report = controller.report(now + ms(500)).unwrap();
     let counts = &report.orders[0].counts;
     assert!(counts.len() <= 240, "{}", counts.len());
     let all = counts.iter().find(|(route, ..)| *route == ALL_ROUTES);
