--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -1,5 +1,5 @@
-//! Requests that must not repeat: tickets that bind them to one run of one instance,
-//! and the records by which that run answers repeats. Nothing here does input or output.
+//! At-most-once requests: tickets that bind requests to one run of one instance, and the
+//! records from which that run answers repeats. This crate does no input or output.
 
 mod table;
 mod ticket;
--- a/crates/once/src/table.rs
+++ b/crates/once/src/table.rs
@@ -1,67 +1,67 @@
-//! Records of requests that must not repeat, kept by the one run they are bound to.
+//! Records of at-most-once requests, kept by the run that they are bound to.
 //!
-//! A key is recorded before its request may be dispatched and kept until no copy of
-//! it can be accepted any more. A key that was refused stays refused: a late copy of
-//! a request that was answered "not run" must not run.
+//! A key is recorded before its request may be dispatched, and kept until no copy of the
+//! request can be accepted any more. A refused key stays refused: a late copy of a request that
+//! was answered "not run" must not run.
 
 use std::collections::{BTreeSet, HashMap};
 
 use base::prelude::*;
 use bytes::Bytes;
 
-/// Time that a record is kept after its ticket has ended.
+/// Time that a record is kept after its ticket has expired.
 const RETENTION: Duration = Duration::from_secs(900);
-/// Largest answer that is kept, in bytes.
+/// Maximum size of a stored answer's body, in bytes.
 const MAX_STORED_ANSWER: usize = 16 << 10;
-/// Bytes of all kept answers together.
+/// Maximum total size of all stored answers, in bytes.
 const MAX_STORED_TOTAL: usize = 32 << 20;
 
-/// Names a request that must not repeat: a number under a ticket, of one owner. Whoever else
-/// comes with the same ticket and number is told nothing of it.
+/// Identifies an at-most-once request: a number under a ticket, of one owner. Another caller
+/// that presents the same ticket and number must learn nothing about the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct OnceKey {
-    /// Names whose request it is; 0 where nobody is named.
+    /// Identifies the caller that owns the request; 0 if it is anonymous.
     pub owner: u64,
     /// The ticket's nonce.
     pub nonce: u64,
-    /// The caller's number.
+    /// The number that the caller gave the request.
     pub number: u64,
 }
 
-/// An answer that is kept for repeats of its request.
+/// An answer that is stored for repeats of its request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredAnswer {
     /// The status code.
     pub status: u16,
-    /// The content type, where given.
+    /// The content type, if given.
     pub content_type: Option<String>,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// What became of a recorded request.
+/// The state of a recorded request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OnceState {
-    /// It is being worked on.
+    /// The request is in progress.
     Running,
-    /// It was refused and will never run.
+    /// The request was refused and will never run.
     Refused,
-    /// It was run; the answer is kept if it was small.
+    /// The request has run. The answer is stored if it is small enough.
     Done(Option<StoredAnswer>),
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// What a key's first or repeated arrival means.
+/// The result of looking up a request that arrives.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OnceVerdict {
-    /// It is new and recorded now: go on.
+    /// The key is new and now recorded; the request may run.
     Run,
-    /// It is known; nothing may be run.
+    /// The key is known; the request must not run again.
     Known(OnceState),
-    /// It is known with another request.
+    /// The key is known with a different request.
     OtherRequest,
-    /// Too many records; it was not recorded and must not run.
+    /// The table is full; the key was not recorded and the request must not run.
     Full,
 }
 
@@ -93,7 +93,7 @@
 }
 
 impl OnceTable {
-    /// A table of at most `capacity` records.
+    /// Creates a table of at most `capacity` records.
     pub fn new(capacity: usize) -> Self {
         Self {
             records: HashMap::new(),
@@ -103,12 +103,14 @@
         }
     }
 
-    /// How long a record outlives its ticket. Copies that come later can't be judged.
+    /// Time that a record outlives its ticket. Copies of its request that arrive later can't be
+    /// recognized.
     pub const fn retention() -> Duration {
         RETENTION
     }
 
-    /// A request with `key` has arrived; its ticket ends at `valid_until`.
+    /// Looks up an arriving request and records it if `key` is new; its ticket expires at
+    /// `valid_until`.
     pub fn begin(
         &mut self,
         now: Instant,
@@ -138,12 +140,12 @@
         OnceVerdict::Run
     }
 
-    /// What is recorded of `key`, if anything.
+    /// Returns the state of `key`, if it is recorded.
     pub fn find(&self, key: &OnceKey) -> Option<&OnceState> {
         self.records.get(key).map(|record| &record.state)
     }
 
-    /// Records what became of `key`. Large answers are not kept.
+    /// Records the result of `key`. Large answers are not stored.
     pub fn finish(&mut self, key: &OnceKey, state: OnceState) {
         let Some(record) = self.records.get_mut(key) else {
             return;
@@ -167,7 +169,7 @@
         }
     }
 
-    /// Forgets the records whose time is over.
+    /// Removes expired records.
     pub fn expire(&mut self, now: Instant) {
         while let Some((end, key)) = self.by_expiry.first().copied() {
             if end > now {
@@ -181,12 +183,12 @@
         }
     }
 
-    /// Number of records.
+    /// Returns the number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether nothing is recorded.
+    /// Whether the table has no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
--- a/crates/once/src/ticket.rs
+++ b/crates/once/src/ticket.rs
@@ -1,16 +1,16 @@
-//! Tickets: what binds a request that must not repeat to one run of one instance.
+//! Tickets that bind at-most-once requests to one run of one instance.
 //!
-//! An instance signs a stamp with a key that only its present run knows, and spreads
-//! it over the fleet. Whoever answers a look-up adds a nonce of its own; stamp and
-//! nonce are the ticket. The caller numbers its requests under the ticket.
+//! An instance signs a stamp with a key that only its current run knows, and distributes the
+//! stamp over the fleet. The entry that answers a look-up appends a nonce; stamp and nonce
+//! together are the ticket. The caller numbers its requests under the ticket.
 
 use base::prelude::*;
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 
-/// Bytes of the signature that are kept.
+/// Length to which signatures are truncated, in bytes.
 const SIGNATURE_BYTES: usize = 16;
-/// Longest ticket in bytes.
+/// Maximum length of a ticket, in bytes.
 const MAX_TICKET: usize = 512;
 
 /// Signs and checks the stamps of one run of one instance.
@@ -21,25 +21,25 @@
     start: Instant,
 }
 
-/// A ticket as its caller sent it. Only the instance that it names can check it.
+/// A ticket as sent by a caller. Only the instance that it names can verify it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ticket {
     /// The run that the ticket is bound to.
     pub node: NodeId,
-    /// End of validity, in milliseconds of that run's clock.
+    /// Time of expiry, in milliseconds since the start of that run.
     pub expires_ms: u64,
-    /// The signature over run and end.
+    /// The signature over the run and the time of expiry.
     signature: String,
-    /// Drawn by whoever answered the look-up.
+    /// Random number from the entry that answered the look-up.
     pub nonce: u64,
 }
 
-/// What the instance that a ticket names makes of it.
+/// The result of verifying a ticket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TicketVerdict {
-    /// Valid until the instant.
+    /// Valid until the given time.
     Valid(Instant),
-    /// Signed by this run, but past its end, which was at the instant.
+    /// Signed by this run, but expired at the given time.
     Expired(Instant),
     /// Not signed by this run.
     Forged,
@@ -54,7 +54,7 @@
 }
 
 impl StampKey {
-    /// A key for the run `node` that began at `start`.
+    /// Creates the key of the run `node` that started at `start`.
     pub fn new(node: &NodeId, key: [u8; 32], start: Instant) -> Self {
         Self {
             node: node.clone(),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// A stamp that is valid until `expires`.
+    /// Returns a stamp that is valid until `expires`.
     pub fn stamp(&self, expires: Instant) -> String {
         let expires_ms = self.millis_since_start(expires);
         let signature = self.sign(expires_ms);
@@ -73,7 +73,7 @@
         )
     }
 
-    /// Checks a ticket that names this run.
+    /// Verifies a ticket that names this run.
     pub fn check(&self, now: Instant, ticket: &Ticket) -> TicketVerdict {
         let expected = self.sign(ticket.expires_ms);
         if ticket.node != self.node || !equal_in_constant_time(&expected, &ticket.signature) {
@@ -105,12 +105,12 @@
 }
 
 impl Ticket {
-    /// The ticket text for a stamp and a nonce.
+    /// Formats the ticket of a stamp and a nonce.
     pub fn issue(stamp: &str, nonce: u64) -> String {
         format!("{stamp}~{nonce:016x}")
     }
 
-    /// Reads a ticket; `None` where the text is none. Checks no signature.
+    /// Parses a ticket without verifying its signature; `None` if the text is malformed.
     pub fn parse(text: &str) -> Option<Self> {
         if text.len() > MAX_TICKET {
             return None;
--- a/crates/once/tests/once.rs
+++ b/crates/once/tests/once.rs
@@ -35,7 +35,7 @@
     )
 }
 
-/// Promise: in any order of arrivals and ends, a key is told to run at most once.
+/// In any order of arrivals and results, a key gets [`OnceVerdict::Run`] at most once.
 #[test]
 fn a_key_runs_at_most_once_in_any_history() {
     let steps = prop::collection::vec((0..6_u64, 0..4_u8, 0..400_u64), 1..200);
@@ -71,7 +71,7 @@
         .unwrap();
 }
 
-/// A full table refuses; it never forgets to make room.
+/// A full table refuses new keys and evicts no record before its time.
 #[test]
 fn a_full_table_refuses() {
     let mut table = OnceTable::new(2);
@@ -89,7 +89,7 @@
     assert_eq!(table.len(), 1);
 }
 
-/// Small answers are kept, large ones only as done.
+/// The body of a small answer is stored, a large one is only recorded as done.
 #[test]
 fn only_small_answers_are_kept() {
     let mut table = OnceTable::new(10);
@@ -110,7 +110,7 @@
     assert_eq!(table.find(&key(2)), Some(&OnceState::Done(None)));
 }
 
-/// A ticket holds for its run and its time only.
+/// A ticket is valid only for the run that signed it, and only until it expires.
 #[test]
 fn tickets_hold_for_one_run_and_one_time() {
     let start = Instant::now();
@@ -127,7 +127,7 @@
     assert_eq!(check(&signer(2, start), 1), TicketVerdict::Forged);
 }
 
-/// Whatever text comes as a ticket, reading it ends, and nothing but the own stamp is valid.
+/// Parsing arbitrary text terminates, and no altered stamp is valid.
 #[test]
 fn hostile_tickets_are_forged_or_unreadable() {
     let start = Instant::now();
@@ -155,8 +155,8 @@
         .unwrap();
 }
 
-/// Promise: a record is its owner's; another who comes with the same ticket and number is
-/// told nothing of it.
+/// A record belongs to its owner: another caller with the same ticket and number learns nothing
+/// about it.
 #[test]
 fn a_record_is_its_owners() {
     let mut table = OnceTable::new(4);
--- a/crates/tally/src/lib.rs
+++ b/crates/tally/src/lib.rs
@@ -1,46 +1,48 @@
-//! Sums over all entries of a fleet, without anybody who adds them up.
+//! Approximate fleet-wide counters without a coordinator.
 //!
-//! Each entry counts what it does itself since its start and tells the others these counts.
-//! What another did since its last word but one is the difference, so that a lost word costs
-//! time and no count. What others did since their last word isn't known; an entry reckons
-//! with it by what it did itself meanwhile.
+//! Each entry counts its own events since its start and reports the totals to its peers. The
+//! increments of a peer are the difference between its last two reports that arrived, so a lost
+//! report delays counts but loses none. What a peer counted since its last report is unknown;
+//! an entry estimates it by its own count over the same time.
 //!
-//! No sockets, clocks or threads here.
+//! This crate uses no sockets, clocks or threads.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
 use std::time::{Duration, Instant};
 
-/// What a run counted that is younger than this is all news to those that were there
-/// before; of an older one they may have heard and forgotten.
+/// Counts in the first report of a run that is younger than this are all increments for entries
+/// that started before the run. An older run may have been tracked earlier and dropped since,
+/// so its first count of each key is only a baseline.
 const NEW_RUN_AGE: Duration = Duration::from_secs(10);
 
-/// One entry's counts since its start, and how old that is.
+/// The totals of one entry since its start, as sent to its peers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CountReport<K> {
-    /// One run of the entry's process; a later run counts from 0 again.
+    /// Identifies one run of the entry's process; a later run has a higher number and counts
+    /// from 0.
     pub run: u64,
     /// Time since the run began to count.
     pub age: Duration,
-    /// The counts that changed lately; others are as they were told before.
+    /// The totals that changed recently; all others are as in earlier reports.
     pub counts: Vec<(K, u32)>,
 }
 
-/// What this entry counted, and what it heard of the others.
+/// The counts of this entry and the reported counts of its peers.
 #[derive(Debug)]
 pub struct PeerTally<K> {
     start: Option<Instant>,
-    /// An entry's word counts as its present for this long.
+    /// Time for which a peer is considered live after its last report.
     report_ttl: Duration,
     own: HashMap<K, OwnCounter>,
     peers: HashMap<u64, PeerCounter<K>>,
 }
 
-/// One count of this entry.
+/// One counter of this entry.
 #[derive(Debug, Default)]
 struct OwnCounter {
     total: u32,
-    /// When the latest were counted, oldest first.
+    /// Times of the most recent events, oldest first.
     recent: VecDeque<Instant>,
 }
 
@@ -48,14 +50,14 @@
 struct PeerCounter<K> {
     run: u64,
     last_heard: Instant,
-    /// Whether it may have counted before this entry heard of it: what it counted of a key by the first word
-    /// on that is not news.
+    /// Whether the run may have counted before it was tracked here. The first count of each key
+    /// is then a baseline and no increment.
     needs_baseline: bool,
     counts: HashMap<K, u32>,
 }
 
 impl<K: Copy + Eq + Hash> PeerTally<K> {
-    /// A tally in which an entry's word counts as its present for `report_ttl`.
+    /// Creates a tally in which a peer is considered live for `report_ttl` after a report.
     pub fn new(report_ttl: Duration) -> Self {
         Self {
             start: None,
@@ -65,19 +67,20 @@
         }
     }
 
-    /// The tally begins at `start`: what entries count that began later is all news to it.
+    /// Sets the start of this entry's run: all counts of runs that started later are
+    /// increments.
     #[must_use]
     pub fn with_start(mut self, start: Instant) -> Self {
         self.start = Some(start);
         self
     }
 
-    /// An entry's word counts as its present for `report_ttl` from now on.
+    /// Sets the time for which a peer is considered live after a report.
     pub fn set_report_ttl(&mut self, report_ttl: Duration) {
         self.report_ttl = report_ttl;
     }
 
-    /// Counts one more of `key`.
+    /// Counts one event of `key`.
     pub fn add(&mut self, now: Instant, key: K) {
         let own = self.own.entry(key).or_default();
         own.total = own.total.wrapping_add(1);
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Takes one of `key` back that was counted lately.
+    /// Undoes the most recent event of `key`.
     pub fn undo_add(&mut self, key: K) {
         if let Some(own) = self.own.get_mut(&key) {
             own.total = own.total.wrapping_sub(1);
@@ -98,25 +101,25 @@
         }
     }
 
-    /// The own count of `key`.
+    /// Returns this entry's total for `key`.
     pub fn own_total(&self, key: K) -> u32 {
         self.own.get(&key).map_or(0, |own| own.total)
     }
 
-    /// All own counts.
+    /// Returns all totals of this entry.
     pub fn own_totals(&self) -> impl Iterator<Item = (&K, u32)> {
         self.own.iter().map(|(key, own)| (key, own.total))
     }
 
-    /// Time since this entry began to count.
+    /// Returns the time since this entry began to count.
     pub fn age(&self, now: Instant) -> Duration {
         let start = self.start.unwrap_or(now);
         now.saturating_duration_since(start)
     }
 
-    /// Takes in the word of the entry `peer`; what it did that wasn't known before. Of one
-    /// that has counted for long the first word on a key tells only where it
-    /// begins.
+    /// Records a report of the entry `peer` and returns the increments since its last one. For
+    /// a run that began before it was tracked, the first count of a key is only a baseline.
+    /// Reports of earlier runs are ignored.
     pub fn on_report(&mut self, now: Instant, peer: u64, report: &CountReport<K>) -> Vec<(K, i64)> {
         let known = self.peers.get(&peer).map(|known| known.run);
         if known.is_some_and(|run| run > report.run) {
@@ -141,7 +144,7 @@
             if before.is_none() && tracked.needs_baseline {
                 continue;
             }
-            // Counts fall where some were taken back.
+            // Totals decrease where events were undone.
             let added = i64::from(count.wrapping_sub(before.unwrap_or(0)) as i32);
             if added != 0 {
                 deltas.push((*key, added));
@@ -150,13 +153,13 @@
         deltas
     }
 
-    /// When the entry `peer` was heard last.
+    /// Returns when the last report of the entry `peer` arrived.
     pub fn last_heard(&self, peer: u64) -> Option<Instant> {
         self.peers.get(&peer).map(|known| known.last_heard)
     }
 
-    /// What this entry did of `key` since each of the others was heard, as far as these are
-    /// heard at all: what all of them did meanwhile if each did as much as this one.
+    /// Estimates how many events of `key` the live peers have not reported yet: the sum over
+    /// these peers of this entry's own events since the peer's last report.
     pub fn estimate_unreported(&self, now: Instant, key: K) -> u32 {
         let Some(own) = self.own.get(&key).filter(|own| !own.recent.is_empty()) else {
             return 0;
@@ -170,7 +173,7 @@
         sum
     }
 
-    /// What this entry did of each key since the entry `peer` was heard.
+    /// Returns this entry's own events of each key since the last report of the entry `peer`.
     pub fn own_since(&self, peer: u64) -> Vec<(K, u32)> {
         let Some(known) = self.peers.get(&peer) else {
             return Vec::new();
@@ -180,13 +183,13 @@
         counts.filter(|(_, count)| *count > 0).collect()
     }
 
-    /// Forgets the entries that `keep` doesn't name.
+    /// Stops tracking the peers for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(u64, Instant) -> bool) {
         self.peers
             .retain(|peer, known| keep(*peer, known.last_heard));
     }
 
-    /// The other entries that were heard, and when last.
+    /// Returns the tracked peers with the time of their last report.
     pub fn peers(&self) -> impl Iterator<Item = (u64, Instant)> {
         self.peers
             .iter()
--- a/crates/tally/tests/tally.rs
+++ b/crates/tally/tests/tally.rs
@@ -1,4 +1,4 @@
-//! Counts that entries tell each other.
+//! Counts that entries report to each other.
 
 use std::time::{Duration, Instant};
 
@@ -6,7 +6,7 @@
 use proptest::test_runner::RngSeed;
 use tally::{CountReport, PeerTally};
 
-/// Fixed, so that each run gives the same verdict.
+/// Fixed, so that each run gives the same result.
 const SEED: u64 = 5;
 const REPORT_TTL: Duration = Duration::from_millis(500);
 
@@ -18,8 +18,8 @@
     }
 }
 
-/// Promise: what was counted before an entry began to listen isn't news, what comes after is,
-/// and a later run counts anew.
+/// Counts from before the first report are no increments, later ones are, and a later run
+/// starts from 0.
 #[test]
 fn only_news_is_news() {
     let start = Instant::now();
@@ -43,14 +43,14 @@
             .on_report(now, 1, &report(7, 60_200, &[(0, 999)]))
             .is_empty()
     );
-    // One of the count was taken back.
+    // One event was undone.
     assert_eq!(
         tally.on_report(now, 1, &report(8, 400, &[(0, 2)])),
         [(0, -1)]
     );
 }
 
-/// Promise: an entry that was forgotten and comes back isn't counted twice.
+/// A peer that was dropped and reports again must not be counted twice.
 #[test]
 fn who_comes_back_is_not_counted_twice() {
     let start = Instant::now();
@@ -73,7 +73,7 @@
     );
 }
 
-/// Promise: others are taken to go on as this entry does, until they are heard or silent.
+/// Until a peer reports or expires, its unreported count is estimated by this entry's own.
 #[test]
 fn the_unheard_is_reckoned() {
     let start = Instant::now();
@@ -96,7 +96,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(SEED), ..ProptestConfig::default() })]
 
-    /// Promise: whichever words get lost, all that a run counted is heard by its next word.
+    /// Whichever reports get lost, the next one that arrives brings the sum up to date.
     #[test]
     fn lost_words_lose_no_count(steps in proptest::collection::vec((0..4_u32, any::<bool>()), 1..60)) {
         let start = Instant::now();
--- a/crates/team/src/access.rs
+++ b/crates/team/src/access.rs
@@ -1,8 +1,8 @@
-//! Whether a request may enter, and as whose.
+//! Decides whether a request is admitted, and for which team.
 //!
-//! An entry may act on a key only while it can show that the key held a short time ago: an
-//! entry that the operator's changes don't reach would go on serving keys that were taken
-//! away. What it doesn't know may in turn have been added meanwhile.
+//! An entry accepts or denies a key only while its copy of the operator's settings is recent:
+//! an entry that is cut off from changes would continue to accept revoked keys, and would deny
+//! keys that have been added meanwhile.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,47 +11,47 @@
 use crate::key::KeyDigest;
 use crate::spec::TeamSpec;
 
-/// Kept off each bound, for clocks that don't run quite alike.
+/// Subtracted from each bound to allow for clock drift between machines.
 const CLOCK_MARGIN: Duration = Duration::from_millis(150);
 
-/// What a request says of its key.
+/// The key that a request presents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyClaim {
-    /// Nothing.
+    /// No key.
     None,
-    /// What can't be read as one key.
+    /// A value that can't be parsed as one key.
     Malformed,
     /// A key.
     Key(KeyDigest),
 }
 
-/// How old the knowledge may be on which an entry acts.
+/// Maximum age of the settings on which an entry may act.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AccessBounds {
-    /// A key that was taken away must not be served this long after; `None` where entries
-    /// that hear nothing go on with what they know.
+    /// Time after which a revoked key must no longer be accepted; `None` if entries that are
+    /// cut off keep the settings they have.
     pub revoke: Option<Duration>,
-    /// A key that was added must be known this long after.
+    /// Time after which an added key must be known.
     pub learn: Duration,
 }
 
-/// Whether a request may enter.
+/// The result of the access check.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Access {
-    /// It needs no key.
+    /// The request needs no key.
     Open,
-    /// It is the team's.
+    /// The request belongs to the team.
     Team(Rc<TeamSpec>),
-    /// Nobody holds its key, or it has none.
+    /// No team has its key, or it has no key.
     Denied,
-    /// Nobody held its key when this entry heard last, which is too long ago to deny it.
+    /// No team had its key in settings that are too old to deny it.
     Unsure,
-    /// Its key held when this entry heard last, which is too long ago to act on it.
+    /// A team had its key in settings that are too old to accept it.
     Stale,
 }
 
 impl AccessBounds {
-    /// Whether an entry whose knowledge is of `age` ago may serve keys; `None` is never.
+    /// Whether keys may be accepted on settings of this age; `None` is an unknown age.
     pub fn may_serve(&self, age: Option<Duration>) -> bool {
         let Some(revoke) = self.revoke else {
             return true;
@@ -59,8 +59,8 @@
         age.is_some_and(|age| age + CLOCK_MARGIN < revoke)
     }
 
-    /// Whether a request with `claim` may enter, on a route that is public or not, where
-    /// the teams are known as of `age` ago.
+    /// Decides whether a request with `claim` is admitted, on a public route or not, by
+    /// settings that are `age` old.
     pub fn decide(
         &self,
         index: &TeamIndex,
--- a/crates/team/src/bucket.rs
+++ b/crates/team/src/bucket.rs
@@ -1,39 +1,39 @@
-//! One team's bucket, as an entry reckons it for the whole fleet.
+//! A team's token bucket, maintained by one entry for the whole fleet.
 
 use std::time::{Duration, Instant};
 
 use crate::spec::TeamQuota;
 
-/// Parts of what a team may exceed its quota by: the first covers what isn't heard, the
-/// second what was let in before an entry began to count, and as much what entries need
-/// that have but a small part.
+/// Fractions of the tolerated excess. The first covers requests that peers have not reported
+/// yet; the second covers requests admitted before an entry began to count, and the minimum
+/// that entries with a small part of the quota need.
 const UNREPORTED_TOLERANCE: f64 = 0.15;
 const UNKNOWN_TOLERANCE: f64 = 0.33;
-/// What was let in too much is made up for, but no more than of this time: beyond, those
-/// who ask now would pay for others.
+/// Upper limit of the debt after an excess, as time at the team's rate. Beyond it, later
+/// callers would pay for earlier ones.
 const MAX_DEBT_TIME: Duration = Duration::from_millis(1500);
-/// Time over which it is counted where a team's callers are.
+/// Time constant over which the distribution of a team's callers is measured.
 const RECENT_DECAY_TIME: Duration = Duration::from_secs(2);
-/// Requests at each entry as which it counts before that is known.
+/// Requests assumed at each entry before the distribution is known.
 const SPREAD_PRIOR: f64 = 2.0;
-/// Longest time after which a refused caller is asked to come back: a quota that is asked
-/// for many times over has room for few of them.
+/// Maximum retry delay: a quota that is exceeded many times over has room for few of the
+/// refused callers.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(3);
-/// Shortest one.
+/// Minimum retry delay.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// How exactly quotas are to be kept.
+/// How precisely quotas are enforced.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaBounds {
-    /// Window in which requests are summed up.
+    /// Window over which requests are counted.
     pub window: Duration,
-    /// Part of a quota by which it may be exceeded in a window.
+    /// Fraction of a quota by which it may be exceeded in a window.
     pub excess: f64,
-    /// Requests by which it may be exceeded besides.
+    /// Number of requests by which it may be exceeded in addition.
     pub slack: f64,
 }
 
-/// How many of the entries this one hears.
+/// The number of entries, and how many of them are silent.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetShare {
     at: Option<Instant>,
@@ -41,23 +41,24 @@
     known: usize,
 }
 
-/// A team's bucket.
+/// The token bucket of a team.
 #[derive(Debug, Clone, Copy)]
 pub struct TeamBucket {
     quota: TeamQuota,
-    /// Requests that may be let in now; below 0 where too many were.
+    /// Requests that may be admitted now; negative after an excess.
     level: f64,
-    /// How far below 0 it may fall.
+    /// Maximum amount by which the level may fall below 0.
     max_debt: f64,
     at: Instant,
-    /// When the next caller that is refused is asked to come back.
+    /// Earliest retry time for the next refused caller.
     next_retry_at: Instant,
-    /// What this entry and all others let in lately: how the team's callers are spread.
+    /// Recent admissions of this entry and of all others: the distribution of the team's
+    /// callers.
     own: DecayingCount,
     others: DecayingCount,
 }
 
-/// A count in which what is old fades.
+/// An exponentially decaying count.
 #[derive(Debug, Clone, Copy)]
 struct DecayingCount {
     count: f64,
@@ -65,13 +66,13 @@
 }
 
 impl QuotaBounds {
-    /// Requests by which `quota` may be exceeded in a window.
+    /// Returns the number of requests by which `quota` may be exceeded in a window.
     fn tolerance(&self, quota: TeamQuota) -> f64 {
         let whole = quota.rate * self.window.as_secs_f64() + quota.burst;
         self.excess * whole + self.slack
     }
 
-    /// The part of it that covers what an entry doesn't know of the others.
+    /// Returns the part of the tolerance that covers unknown requests of other entries.
     fn unknown_tolerance(&self, quota: TeamQuota) -> f64 {
         UNKNOWN_TOLERANCE * self.tolerance(quota)
     }
@@ -88,10 +89,10 @@
 }
 
 impl FleetShare {
-    /// Time between two looks at who is heard.
+    /// Time between two refreshes of the share.
     pub const REFRESH_INTERVAL: Duration = Duration::from_millis(50);
 
-    /// As of `now`, `silent` of the `known` entries, this one among them, aren't heard.
+    /// As of `now`, `silent` of the `known` entries (including this one) are silent.
     pub fn new(now: Instant, silent: usize, known: usize) -> Self {
         Self {
             at: Some(now),
@@ -100,13 +101,13 @@
         }
     }
 
-    /// Whether another look is due.
+    /// Whether a refresh is due.
     pub fn is_stale(&self, now: Instant) -> bool {
         self.at
             .is_none_or(|at| now.saturating_duration_since(at) >= Self::REFRESH_INTERVAL)
     }
 
-    /// Part of a quota that those who hear each other have together.
+    /// Fraction of a quota that is available to the entries that hear each other.
     fn reachable_fraction(&self) -> f64 {
         (self.known - self.silent.min(self.known - 1)) as f64 / self.known as f64
     }
@@ -117,8 +118,8 @@
 }
 
 impl TeamBucket {
-    /// The bucket of a team with `quota` at an entry that has counted for `since`. It fills
-    /// from little: what others let in before isn't known.
+    /// Creates the bucket of a team with `quota` at an entry that has counted for `since`. The
+    /// initial level is low because earlier admissions of other entries are unknown.
     pub fn new(
         now: Instant,
         quota: TeamQuota,
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Takes in the team's newest quota.
+    /// Updates the team's quota.
     pub fn set_quota(
         &mut self,
         now: Instant,
@@ -152,11 +153,11 @@
         self.max_debt = max_debt(quota, bounds);
     }
 
-    /// Lets a request in, where the others that are heard let `unreported` more in if each did
-    /// as this one does.
+    /// Admits a request if there is room. `unreported` is the estimated number of requests that
+    /// live peers admitted but have not reported, if each admitted as many as this entry.
     ///
     /// # Errors
-    /// The time after which its caller is to come back, where there is no room.
+    /// The time after which the caller should retry, if there is no room.
     pub fn try_take(
         &mut self,
         now: Instant,
@@ -183,18 +184,21 @@
         Err(self.retry_after(now, missing / rate, share))
     }
 
-    /// The others let `added` in: some of the team's callers are there.
+    /// Records `added` requests that other entries admitted, for the distribution of the team's
+    /// callers.
     pub fn on_peer_admitted(&mut self, now: Instant, added: f64) {
         self.others.add(now, added.max(0.0));
     }
 
-    /// One of the others fell silent; since it was heard, this entry let `own` in.
+    /// Charges the estimated admissions of an entry that fell silent; this entry admitted `own`
+    /// requests since its last report.
     pub fn charge_silent(&mut self, now: Instant, share: FleetShare, own: u32) {
         let likely = f64::from(own) * self.spread(now, share);
         self.debit(likely);
     }
 
-    /// What each other entry lets in for each that this one does: 1 until it is known.
+    /// Returns the estimated admissions of each other entry per admission of this one; 1 until
+    /// it is measured.
     fn spread(&self, now: Instant, share: FleetShare) -> f64 {
         let others = (share.known - share.silent.min(share.known - 1) - 1) as f64;
         let own = self.own.value(now) + SPREAD_PRIOR;
@@ -206,19 +210,19 @@
         }
     }
 
-    /// Takes `added` out.
+    /// Removes `added` requests from the level.
     pub fn debit(&mut self, added: f64) {
         self.level = (self.level - added).max(-self.max_debt);
     }
 
-    /// What an entry may let in by itself that isn't heard for `period`.
+    /// Returns what a silent entry may admit on its own in `period`.
     pub fn entry_allowance(&self, share: FleetShare, period: Duration) -> f64 {
         let quota = self.quota;
         (quota.burst + quota.rate * period.as_secs_f64()) * share.entry_fraction()
     }
 
-    /// Others fell silent or are heard again. What those may let in that aren't heard is
-    /// set aside.
+    /// Adjusts the level when entries fall silent or report again: what silent entries may
+    /// admit is reserved.
     pub fn on_share_change(&mut self, now: Instant, before: FleetShare, share: FleetShare) {
         let (old, new) = (before.reachable_fraction(), share.reachable_fraction());
         if before.at.is_some() && new < old && self.level > 0.0 {
@@ -234,12 +238,12 @@
         self.level = filled.min(capacity(self.quota, share));
     }
 
-    /// When there is room in `after` seconds for one more than those who were told to come
-    /// back before.
+    /// Returns the retry delay for a request that has room in `after` seconds, queued behind
+    /// the callers that were refused before.
     fn retry_after(&mut self, now: Instant, after: f64, share: FleetShare) -> Duration {
         let free_at = now + seconds(after);
         let next_retry_at = self.next_retry_at.max(free_at);
-        // Each entry refuses its part of all callers.
+        // Each entry refuses its own part of all callers.
         self.next_retry_at =
             next_retry_at + seconds(1.0 / (self.quota.rate * share.entry_fraction()));
         let wait = next_retry_at.saturating_duration_since(now);
@@ -273,7 +277,7 @@
     quota.rate * MAX_DEBT_TIME.as_secs_f64() + bounds.tolerance(quota)
 }
 
-/// What a bucket holds at most: one request at least.
+/// Returns the capacity of a bucket: one request at least.
 fn capacity(quota: TeamQuota, share: FleetShare) -> f64 {
     (quota.burst * share.reachable_fraction()).max(1.0)
 }
--- a/crates/team/src/error.rs
+++ b/crates/team/src/error.rs
@@ -1,21 +1,21 @@
-//! What can be wrong with teams and keys.
+//! Errors of teams and keys.
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why something isn't a key's digest.
+    /// Why a text is not the digest of a key.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Error {
-        /// The text doesn't begin with the name of the hash.
+        /// The text lacks the prefix with the name of the hash.
         Scheme {
             display("a key's digest is written sha256: and 64 hexadecimal digits")
         }
-        /// The digits are too few, too many, or no digits.
+        /// The digest has the wrong number of digits, or other characters.
         Digits {
             display("a key's digest has 64 hexadecimal digits after sha256:")
         }
     }
 }
 
-/// What this crate's functions return.
+/// The result type of this crate.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/crates/team/src/fairness.rs
+++ b/crates/team/src/fairness.rs
@@ -1,10 +1,9 @@
-//! Who goes first where room is short: teams that ask for more than their part of what all
-//! ask for rank behind the others.
+//! Demotes teams that use more than their fair share of the requests when capacity is short.
 //!
-//! A team's part follows from its quota; one without a quota has as much as the mean of
-//! those that have one, or as all others where none has. The rank counts only while requests
-//! are refused for want of room: before that a queue is shorter than it need be for those who
-//! rank lower, and nobody has anything of it.
+//! A team's share is proportional to the rate of its quota. A team without a quota has the mean
+//! weight of those with one; if no team has a quota, all have the same weight. Requests are
+//! demoted only while others are refused for lack of capacity: otherwise demotion would shorten
+//! queues for some teams without a benefit for any.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -12,18 +11,18 @@
 
 use crate::spec::TeamSpec;
 
-/// Time over which requests are counted.
+/// Time constant of the decaying request counts.
 const DECAY_TIME: Duration = Duration::from_secs(2);
-/// Times its part from which on a team ranks one step, two, and three steps lower.
+/// Ratios of actual to fair share above which a team is demoted by one, two and three steps.
 const DEMOTION_RATIOS: [f64; 3] = [2.0, 3.0, 4.5];
-/// Share of the latest requests that were refused from which on teams rank.
+/// Fraction of recent requests that must have been refused before teams are demoted.
 const MIN_REFUSED_SHARE: f64 = 0.25;
-/// Requests below which nothing is said of parts.
+/// Number of recent requests below which shares are not evaluated.
 const MIN_REQUESTS: f64 = 20.0;
-/// Teams counted at most before those that no longer ask are forgotten.
+/// Number of tracked teams at which inactive ones are dropped.
 const MAX_TRACKED_TEAMS: usize = 4096;
 
-/// What each team asked this entry for lately.
+/// Recent requests of each team at this entry.
 #[derive(Debug, Default)]
 pub struct FairnessRanker {
     weights: HashMap<Rc<str>, f64>,
@@ -31,13 +30,13 @@
     requests: HashMap<Rc<str>, (Instant, f64)>,
     all: Option<(Instant, f64)>,
     refused: Option<(Instant, f64)>,
-    /// Weights of the teams that asked lately.
+    /// Total weight of the teams with recent requests.
     active_weight: f64,
     active_updated_at: Option<Instant>,
 }
 
 impl FairnessRanker {
-    /// Takes in the teams of a new desired state.
+    /// Replaces the teams after a change of settings.
     pub fn set_teams(&mut self, teams: &[TeamSpec]) {
         let rates = teams
             .iter()
@@ -52,7 +51,7 @@
         self.active_updated_at = None;
     }
 
-    /// A request of `team` arrived: by how many steps it ranks lower than its rank says.
+    /// Records a request of `team` and returns the number of steps by which it is demoted.
     pub fn on_request(&mut self, now: Instant, team: &str) -> u32 {
         let (all_at, all) = self.all.unwrap_or((now, 0.0));
         let all = decayed(now, all_at, all) + 1.0;
@@ -83,7 +82,7 @@
             .count() as u32
     }
 
-    /// A request found no room.
+    /// Records that a request was refused for lack of capacity.
     pub fn on_refused(&mut self, now: Instant) {
         let (at, count) = self.refused.unwrap_or((now, 0.0));
         self.refused = Some((now, decayed(now, at, count) + 1.0));
@@ -96,7 +95,7 @@
             .unwrap_or(self.default_weight)
     }
 
-    /// Sums up the weights of the teams that asked lately, now and then.
+    /// Updates the total weight of the active teams, at most ten times per decay time.
     fn update_active_weight(&mut self, now: Instant) {
         let is_recent = |at: Instant| now.saturating_duration_since(at) < DECAY_TIME;
         if self
--- a/crates/team/src/index.rs
+++ b/crates/team/src/index.rs
@@ -1,4 +1,4 @@
-//! The teams of one desired state, found by their keys.
+//! Looks up teams by their keys.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -6,7 +6,7 @@
 use crate::key::KeyDigest;
 use crate::spec::TeamSpec;
 
-/// Finds the team of a key.
+/// The teams of one version of the settings, indexed by key.
 #[derive(Debug, Default)]
 pub struct TeamIndex {
     by_key: HashMap<KeyDigest, Rc<TeamSpec>>,
@@ -15,8 +15,8 @@
 }
 
 impl TeamIndex {
-    /// Indexes `teams`. A key that two teams hold names neither of them: whose request it
-    /// is can't be told.
+    /// Indexes `teams`. A key that belongs to more than one team identifies none of them, since
+    /// the owner of a request would be ambiguous.
     pub fn new(teams: &[TeamSpec]) -> Self {
         let mut index = Self::default();
         for team in teams {
@@ -32,22 +32,22 @@
         index
     }
 
-    /// Whether no team is set: requests need no key then.
+    /// Whether there are no teams; requests then need no key.
     pub fn is_empty(&self) -> bool {
         self.teams.is_empty()
     }
 
-    /// The team that holds `key`.
+    /// Returns the team that owns `key`.
     pub fn find(&self, key: KeyDigest) -> Option<&Rc<TeamSpec>> {
         self.by_key.get(&key)
     }
 
-    /// All teams.
+    /// Returns all teams.
     pub fn teams(&self) -> &[Rc<TeamSpec>] {
         &self.teams
     }
 
-    /// Keys that more than one team holds.
+    /// Returns the keys that more than one team has.
     pub fn shared_keys(&self) -> &[KeyDigest] {
         &self.shared
     }
--- a/crates/team/src/key.rs
+++ b/crates/team/src/key.rs
@@ -1,4 +1,4 @@
-//! Keys, as digests.
+//! Digests of team keys.
 
 use std::fmt::{Debug, Display, Formatter};
 
@@ -7,27 +7,27 @@
 
 use crate::error::{Error, Result};
 
-/// How a digest begins in settings.
+/// Prefix of a digest in settings.
 const SCHEME: &str = "sha256:";
-/// Bytes of a digest that are shown, as in logs: enough to tell a team's keys apart.
+/// Number of digest bytes shown, for example in logs: enough to tell a team's keys apart.
 const SHOWN_BYTES: usize = 4;
 
-/// The digest of a key. What is compared, told to other entries and written in settings is
-/// this, never the key.
+/// The digest of a key. Only digests are compared, sent to other entries and written in
+/// settings, never keys.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// The digest of a key in the clear.
+    /// Hashes a key.
     pub fn of(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
     }
 
-    /// Reads a digest as settings write it.
+    /// Parses a digest in the format of settings.
     ///
     /// # Errors
-    /// Where the text is no digest.
+    /// If the text is not a digest.
     pub fn parse(text: &str) -> Result<Self> {
         let digits = text.strip_prefix(SCHEME).ok_or(Error::Scheme)?;
         let mut bytes = [0; 32];
@@ -42,13 +42,13 @@
         Ok(Self(bytes))
     }
 
-    /// The digest as settings write it.
+    /// Formats the digest for settings.
     pub fn to_text(self) -> String {
         format!("{SCHEME}{}", hex(&self.0))
     }
 }
 
-/// The beginning of the digest, which tells a team's keys apart.
+/// Shows the first bytes of the digest, enough to tell a team's keys apart.
 impl Display for KeyDigest {
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
         f.write_str(&hex(&self.0[..SHOWN_BYTES]))
--- a/crates/team/src/lib.rs
+++ b/crates/team/src/lib.rs
@@ -1,7 +1,7 @@
-//! Teams: whose request it is, what a team may ask for, and where it may be served.
+//! Teams: authentication by key, request quotas and allowed regions.
 //!
-//! Everything here is decision code: no sockets, clocks or threads. Keys are held as
-//! digests only, so that nothing that is stored, told or logged can be used as a key.
+//! This crate contains only decision logic: no sockets, clocks or threads. Keys are held as
+//! digests, so nothing that is stored, sent or logged can be used as a key.
 
 pub mod access;
 pub mod bucket;
--- a/crates/team/src/quota.rs
+++ b/crates/team/src/quota.rs
@@ -1,13 +1,14 @@
-//! Holds all entries together within what each team may ask for.
+//! Enforces team quotas across all entries.
 //!
-//! A team's requests are counted where they enter. Entries tell each other their counts, so
-//! that each keeps the level of one bucket for the whole fleet: it fills at the team's rate
-//! up to its burst, and every request that any entry lets in takes one out. What others let
-//! in and is not heard yet is reckoned by what this entry let in meanwhile.
+//! Requests are counted by the entry that admits them. Entries report their counts to each
+//! other, so that each maintains one token bucket per team for the whole fleet: the bucket
+//! fills at the team's rate up to its burst, and each request admitted by any entry removes a
+//! token. Admissions that peers have not reported yet are estimated by this entry's own.
 //!
-//! An entry that isn't heard may be cut off and go on. So each has a part that is always its
-//! own: the others leave it alone while they don't hear that entry, and an entry that hears
-//! nobody keeps to it. The parts add up to the whole, however the fleet is cut.
+//! A silent entry may be partitioned from the others and still admit requests. Each entry
+//! therefore has a fixed part of the quota: the others reserve it while the entry is silent,
+//! and an entry that hears no peer admits no more than its part. The parts add up to the whole
+//! quota, whichever way the fleet is partitioned.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -17,63 +18,64 @@
 use crate::bucket::{FleetShare, QuotaBounds, TeamBucket};
 use crate::spec::TeamSpec;
 
-/// An entry that wasn't heard for this long, or for so many times that others take between
-/// two words, is silent: its part is set aside. Until then it is taken to go on.
+/// An entry is silent after this time without a report, or after this many report intervals if
+/// that is longer; its part is then reserved. Until then it is assumed to continue as before.
 const SILENT_AFTER: Duration = Duration::from_millis(500);
 const SILENT_INTERVALS: f64 = 3.2;
-/// A silent entry is reckoned with for so long: it may be cut off and go on.
+/// Time for which the part of a silent entry is reserved, since it may be partitioned and still
+/// admit requests.
 const RESERVATION_TIME: Duration = Duration::from_secs(60);
-/// Entries that one which has met none of the others is taken to be among.
+/// Fleet size assumed by an entry that has not met any of its peers.
 const ASSUMED_FLEET_SIZE: usize = 8;
-/// A count that changed is told for this long: some of several words may get lost.
+/// Time for which a changed count is included in reports, so that it survives the loss of some.
 const REPORT_CHANGE_FOR: Duration = Duration::from_millis(1000);
 
 base::common! {
-    /// What an entry let in, as it tells others.
+    /// The requests admitted by an entry, as reported to its peers.
     #[derive(Eq, Default, PartialOrd, Ord)]
     pub struct QuotaReport {
-        /// One run of the entry's process.
+        /// Identifies one run of the entry's process.
         pub run: u64,
-        /// Milliseconds since it began to count.
+        /// Milliseconds since the run began to count.
         pub age: u64,
-        /// Tells apart sets of teams, in which places differ.
+        /// Hash of the set of teams, without which the indexes in `counts` have no meaning.
         pub teams: u32,
-        /// Whether it lets nothing in any more until it speaks again.
+        /// Whether the entry admits no more requests until its next report.
         pub stops: bool,
-        /// Requests let in since the start, of teams for which that changed lately, by their
-        /// places in the order of all teams' names.
+        /// Requests admitted since the start, for teams with recent changes. Each team is given
+        /// by its index in the sorted list of all team names.
         pub counts: Vec<(u32, u32)>,
     }
 }
 
-/// Names a team among all entries, whatever teams there are besides.
+/// Identifies a team at all entries, independently of which other teams exist.
 type TeamId = u64;
 
-/// The quotas of all teams.
+/// Limits the requests of all teams to their quotas.
 #[derive(Debug)]
 pub struct QuotaLimiter {
     bounds: QuotaBounds,
     run: u64,
-    /// All teams, by name.
+    /// All teams, sorted by name.
     teams: Vec<TeamId>,
     teams_hash: u32,
     buckets: HashMap<TeamId, TeamBucket>,
     tally: PeerTally<TeamId>,
     changed: HashMap<TeamId, Instant>,
-    /// The others that get requests, and since when they are listed.
+    /// The other entries in service, with the time since which they are listed.
     listed: HashMap<u64, Instant>,
     has_others: bool,
     silent_after: Duration,
-    /// Others that let nothing in until they speak again.
+    /// Other entries that admit nothing until their next report.
     stopped: HashSet<u64>,
-    /// The others that are silent.
+    /// Other entries that are silent.
     silent: HashSet<u64>,
     share: FleetShare,
 }
 
 impl QuotaLimiter {
-    /// A limiter of the run `run` of an entry that starts at `now`; `has_others` where there
-    /// are other entries, met or not.
+    /// Creates the limiter of an entry that starts at `now` with the run number `run`.
+    /// `has_others` tells whether other entries exist, met or not.
     pub fn new(now: Instant, bounds: QuotaBounds, run: u64, has_others: bool) -> Self {
         Self {
             bounds,
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Takes in the teams of a new desired state.
+    /// Replaces the teams after a change of settings.
     pub fn set_teams(&mut self, now: Instant, teams: &[TeamSpec]) {
         let mut names: Vec<&str> = teams.iter().map(|team| team.name.as_str()).collect();
         names.sort_unstable();
@@ -121,8 +123,8 @@
         self.buckets = buckets;
     }
 
-    /// Takes in which other entries get requests, and after what time each of them speaks
-    /// again.
+    /// Updates the list of other entries in service and the interval at which each of them
+    /// reports.
     pub fn set_entries(&mut self, now: Instant, entries: &[u64], report_interval: Duration) {
         self.silent_after = SILENT_AFTER.max(report_interval.mul_f64(SILENT_INTERVALS));
         self.tally.set_report_ttl(self.silent_after);
@@ -141,10 +143,10 @@
         self.refresh_share(now);
     }
 
-    /// Lets a request of the team `name` in.
+    /// Admits a request of the team `name`.
     ///
     /// # Errors
-    /// The time after which its caller is to come back, where the team asks for too much.
+    /// The time after which the caller should retry, if the team exceeds its quota.
     pub fn admit(&mut self, now: Instant, name: &str) -> Result<(), Duration> {
         let id = team_id(name);
         let share = self.share(now);
@@ -158,7 +160,7 @@
         Ok(())
     }
 
-    /// A request of the team `name` that was let in has not run and never will.
+    /// Refunds an admitted request of the team `name` that was not run and never will be.
     pub fn refund(&mut self, now: Instant, name: &str) {
         let id = team_id(name);
         if let Some(bucket) = self.buckets.get_mut(&id) {
@@ -168,7 +170,7 @@
         }
     }
 
-    /// What this entry let in, for the others. Call it several times a second while
+    /// Returns this entry's report to its peers. Call it several times a second while
     /// [`Self::has_changes`].
     pub fn report(&mut self, now: Instant) -> QuotaReport {
         self.refresh_share(now);
@@ -194,14 +196,15 @@
         !self.buckets.is_empty()
     }
 
-    /// Whether this entry let something in lately that the others may not have heard.
+    /// Whether this entry admitted requests recently that peers may not know of.
     pub fn has_changes(&self) -> bool {
         !self.changed.is_empty()
     }
 
-    /// Takes in what the entry `peer` let in.
+    /// Records a report of the entry `peer`.
     pub fn on_report(&mut self, now: Instant, peer: u64, report: &QuotaReport) {
-        // Places among other teams say nothing; counts add up, so that nothing is lost by it.
+        // Indexes into another set of teams have no meaning. Counts are totals, so a later
+        // report makes up for the skipped one.
         let teams = if report.teams == self.teams_hash {
             self.teams.as_slice()
         } else {
@@ -219,7 +222,7 @@
             let Some(bucket) = self.buckets.get_mut(&id) else {
                 continue;
             };
-            // What it let in of its own part was set aside.
+            // What the entry admitted from its own part was already reserved.
             let own = silent_for.map_or(0.0, |span| bucket.entry_allowance(share, span));
             let added = added as f64;
             bucket.on_peer_admitted(now, added);
@@ -236,7 +239,7 @@
         }
     }
 
-    /// Counts what those that have just fallen silent likely let in since they were heard.
+    /// Charges the estimated admissions of entries that have just fallen silent.
     fn charge_silent(&mut self, now: Instant, silent: &HashSet<u64>) {
         for peer in silent.difference(&self.silent) {
             for (id, own) in self.tally.own_since(*peer) {
@@ -255,8 +258,7 @@
         self.share
     }
 
-    /// Finds out which of the others are silent. Where there are more, their parts are set
-    /// aside.
+    /// Determines which entries are silent. If others became silent, their parts are reserved.
     fn refresh_share(&mut self, now: Instant) {
         let is_silent = |at: Instant| now.saturating_duration_since(at) >= self.silent_after;
         let (mut known, mut silent) = (1, HashSet::new());
@@ -294,7 +296,7 @@
 }
 
 impl QuotaReport {
-    /// The counts by the ids of `teams`, among which the word's places are.
+    /// Resolves the indexes of the report to the ids in `teams`.
     fn to_count_report(&self, teams: &[TeamId]) -> CountReport<TeamId> {
         let counts = self.counts.iter().filter_map(|(index, count)| {
             let id = teams.get(usize::try_from(*index).ok()?)?;
@@ -308,7 +310,7 @@
     }
 }
 
-/// FNV-1a of the team's name: the same at all entries.
+/// FNV-1a hash of the team's name, equal at all entries.
 fn team_id(name: &str) -> TeamId {
     let mut hash = 0xcbf2_9ce4_8422_2325_u64;
     for byte in name.bytes() {
--- a/crates/team/src/regions.rs
+++ b/crates/team/src/regions.rs
@@ -2,8 +2,8 @@
 
 use std::borrow::Cow;
 
-/// The regions that both a route and a team allow; empty where neither names any.
-/// `None` where no region is allowed by both.
+/// Returns the regions that both the route and the team allow; empty if neither restricts them.
+/// `None` if no region is allowed by both.
 pub fn allowed_regions<'a>(route: &'a [String], team: &'a [String]) -> Option<Cow<'a, [String]>> {
     if team.is_empty() {
         return Some(Cow::Borrowed(route));
--- a/crates/team/src/spec.rs
+++ b/crates/team/src/spec.rs
@@ -1,14 +1,14 @@
-//! What the operator sets for a team.
+//! Team settings.
 
 use crate::key::KeyDigest;
 
 base::common! {
-    /// How much a team may ask for, over all entries together.
+    /// The request quota of a team, over all entries together.
     #[derive(Copy)]
     pub struct TeamQuota {
-        /// Requests a second.
+        /// Requests per second.
         pub rate: f64,
-        /// Requests on top, at once.
+        /// Size of the burst, in requests.
         pub burst: f64,
     }
 
@@ -16,21 +16,21 @@
     pub struct TeamSpec {
         /// Its name.
         pub name: String,
-        /// Digests of its keys. A team without keys has no requests.
+        /// Digests of its keys. A team without keys can't send requests.
         pub keys: Vec<KeyDigest>,
-        /// Rank of its requests, which goes before that of their routes; 0 is the most
+        /// Priority of its requests, which overrides the priority of the route; 0 is the most
         /// urgent.
         pub priority: Option<u32>,
-        /// What it may ask for; `None` is unbounded.
+        /// Its quota; `None` is unlimited.
         pub quota: Option<TeamQuota>,
-        /// Regions that may serve it; empty allows all.
+        /// Regions that may serve its requests; empty allows all.
         pub home_regions: Vec<String>,
     }
 }
 
 impl TeamQuota {
-    /// A quota of `rate` requests a second and `burst` on top; a rate of 0, or one that is
-    /// no number, sets no bound.
+    /// Creates a quota of `rate` requests per second with a burst of `burst`. Returns `None`
+    /// (unlimited) if the rate is not a positive finite number.
     pub fn new(rate: f64, burst: f64) -> Option<Self> {
         let is_bound = rate > 0.0 && rate.is_finite();
         let burst = if burst.is_finite() {
--- a/crates/team/tests/access.rs
+++ b/crates/team/tests/access.rs
@@ -1,4 +1,4 @@
-//! Whose request it is, and whether it may enter.
+//! Access checks: which team a request belongs to, and whether it is admitted.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use team::prelude::{Access, AccessBounds, KeyClaim, KeyDigest, TeamIndex, TeamQuota, TeamSpec};
 use team::regions::allowed_regions;
 
-/// Fixed, so that each run gives the same verdict.
+/// Fixed, so that each run gives the same result.
 const SEED: u64 = 3;
 
 fn secs(seconds: u64) -> Duration {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Promise: a request is its key's team's, and nobody else's.
+/// A key identifies its own team and no other.
 #[test]
 fn a_key_names_its_team() {
     let index = TeamIndex::new(&[team("red", &["r1", "r2"]), team("blue", &["b1"])]);
@@ -58,7 +58,7 @@
     assert_eq!(decide(KeyClaim::Malformed), Access::Denied);
 }
 
-/// Promise: a key that two teams hold lets nobody in as either, and is named to operators.
+/// A key that belongs to two teams identifies neither and is reported to operators.
 #[test]
 fn a_key_of_two_teams_names_neither() {
     let teams = [
@@ -75,8 +75,8 @@
     assert!(twice.shared_keys().is_empty());
 }
 
-/// Promise: without teams nobody needs a key; public routes need none either, and a key
-/// there still names its team.
+/// Without teams no request needs a key. Public routes need none either, but a key sent there
+/// still identifies its team.
 #[test]
 fn who_needs_no_key() {
     let nobody = TeamIndex::new(&[]);
@@ -93,14 +93,14 @@
     );
     let named = at.decide(&index, claim("r1"), true, Some(secs(1)));
     assert_eq!(name_of(&named), Some("red"));
-    // Who it was can't be told any more.
+    // The settings are too old to identify the team.
     assert_eq!(
         at.decide(&index, claim("r1"), true, Some(secs(9))),
         Access::Open
     );
 }
 
-/// Promise: a key counts only while it is known that it held less than the bound ago.
+/// A key is accepted only on settings that are younger than the bound.
 #[test]
 fn stale_knowledge_serves_no_key() {
     let index = TeamIndex::new(&[team("red", &["r1"])]);
@@ -117,7 +117,7 @@
     assert_eq!(name_of(&served), Some("red"));
 }
 
-/// Promise: a key that may just have been added is not denied.
+/// A key that may have been added recently is not denied.
 #[test]
 fn an_unknown_key_is_denied_only_on_fresh_knowledge() {
     let index = TeamIndex::new(&[team("red", &["r1"])]);
@@ -127,11 +127,11 @@
     assert_eq!(decide(claim("new"), Some(secs(3))), Access::Unsure);
     assert_eq!(decide(KeyClaim::None, Some(secs(3))), Access::Unsure);
     assert_eq!(decide(claim("new"), None), Access::Unsure);
-    // What can't be read can't have been added.
+    // A malformed key can't have been added.
     assert_eq!(decide(KeyClaim::Malformed, None), Access::Denied);
 }
 
-/// Promise: regions of route and team bind together.
+/// The regions of route and team both apply.
 #[test]
 fn homes_of_route_and_team_bind() {
     let regions =
@@ -146,7 +146,7 @@
     assert_eq!(common(&["a"], &["c"]), None);
 }
 
-/// Promise: figures that bound nothing are no quota.
+/// Rates that are not positive finite numbers are no quota.
 #[test]
 fn a_rate_of_zero_bounds_nothing() {
     assert_eq!(TeamQuota::new(0.0, 5.0), None);
@@ -157,7 +157,7 @@
     assert!((quota.rate - 0.5).abs() < 1e-9 && quota.burst == 0.0);
 }
 
-/// Promise: what settings write as a digest is read as that, and all else is refused.
+/// Digests in settings are validated.
 #[test]
 fn digests_in_settings_are_checked() {
     let digest = KeyDigest::of(b"key");
@@ -171,8 +171,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(SEED), ..ProptestConfig::default() })]
 
-    /// Promise: nothing that is shown or stored of a key contains it, and a digest is not
-    /// itself a key.
+    /// No text form of a digest contains the key, and a digest can't be used as a key.
     #[test]
     fn a_key_is_never_shown(key in "[a-z0-9]{9,40}") {
         let digest = KeyDigest::of(key.as_bytes());
@@ -182,7 +181,7 @@
         prop_assert!(KeyDigest::of(digest.to_text().as_bytes()) != digest);
     }
 
-    /// Promise: no text breaks the reading of digests.
+    /// Parsing never panics on arbitrary text, and what it accepts round-trips.
     #[test]
     fn any_text_is_read_or_refused(text in any::<String>()) {
         if let Ok(digest) = KeyDigest::parse(&text) {
--- a/crates/team/tests/quota.rs
+++ b/crates/team/tests/quota.rs
@@ -1,4 +1,4 @@
-//! One entry's part in a team's quota.
+//! Team quotas at one entry.
 
 use std::time::{Duration, Instant};
 
@@ -25,7 +25,7 @@
     Duration::from_millis(millis)
 }
 
-/// A limiter that knows the team `red` and has run alone for a while.
+/// Returns a limiter that knows the team `red` and has run for a minute without peers.
 fn lone_limiter(rate: f64, burst: f64) -> (Instant, QuotaLimiter) {
     let start = Instant::now();
     let mut limiter = QuotaLimiter::new(start, BOUNDS, 1, false);
@@ -47,7 +47,7 @@
     limiter.on_report(now, peer, &report);
 }
 
-/// Promise: a team gets its burst and its rate, no more; teams without a quota get all.
+/// A team gets its burst and its rate, no more; teams without a quota are unlimited.
 #[test]
 fn a_quota_is_a_rate_and_a_burst() {
     let (now, mut limiter) = lone_limiter(10.0, 30.0);
@@ -56,8 +56,7 @@
     assert!((0..1000).all(|_| limiter.admit(now, "free").is_ok()));
 }
 
-/// Promise: a rate far below one request a second, and no burst, still let one in now and
-/// then.
+/// A rate far below one request per second without a burst still admits single requests.
 #[test]
 fn a_small_quota_is_not_none() {
     let (now, mut limiter) = lone_limiter(0.1, 0.0);
@@ -66,7 +65,7 @@
     assert_eq!(admitted(&mut limiter, now + ms(10_100), 5), 1);
 }
 
-/// Promise: what hasn't run doesn't count.
+/// Requests that did not run are refunded.
 #[test]
 fn what_has_not_run_is_given_back() {
     let (now, mut limiter) = lone_limiter(1.0, 2.0);
@@ -75,7 +74,7 @@
     assert_eq!(admitted(&mut limiter, now, 5), 1);
 }
 
-/// Promise: callers are told to come back when there is room, one after the other.
+/// Refused callers get increasing retry delays, one for each request that becomes available.
 #[test]
 fn refused_callers_come_back_one_after_the_other() {
     let (now, mut limiter) = lone_limiter(4.0, 4.0);
@@ -95,8 +94,7 @@
     }
 }
 
-/// Promise: an entry that starts among others doesn't take what they may have let in before
-/// for free.
+/// A starting entry must not admit the full burst again that its peers may have used up before.
 #[test]
 fn an_entry_that_starts_begins_with_little() {
     let start = Instant::now();
@@ -111,8 +109,8 @@
     assert!((1..=20).contains(&first), "{first}");
 }
 
-/// Promise: an entry that nobody hears keeps to its part; once it hears the others again it
-/// has all of the quota, less what they let in.
+/// An entry without reports from its peers keeps to its own part. Once they report again it has
+/// the whole quota, less what they admitted.
 #[test]
 fn a_silent_fleet_leaves_each_its_part() {
     let start = Instant::now();
@@ -129,7 +127,7 @@
     }
     now += ms(20_000);
     let lone_limiter = admitted(&mut limiter, now, 1000);
-    // A ninth of the burst, and a little for what it can't know.
+    // A ninth of the burst, and a little of the tolerance for unknown requests.
     assert!((10..=14).contains(&lone_limiter), "{lone_limiter}");
     now += ms(5000);
     for _ in 0..12 {
@@ -143,7 +141,7 @@
     assert!(together >= 90, "{together}");
 }
 
-/// Promise: an entry that says that it lets nothing in any more has no part set aside.
+/// No part is reserved for an entry that reported that it stops admitting requests.
 #[test]
 fn who_stands_by_takes_no_part() {
     let (mut now, mut limiter) = lone_limiter(100.0, 100.0);
@@ -159,8 +157,8 @@
     assert_eq!(admitted(&mut limiter, now, 1000), 100);
 }
 
-/// Promise: places among other teams are not taken for this entry's, and nothing is lost once
-/// both know the same teams.
+/// Indexes into another set of teams are ignored, and no count is lost once both entries know
+/// the same teams.
 #[test]
 fn counts_of_other_sets_of_teams_wait() {
     let start = Instant::now();
@@ -183,8 +181,8 @@
     assert!(admitted(&mut behind, now + REPORT_INTERVAL, 100) <= 2);
 }
 
-/// Promise: a hundred thousand teams cost a request no more than one does, and a word tells
-/// only of those that asked lately.
+/// With a hundred thousand teams, the cost of a request is the same as with one, and a report
+/// lists only teams with recent requests.
 #[test]
 fn many_teams_cost_only_those_that_ask() {
     let start = Instant::now();
