--- a/crates/rollout/src/controller/exclusions.rs
+++ b/crates/rollout/src/controller/exclusions.rs
@@ -1,23 +1,24 @@
-//! Which versions of a service get nothing.
+//! The versions of a service that currently get no requests.
 
 use std::time::Instant;
 
 use crate::order::{RolloutPhase, RolloutRecord};
 
-/// Versions that get nothing for now.
+/// Versions that currently get no requests.
 #[derive(Debug, Default)]
 pub(super) struct VersionExclusions {
-    /// By orders.
+    /// Versions excluded by orders.
     pub(super) barred: Vec<String>,
-    /// By orders, by the rollout that runs, and for being too new.
+    /// Those, the version whose rollout is running, and versions that are too new.
     pub(super) versions: Vec<String>,
-    /// When one of them stops to be too new.
+    /// When the first of the new versions stops being too new.
     pub(super) until: Option<Instant>,
 }
 
 impl VersionExclusions {
-    /// The gate of a service with the rollout `record`, in which the versions in `held` are
-    /// too new until then; `None` where nothing is ordered or kept out.
+    /// Computes the exclusions of a service with the rollout `record`. The versions in `held`
+    /// are too new until the given times. `None` if there is no rollout and no excluded
+    /// version.
     pub(super) fn new(
         record: Option<&RolloutRecord>,
         held: Vec<(String, Instant)>,
--- a/crates/rollout/src/controller/mod.rs
+++ b/crates/rollout/src/controller/mod.rs
@@ -1,5 +1,5 @@
-//! One entry's part in rollouts: which version a request runs on, what is counted, and when
-//! a rollout goes on to its next phase.
+//! The rollouts of one entry: chooses the version for each request, counts outcomes and decides
+//! when a rollout enters its next phase.
 
 mod exclusions;
 mod reports;
@@ -21,42 +21,42 @@
 
 pub use service::ServerCounts;
 
-/// An entry that heard nothing of the operator's rows for this long uses the old versions: a
-/// verdict may not reach it. Longer than a feed that is quiet stays open.
+/// Age of the operator's rows from which on an entry sends requests to the old versions only,
+/// since a rollback may not reach it. Longer than an idle feed stays open.
 const OPERATOR_STALE_AFTER: Duration = Duration::from_secs(4);
-/// An entry's word counts as its present for this long.
+/// Time for which a peer's last report is used.
 const REPORT_TTL: Duration = Duration::from_secs(2);
-/// Part of the exposure slack that entries use at once: more answers early on, where few
-/// requests come.
+/// Fraction of the exposure slack that all entries together may use at the start, so that
+/// services with few requests get early answers.
 const INITIAL_SLACK_FRACTION: f64 = 0.4;
-/// A version that was found bad is told to be so for this long.
+/// Time for which a verdict against a version is included in reports.
 const VERDICT_REPORT_TIME: Duration = Duration::from_secs(10);
 
-/// What the book must know of its entry and bounds.
+/// Settings of a [`RolloutController`].
 #[derive(Debug, Clone, Copy)]
 pub struct RolloutConfig {
-    /// Part of a service's requests that a bad version may get from order to deadline.
+    /// Fraction of a service's requests that a bad version may get between order and deadline.
     pub exposure_share: f64,
-    /// Requests that it may get besides.
+    /// Number of requests that a bad version may get in addition.
     pub exposure_slack: f64,
-    /// One run of the entry's process.
+    /// Identifies one run of the entry's process.
     pub run: u64,
 }
 
-/// What changed in a rollout, for the log.
+/// A change of a rollout's phase, for the log.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RolloutEvent {
     /// The service.
     pub service: String,
-    /// The version that was ordered.
+    /// The version of the order.
     pub version: String,
-    /// The phase from now on.
+    /// The new phase.
     pub phase: RolloutPhase,
-    /// What shows that the version is bad, where this entry found it.
+    /// The evidence against the version, if this entry found it.
     pub verdict: Option<BadVersion>,
 }
 
-/// The rollouts of all services, as one entry knows them.
+/// The rollouts of all services as known to one entry.
 #[derive(Debug)]
 pub struct RolloutController<S = CanarySchedule> {
     config: RolloutConfig,
@@ -66,17 +66,17 @@
     history: VersionHistory,
     tally: PeerTally<AnswerKey>,
     sends: SendTracker,
-    /// Entries that get requests, this one included.
+    /// Number of entries in service, including this one.
     entries: usize,
-    /// Whether this entry is one of them. Others hear no words.
+    /// Whether this entry is in service. Only such entries receive reports.
     is_listed: bool,
     events: Vec<RolloutEvent>,
-    /// Whether this entry found a version to be bad that the others haven't been told of.
+    /// Whether this entry found a version to be bad and has not yet reported it to the others.
     has_verdict: bool,
 }
 
 impl<S: ShareSchedule> RolloutController<S> {
-    /// A book that knows no rollout, at `now`.
+    /// Creates a controller without rollouts.
     pub fn new(now: Instant, config: RolloutConfig, schedule: S) -> Self {
         Self {
             config,
@@ -93,14 +93,14 @@
         }
     }
 
-    /// Sets how many entries get requests, and whether this one is among them.
+    /// Sets the number of entries in service, and whether this one is among them.
     pub fn set_entries(&mut self, entries: usize, is_listed: bool) {
         self.entries = entries.max(1);
         self.is_listed = is_listed;
     }
 
-    /// A server of `service` has `version`; `is_first` where no server was known before the
-    /// reading that tells so.
+    /// Records that a server of `service` runs `version`. `is_first` is set for servers in the
+    /// first list that this entry received.
     pub fn on_server(&mut self, now: Instant, service: &str, version: &str, is_first: bool) {
         self.history.on_server(now, service, version, is_first);
         if !self.history.held_versions(now, service).is_empty() {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// The operator ordered a rollout.
+    /// Records an operator's order for a rollout.
     pub fn on_order(&mut self, now: Instant, order: &RolloutOrder) {
         let known = self.rollouts.get(&order.service);
         if known.is_some_and(|known| known.record.order.revision >= order.revision) {
@@ -119,7 +119,8 @@
         self.replace(now, record, None, false);
     }
 
-    /// The operator took the order for `service` back.
+    /// Records that the operator withdrew the order for `service`: its rollout is rolled back
+    /// unless it has finished.
     pub fn on_withdrawn(&mut self, now: Instant, service: &str) {
         let is_open = |rollout: &&mut ServiceRollout| !rollout.record.phase.is_final();
         if let Some(rollout) = self.rollouts.get_mut(service).filter(is_open) {
@@ -129,8 +130,8 @@
         }
     }
 
-    /// Takes in a rollout as the store or another entry has it; `begun` is its start by this
-    /// entry's clock, `is_stored` whether the store is known to have it so.
+    /// Records a rollout from the store or another entry. `begun` is its start by this entry's
+    /// clock; `is_stored` tells whether the store is known to hold this record.
     pub fn on_record(
         &mut self,
         now: Instant,
@@ -156,31 +157,30 @@
         }
     }
 
-    /// The rollouts that are known, with their starts by this entry's clock.
+    /// Returns all known rollouts.
     pub fn records(&self) -> impl Iterator<Item = &RolloutRecord> {
         self.rollouts.values().map(|rollout| &rollout.record)
     }
 
-    /// The rollout of `service`.
+    /// Returns the rollout of `service`.
     pub fn record(&self, service: &str) -> Option<&RolloutRecord> {
         self.rollouts.get(service).map(|rollout| &rollout.record)
     }
 
-    /// Services with a rollout that isn't over or not yet in the store as it is known here.
+    /// Returns the services whose rollout is unfinished or not yet stored in its current state.
     pub fn open_services(&self) -> Vec<String> {
         let open = self.rollouts.iter();
         let open = open.filter(|(_, rollout)| rollout.is_open());
         open.map(|(service, _)| service.clone()).collect()
     }
 
-    /// Whether any rollout is open.
+    /// Whether any rollout is unfinished or not yet stored in its current state.
     pub fn is_active(&self) -> bool {
         self.rollouts.values().any(ServiceRollout::is_open)
     }
 
-    /// What a request of `service` should run on. `is_repeat` where it was sent to a server
-    /// before; `age` is that of what is known of the operator's rows, `None` where that can't
-    /// be told.
+    /// Chooses the versions for a request of `service`. `is_repeat` is set for a request that
+    /// was sent to a server before; `age` is the age of the operator's rows, `None` if unknown.
     pub fn choose(
         &mut self,
         now: Instant,
@@ -217,8 +217,9 @@
         }
     }
 
-    /// The filter for `choice`, and the one to try where that refuses the request, with
-    /// whether only where it finds no server at all.
+    /// Returns the filter for `choice` and a fallback for requests that it refuses. The
+    /// fallback's flag tells whether it applies only if the first filter finds no server at
+    /// all.
     pub fn filters(
         &self,
         service: &str,
@@ -244,15 +245,16 @@
         }
     }
 
-    /// A request that was to go to the new version of `service` went to another.
+    /// Records that a request meant for the new version of `service` was sent to another
+    /// version.
     pub fn on_diverted(&mut self, service: &str) {
         if let Some(rollout) = self.rollouts.get_mut(service) {
             rollout.limiter.refund();
         }
     }
 
-    /// A request goes to a server; the token that names it, and whether the new version runs
-    /// it, where a rollout of its service runs.
+    /// Records that a request is sent to a server. If a rollout of its service is running,
+    /// returns the token of the request and whether the new version runs it.
     pub fn on_sent(&mut self, now: Instant, send: &VersionSend<'_>) -> Option<(SendToken, bool)> {
         let rollout = self.rollouts.get_mut(send.service)?;
         if rollout.record.phase != RolloutPhase::Running {
@@ -263,7 +265,7 @@
         Some((self.sends.open(now, send, is_new), is_new))
     }
 
-    /// Takes in what became of a request.
+    /// Records the outcome of a request.
     pub fn on_outcome(&mut self, now: Instant, token: SendToken, outcome: SendOutcome) {
         if let Some(classified) = self.sends.close(now, token, outcome) {
             self.count(now, &classified);
@@ -271,7 +273,7 @@
         }
     }
 
-    /// Looks for requests that take too long. Call it several times a second while
+    /// Counts requests that are overdue as slow. Call it several times a second while
     /// [`Self::is_active`].
     pub fn review(&mut self, now: Instant) {
         for classified in self.sends.overdue(now) {
@@ -280,9 +282,9 @@
         }
     }
 
-    /// What the store should say of the rollout of `service`, as a lead that sees `servers` of
-    /// its servers finds; `None` where it says so or nothing changes. `store_now` is the time
-    /// by the store's clock.
+    /// Returns the record that the store should hold for `service`, given the `servers` that a
+    /// lead sees; `None` if nothing has to be written. `store_now` is the time of the store's
+    /// clock.
     pub fn next_record(
         &self,
         now: Instant,
@@ -295,7 +297,7 @@
             RolloutPhase::Ordered => RolloutPhase::Running,
             RolloutPhase::Running => {
                 match rollout.final_phase(now, servers, self.in_flight_on_old(now, rollout)) {
-                    // Others may know better.
+                    // The other entries may have found the version to be bad.
                     Some(RolloutPhase::Completed) if !self.hears_majority(now) => return None,
                     Some(phase) => phase,
                     None if rollout.is_stored => return None,
@@ -322,18 +324,18 @@
         Some(record)
     }
 
-    /// What changed since the last call, for the log.
+    /// Returns the phase changes since the last call, for the log.
     pub fn take_events(&mut self) -> Vec<RolloutEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Whether this entry found a version to be bad since the last call: the others are to be
-    /// told at once, since all of them send it requests until then.
+    /// Whether this entry found a version to be bad since the last call. The others must be
+    /// informed at once because they send it requests until then.
     pub fn take_verdict(&mut self) -> bool {
         std::mem::take(&mut self.has_verdict)
     }
 
-    /// The share of new requests that go to the version now, for operators.
+    /// Returns the share of new requests that the version gets now, for operators.
     pub fn share(&self, now: Instant, service: &str) -> f64 {
         let Some(rollout) = self.rollouts.get(service) else {
             return 0.0;
--- a/crates/rollout/src/controller/reports.rs
+++ b/crates/rollout/src/controller/reports.rs
@@ -1,4 +1,4 @@
-//! What an entry tells others of rollouts, and what it hears of them.
+//! Reports about rollouts: what an entry sends to its peers and receives from them.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -11,11 +11,11 @@
 use crate::report::{OrderReport, RolloutReport};
 use crate::schedule::ShareSchedule;
 
-/// Counts told of one rollout: a datagram holds no more.
+/// Maximum number of counts reported for one rollout, so that a report fits a datagram.
 const MAX_COUNTS: usize = 240;
 
 impl<S: ShareSchedule> RolloutController<S> {
-    /// What this entry counted, for the others; `None` where there is nothing to tell.
+    /// Returns this entry's report to its peers; `None` if there is nothing to report.
     pub fn report(&self, now: Instant) -> Option<RolloutReport> {
         let is_reported = |rollout: &&ServiceRollout| {
             let is_recent = |at| now.saturating_duration_since(at) < VERDICT_REPORT_TIME;
@@ -31,7 +31,7 @@
         })
     }
 
-    /// Takes in the word of the entry `peer`.
+    /// Records a report of the entry `peer`.
     pub fn on_report(&mut self, now: Instant, peer: u64, report: &RolloutReport) {
         let news = self.tally.on_report(now, peer, &report.to_count_report());
         let mut sums: BTreeMap<(u64, bool, u64), AnswerCounts> = BTreeMap::new();
@@ -47,8 +47,8 @@
             if rollout.record.order.revision != order.revision {
                 continue;
             }
-            // The map's order puts what the old versions did first: it is what the new one's
-            // answers are compared with.
+            // The map yields the counts of old versions first, which those of the new version
+            // are compared with.
             for ((revision, is_new, route), counts) in &sums {
                 if *revision == order.revision {
                     rollout.evidence.add(*route, *is_new, *counts);
@@ -76,7 +76,8 @@
         let counts = own.filter(|(key, _)| key.revision == order.revision);
         let counts = counts.map(|(key, count)| (key.route, key.is_new, key.kind, count));
         let mut counts: Vec<_> = counts.collect();
-        // Those of all routes first, then the largest: what is left out shows among all routes.
+        // Totals of all routes come first, then the largest counts. Truncated counts are still
+        // included in the totals.
         counts.sort_unstable_by_key(|(route, .., count)| (*route != ALL_ROUTES, Reverse(*count)));
         counts.truncate(MAX_COUNTS);
         OrderReport {
@@ -90,15 +91,17 @@
         }
     }
 
-    /// Whether at least half of the entries that get requests were heard lately. One that is cut
-    /// off from them, but not from the store, must not complete what they have rolled back.
+    /// Whether at least half of the entries in service reported recently. An entry that is
+    /// partitioned from them, but not from the store, must not complete a rollout that they
+    /// have rolled back.
     pub(super) fn hears_majority(&self, now: Instant) -> bool {
         let is_fresh = |at: Instant| now.saturating_duration_since(at) < REPORT_TTL;
         let heard = self.tally.peers().filter(|(_, at)| is_fresh(*at)).count();
         (heard + 1) * 2 >= self.entries
     }
 
-    /// Requests of all entries that are heard at servers of old versions.
+    /// Returns the number of requests in flight at old versions, over all entries with a recent
+    /// report.
     pub(super) fn in_flight_on_old(&self, now: Instant, rollout: &ServiceRollout) -> u32 {
         let heard = rollout.in_flight_on_old.values();
         let fresh = heard.filter(|(at, _)| now.saturating_duration_since(*at) < REPORT_TTL);
--- a/crates/rollout/src/controller/service.rs
+++ b/crates/rollout/src/controller/service.rs
@@ -1,4 +1,4 @@
-//! The rollout of one service: which stage it is in, and how it ends.
+//! The rollout of one service: its current stage and its final phase.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -8,58 +8,61 @@
 use crate::order::{RolloutPhase, RolloutRecord};
 use crate::schedule::{RolloutStage, ShareSchedule};
 
-/// Answers of the new version without which it gets no more than a part of the requests.
+/// Number of answers of the new version below which it gets only a share of the requests.
 const MIN_ANSWERS: u32 = 10;
-/// What it gets until then.
+/// The share that it gets until then.
 const UNPROVEN_SHARE: f64 = 0.25;
-/// Time after its start within which a rollout isn't completed even where nothing has to move.
+/// Minimum time before a rollout is completed, even if no old servers are left.
 const SETTLE_TIME: Duration = Duration::from_millis(800);
-/// Time before the end at which a rollout is completed: until then the version can still be
-/// rolled back under full load. Enough for two attempts at the store; less in short rollouts.
+/// Time before the deadline at which a rollout is completed. Until then the version can still
+/// be rolled back under full load. Allows two attempts at writing to the store; less in short
+/// rollouts.
 const COMPLETION_LEAD: Duration = Duration::from_millis(1500);
-/// Time before the end at which a rollout is completed though old versions still run some.
+/// Time before the deadline at which a rollout is completed even though old versions still run
+/// requests.
 const FORCED_COMPLETION_LEAD: Duration = Duration::from_millis(400);
-/// A rollout that isn't over for this long after its end will be rolled back: the leads had no
-/// store to say so in. Until then its completion may still be on the way.
+/// Time after its deadline from which on an unfinished rollout uses the old versions: it will be
+/// rolled back, which the leads could not write to the store. Until then its completion may still
+/// be on the way.
 const OVERDUE_AFTER: Duration = Duration::from_millis(2500);
-/// Weight of the newest request in the time that answers usually take.
+/// Weight of the newest request in the moving average of response times.
 const RESPONSE_TIME_WEIGHT: f64 = 0.03;
 
-/// What a lead sees of a service's servers that may get requests.
+/// Available servers of a service as seen by a lead.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ServerCounts {
-    /// Servers of the version that was ordered.
+    /// Servers of the version in the order.
     pub new: usize,
-    /// Servers of others.
+    /// Servers of other versions.
     pub old: usize,
 }
 
-/// A rollout as one entry knows it.
+/// A rollout as known to one entry.
 #[derive(Debug)]
 pub(super) struct ServiceRollout {
-    /// What the entries share.
+    /// The state shared by all entries.
     pub(super) record: RolloutRecord,
-    /// The record's start, by this entry's clock.
+    /// The start of the rollout by this entry's clock.
     pub(super) begun: Option<Instant>,
-    /// Whether the store holds what the record says.
+    /// Whether the store holds this record.
     pub(super) is_stored: bool,
-    /// How requests fare.
+    /// Outcomes of requests on both versions.
     pub(super) evidence: VersionEvidence,
-    /// What the new version may get from here.
+    /// Limits the requests that this entry sends to the new version.
     pub(super) limiter: ExposureLimiter,
-    /// Requests that other entries have at old versions.
+    /// Requests in flight at old versions, as reported by each peer.
     pub(super) in_flight_on_old: HashMap<u64, (Instant, u32)>,
-    /// What answers usually take, in seconds; 0 before any was expected.
+    /// Moving average of expected response times, in seconds; 0 before the first request.
     pub(super) response_time: f64,
-    /// When this entry heard of the order.
+    /// When this entry learned of the order.
     pub(super) learned_at: Instant,
-    /// When the version was found or told to be bad.
+    /// When the version was found or reported to be bad.
     pub(super) verdict_at: Option<Instant>,
 }
 
 impl ServiceRollout {
-    /// A rollout as `record` says, heard of at `now`; `bonus` requests may go to the version
-    /// beyond its share.
+    /// Creates the rollout of `record`, learned of at `now`. `bonus` requests may be sent to
+    /// the version in addition to its share.
     pub(super) fn new(now: Instant, record: RolloutRecord, bonus: f64) -> Self {
         Self {
             record,
@@ -74,18 +77,18 @@
         }
     }
 
-    /// Whether something is left to be done or written.
+    /// Whether the rollout is unfinished or not yet stored in its current state.
     pub(super) fn is_open(&self) -> bool {
         !self.record.phase.is_final() || !self.is_stored
     }
 
-    /// Goes on to `phase`, which the store doesn't say yet.
+    /// Enters `phase`, which is not stored yet.
     pub(super) fn set_phase(&mut self, phase: RolloutPhase) {
         self.record.phase = phase;
         self.is_stored = false;
     }
 
-    /// An answer is expected within `expected`.
+    /// Updates the moving average with the expected response time of a request.
     pub(super) fn update_response_time(&mut self, expected: Duration) {
         let expected = expected.as_secs_f64();
         let weight = if self.response_time > 0.0 {
@@ -96,7 +99,7 @@
         self.response_time += weight * (expected - self.response_time);
     }
 
-    /// Whether it should have ended long ago.
+    /// Whether its deadline passed long ago and no end of it is known.
     pub(super) fn is_overdue(&self, now: Instant) -> bool {
         self.elapsed(now) > self.record.order.duration + OVERDUE_AFTER
     }
@@ -106,8 +109,8 @@
         now.saturating_duration_since(begun)
     }
 
-    /// The stage now. Where this entry hears the others' counts, a version with too few
-    /// answers isn't trusted with everything.
+    /// Returns the current stage. If this entry receives its peers' counts, a version with too
+    /// few answers does not get all requests.
     pub(super) fn stage(
         &self,
         now: Instant,
@@ -124,7 +127,7 @@
         stage
     }
 
-    /// How the rollout ends, where it does now.
+    /// Returns the final phase if the rollout ends now.
     pub(super) fn final_phase(
         &self,
         now: Instant,
--- a/crates/rollout/src/detector.rs
+++ b/crates/rollout/src/detector.rs
@@ -1,45 +1,46 @@
-//! Finds out from a stream of outcomes that bad ones have become more frequent.
+//! Detects an increased rate of bad outcomes in a stream of outcomes.
 //!
-//! A cumulative sum of log-likelihood ratios, never below zero: what was good before doesn't
-//! hide that a version turned bad later.
+//! Uses the CUSUM method: a cumulative sum of log-likelihood ratios that never falls below
+//! zero, so that good outcomes early on don't hide a version that turns bad later.
 
-/// Sum at which a rate counts as risen, beside the logarithm of the number of outcomes: each
-/// further one is another occasion for a false alarm, while few of them must do where few
-/// requests come.
+/// Sum that raises an alarm, in addition to the logarithm of the number of outcomes. The
+/// logarithm compensates for the false alarms that each further outcome may cause, and lets a
+/// few outcomes suffice where a service has few requests.
 const ALARM_THRESHOLD: f64 = 4.5;
 
-/// Which rates a detector tells apart.
+/// The rates that a detector distinguishes.
 #[derive(Debug, Clone, Copy)]
 pub struct RateBounds {
-    /// Rate of bad outcomes that is always accepted.
+    /// Minimum of the acceptable rate of bad outcomes.
     pub acceptable: f64,
-    /// Least rate that has to be found.
+    /// Minimum of the unacceptable rate.
     pub unacceptable: f64,
-    /// The accepted rate as a multiple of the usual one.
+    /// The acceptable rate as a multiple of the baseline.
     pub acceptable_factor: f64,
-    /// The sought rate as a multiple of the accepted one.
+    /// The unacceptable rate as a multiple of the acceptable one.
     pub unacceptable_factor: f64,
 }
 
-/// Failures: any server fails now and then, a bad version on a noticeable part of requests.
+/// Bounds for failures: any server fails occasionally, a bad version on a noticeable fraction
+/// of requests.
 pub const FAILURE_BOUNDS: RateBounds = RateBounds {
     acceptable: 0.01,
     unacceptable: 0.12,
     acceptable_factor: 1.5,
     unacceptable_factor: 4.0,
 };
-/// Slow answers: queues and cold caches make some of any version's slow.
+/// Bounds for slow answers: queues and cold caches cause some for any version.
 pub const DELAY_BOUNDS: RateBounds = RateBounds {
     acceptable: 0.05,
     unacceptable: 0.3,
     acceptable_factor: 1.5,
     unacceptable_factor: 3.5,
 };
-/// Rates beyond these can't be told from certainty.
+/// Upper limits of both rates, beyond which they can't be distinguished from certainty.
 const MAX_ACCEPTABLE: f64 = 0.6;
 const MAX_UNACCEPTABLE: f64 = 0.95;
 
-/// Whether the rate of bad outcomes is above the usual one.
+/// Detects whether the rate of bad outcomes is above the baseline.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RateDetector {
     sum: f64,
@@ -47,8 +48,7 @@
 }
 
 impl RateDetector {
-    /// Takes in `good` and `bad` outcomes where `baseline` is the rate of bad ones on the old
-    /// version.
+    /// Adds outcomes; `baseline` is the rate of bad outcomes on the old version.
     pub fn on_outcomes(&mut self, bounds: &RateBounds, baseline: f64, good: u32, bad: u32) {
         let acceptable =
             (baseline * bounds.acceptable_factor).clamp(bounds.acceptable, MAX_ACCEPTABLE);
@@ -61,7 +61,7 @@
         self.sum += f64::from(bad) * bad_weight;
     }
 
-    /// Whether it is.
+    /// Whether the rate is unacceptable.
     pub fn has_alarm(&self) -> bool {
         self.sum >= ALARM_THRESHOLD + self.outcomes.max(1.0).ln()
     }
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -1,31 +1,31 @@
-//! How requests fare on the old and the new version of a service, over all entries.
+//! Outcomes of requests on the old and the new version of a service, over all entries.
 
 use std::collections::HashMap;
 
 use crate::detector::{DELAY_BOUNDS, FAILURE_BOUNDS, RateDetector};
 
-/// Stands for all routes of a service together: each alone may have too few requests.
+/// Stands for all routes of a service together, since a single route may have too few requests.
 pub const ALL_ROUTES: u64 = 0;
-/// Servers that must have given bad answers before the version is to blame, where there are
-/// as many: fewer may be faulty themselves.
+/// Number of servers with bad answers from which on the version is blamed, or all of its
+/// servers if there are fewer. With less, the servers themselves may be faulty.
 const MIN_BAD_SERVERS: u32 = 3;
-/// Answers of the old version that are taken to have been good before any came, so that the
-/// first bad ones don't count as usual.
+/// Good answers assumed for the old version at the start, so that its first bad answers don't
+/// result in a high baseline.
 const PRIOR_ANSWERS: f64 = 20.0;
 
 base::common! {
-    /// How a request fared.
+    /// The outcome of a request.
     #[derive(Copy, Eq, Hash, PartialOrd, Ord)]
     pub enum AnswerKind {
-        /// Answered in about the time that was expected.
+        /// Answered in about the expected time.
         Good,
-        /// Answered with a failure, or broken off by the server.
+        /// Answered with a failure, or the server broke the connection.
         Failed,
-        /// Answered several times later than expected, or not yet by then.
+        /// Answered several times later than expected, or not answered by then.
         Slow,
     }
 
-    /// What entries count for each other.
+    /// The key of a counter in reports between entries.
     #[derive(Copy, Eq, Hash, PartialOrd, Ord)]
     pub struct AnswerKey {
         /// Revision of the order.
@@ -34,36 +34,36 @@
         pub route: u64,
         /// Whether the new version ran the request.
         pub is_new: bool,
-        /// How it fared.
+        /// The outcome.
         pub kind: AnswerKind,
     }
 }
 
-/// Numbers of answers by how they fared.
+/// Number of answers by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AnswerCounts {
-    /// In time.
+    /// Answers in time.
     pub good: u32,
     /// Failures.
     pub failed: u32,
-    /// Slow ones.
+    /// Slow answers.
     pub slow: u32,
 }
 
-/// Sets of servers, by a few bits of their hashes.
+/// A set of servers as a bit mask; the bit is given by the server's hash.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ServerMask(pub u64);
 
-/// What speaks against a version, for the log.
+/// The evidence against a version, for the log.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BadVersion {
-    /// The route's hash; [`ALL_ROUTES`] where it shows over all.
+    /// Hash of the route's name, or [`ALL_ROUTES`].
     pub route: u64,
-    /// Whether answers failed; else they were slow.
+    /// Whether requests failed; otherwise they were slow.
     pub fails: bool,
-    /// The new version's answers there.
+    /// Answers of the new version on the route.
     pub new: AnswerCounts,
-    /// The old versions' answers there.
+    /// Answers of the old versions on the route.
     pub old: AnswerCounts,
 }
 
@@ -75,18 +75,18 @@
     delays: RateDetector,
 }
 
-/// What is known of a version in a rollout.
+/// The outcomes of a rollout.
 #[derive(Debug, Default)]
 pub struct VersionEvidence {
     routes: HashMap<u64, RouteEvidence>,
     /// Servers of the new version that answered.
     answered: ServerMask,
-    /// Those among them that gave bad answers.
+    /// Servers of the new version with bad answers.
     bad: ServerMask,
 }
 
 impl AnswerCounts {
-    /// Adds `count` answers that fared as `kind`.
+    /// Adds `count` answers of the given kind.
     pub fn add(&mut self, kind: AnswerKind, count: u32) {
         match kind {
             AnswerKind::Good => self.good += count,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// All answers.
+    /// Returns the number of all answers.
     pub fn total(&self) -> u32 {
         self.good + self.failed + self.slow
     }
@@ -117,7 +117,7 @@
 }
 
 impl VersionEvidence {
-    /// Adds what became known of the answers to requests on `route`.
+    /// Adds answers to requests on `route`.
     pub fn add(&mut self, route: u64, is_new: bool, counts: AnswerCounts) {
         let evidence = self.routes.entry(route).or_default();
         if !is_new {
@@ -138,24 +138,24 @@
             .on_outcomes(&DELAY_BOUNDS, old.rate(old.slow), counts.good, counts.slow);
     }
 
-    /// Adds servers of the new version that answered, and those that gave bad answers.
+    /// Adds servers of the new version that answered, and those with bad answers.
     pub fn add_servers(&mut self, answered: ServerMask, bad: ServerMask) {
         self.answered.0 |= answered.0;
         self.bad.0 |= bad.0;
     }
 
-    /// The servers of the new version that answered, and those that gave bad answers.
+    /// Returns the servers of the new version that answered, and those with bad answers.
     pub fn servers(&self) -> (ServerMask, ServerMask) {
         (self.answered, self.bad)
     }
 
-    /// Answers of the new version.
+    /// Returns the number of answers of the new version.
     pub fn answers(&self) -> u32 {
         let all = self.routes.get(&ALL_ROUTES);
         all.map_or(0, |evidence| evidence.new.total())
     }
 
-    /// What shows that the version is bad, if anything does.
+    /// Returns the evidence that the version is bad, if there is any.
     pub fn verdict(&self) -> Option<BadVersion> {
         if self.bad.count() < MIN_BAD_SERVERS.min(self.answered.count()) {
             return None;
--- a/crates/rollout/src/exposure.rs
+++ b/crates/rollout/src/exposure.rs
@@ -1,8 +1,10 @@
-//! Keeps the requests that a version gets to a share of all.
+//! Limits a version to a share of all requests.
 //!
-//! Each entry keeps to the share by itself, so that all of them together do, cut off or not.
+//! Each entry enforces the share independently, so it holds for the whole fleet even if entries
+//! are partitioned.
 
-/// Requests of the version that an entry may send at once after others had none.
+/// Maximum number of requests that an entry may send to the version at once after others went
+/// elsewhere.
 const BURST: f64 = 2.0;
 
 /// An entry's allowance of requests for a version.
@@ -12,18 +14,18 @@
 }
 
 impl ExposureLimiter {
-    /// A limiter that lets `bonus` requests pass beyond the share.
+    /// Creates a limiter that admits `bonus` requests in addition to the share.
     pub fn new(bonus: f64) -> Self {
         Self { allowance: bonus }
     }
 
-    /// Another request of the service came, of which `share` may go to the version; whether
-    /// this one may.
+    /// Takes one request from the allowance after adding the `share` of this one. Returns
+    /// whether the request may go to the version.
     pub fn try_take(&mut self, share: f64) -> bool {
         if self.allowance < BURST {
             self.allowance = (self.allowance + share).min(BURST);
         }
-        // Sums of shares fall short of whole numbers by rounding.
+        // The tolerance compensates for rounding in sums of shares.
         let is_allowed = self.allowance >= 1.0 - 1e-9;
         if is_allowed {
             self.allowance -= 1.0;
@@ -31,7 +33,7 @@
         is_allowed
     }
 
-    /// The request didn't go to the version after all.
+    /// Refunds a request that did not go to the version.
     pub fn refund(&mut self) {
         self.allowance += 1.0;
     }
--- a/crates/rollout/src/filter.rs
+++ b/crates/rollout/src/filter.rs
@@ -1,27 +1,27 @@
-//! Which versions of a service may run a request.
+//! Filters servers by the version that they run.
 
-/// What a request should run on.
+/// The versions that a request should run on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VersionChoice {
-    /// Nothing is ordered: any version that isn't kept out.
+    /// No rollout is running: any version that is not excluded.
     NoRollout,
-    /// The old versions; the new one only where none of them can be reached.
+    /// The old versions; the new one only if none of them is reachable.
     Old,
-    /// The new version, or an old one where that has no room.
+    /// The new version, or an old one if the new one has no capacity.
     New,
-    /// The new version alone: the others are about to end.
+    /// Only the new version, since servers of the old ones are about to terminate.
     NewOnly,
 }
 
-/// A filter on servers by their version.
+/// A filter on servers by version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum VersionFilter<'a> {
     /// All versions.
     #[default]
     Any,
-    /// This version alone.
+    /// Only this version.
     Only(&'a str),
-    /// All but these.
+    /// All versions except these.
     Except(&'a [String]),
 }
 
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,12 +1,12 @@
-//! Moves a service's traffic to servers of another version, and back where that version
-//! turns out to be bad.
+//! Progressive rollouts: moves a service's traffic to another version, and rolls back if that
+//! version turns out to be bad.
 //!
-//! An operator orders a version and a time ([`order`]). Every entry follows the same
-//! [`schedule`] and counts how requests fare on either version ([`evidence`]); entries tell
-//! each other their counts ([`report`]), so that each of them can judge for the whole fleet.
-//! [`controller`] is what one entry knows and does.
+//! An operator orders a version and a duration ([`order`]). Every entry follows the same
+//! [`schedule`] and counts outcomes of requests on both versions ([`evidence`]). Entries
+//! exchange their counts ([`report`]), so that each can judge the version for the whole fleet.
+//! The [`controller`] holds the state of one entry and makes its decisions.
 //!
-//! Everything here is decision code: no sockets, clocks, threads or randomness.
+//! This crate contains only decision logic: no sockets, clocks, threads or randomness.
 
 pub mod controller;
 pub mod detector;
--- a/crates/rollout/src/order.rs
+++ b/crates/rollout/src/order.rs
@@ -1,4 +1,4 @@
-//! What an operator orders, and what has become of it.
+//! Rollout orders and their state.
 
 use std::time::Duration;
 
@@ -8,45 +8,45 @@
     pub struct RolloutOrder {
         /// The service.
         pub service: String,
-        /// The version that is to get its traffic.
+        /// The version that replaces the current one.
         pub version: String,
-        /// Time within which it is to have all of it.
+        /// Time until it gets all requests.
         pub duration: Duration,
-        /// Rises with each order for the service.
+        /// Increases with each order for the service.
         pub revision: u64,
     }
 
-    /// How far a rollout is. A later phase replaces an earlier one of the same order.
+    /// The phase of a rollout. A later phase replaces an earlier one of the same order.
     #[derive(Copy, Eq, PartialOrd, Ord)]
     pub enum RolloutPhase {
-        /// Ordered; no entry uses the version yet.
+        /// Ordered; no entry sends requests to the version yet.
         Ordered,
-        /// Traffic moves to the version.
+        /// Traffic is moving to the version.
         Running,
-        /// The version gets nothing any more. What the store holds as completed goes before
-        /// an entry's own opinion, so this comes before [`Self::Completed`].
+        /// The version gets no requests any more. Ordered before [`Self::Completed`] because a
+        /// completion in the store overrides an entry's own decision.
         RolledBack,
-        /// The version has all traffic; servers of others may end at any moment.
+        /// The version gets all requests; servers of other versions may terminate at any time.
         Completed,
     }
 
-    /// A rollout as entries share it.
+    /// The state of a rollout, shared by all entries.
     #[derive(Eq)]
     pub struct RolloutRecord {
         /// The order.
         pub order: RolloutOrder,
-        /// How far it is.
+        /// Its phase.
         pub phase: RolloutPhase,
-        /// When it began to run, in milliseconds of the store's clock; 0 before.
+        /// Start of the rollout, in milliseconds of the store's clock; 0 before.
         pub begun: u64,
-        /// Versions of the service that get nothing, whatever becomes of this order: those
-        /// that were rolled back or replaced before.
+        /// Versions of the service that get no requests, whatever the result of this order:
+        /// those that were rolled back or replaced before.
         pub barred: Vec<String>,
     }
 }
 
 impl RolloutPhase {
-    /// The phase in one word, for logs and operators.
+    /// Returns the phase as a word, for logs and operators.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Ordered => "ordered",
@@ -56,14 +56,14 @@
         }
     }
 
-    /// Whether nothing follows.
+    /// Whether no other phase can follow.
     pub const fn is_final(self) -> bool {
         matches!(self, Self::RolledBack | Self::Completed)
     }
 }
 
 impl RolloutRecord {
-    /// A new order for a service whose rollout before it, if any, was `before`.
+    /// Creates the record of a new order; `before` is the previous rollout of the service.
     pub fn new(order: RolloutOrder, before: Option<&Self>) -> Self {
         let mut barred = before.map_or_else(Vec::new, Self::excluded_versions);
         let mut phase = RolloutPhase::Ordered;
@@ -71,7 +71,8 @@
             Some(before) if before.phase != RolloutPhase::Completed => {
                 barred.push(before.order.version.clone());
             }
-            // It has all traffic already, and its former versions may have ended.
+            // The version has all traffic already, and the servers of earlier ones may have
+            // terminated.
             Some(before) if before.order.version == order.version => phase = before.phase,
             _ => {}
         }
@@ -86,12 +87,12 @@
         }
     }
 
-    /// Whether `self` says more than `other` about the same service.
+    /// Whether `self` supersedes `other`, a record of the same service.
     pub fn is_newer(&self, other: &Self) -> bool {
         (self.order.revision, self.phase) > (other.order.revision, other.phase)
     }
 
-    /// Versions that get nothing by this record alone.
+    /// Returns the versions that get no requests by this record alone.
     pub fn excluded_versions(&self) -> Vec<String> {
         let mut versions = self.barred.clone();
         if self.phase == RolloutPhase::RolledBack || self.phase == RolloutPhase::Ordered {
--- a/crates/rollout/src/prelude.rs
+++ b/crates/rollout/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that almost every user of this crate needs.
+//! The most commonly used types of this crate.
 
 pub use crate::controller::{RolloutConfig, RolloutController, ServerCounts};
 pub use crate::filter::{VersionChoice, VersionFilter};
--- a/crates/rollout/src/report.rs
+++ b/crates/rollout/src/report.rs
@@ -1,4 +1,4 @@
-//! What entries tell each other of rollouts.
+//! Reports about rollouts that entries send to each other.
 
 use std::time::Duration;
 
@@ -7,39 +7,39 @@
 use crate::evidence::{AnswerKey, AnswerKind, ServerMask};
 
 base::common! {
-    /// One entry's counts in all rollouts that run.
+    /// Counts of one entry in all running rollouts.
     #[derive(Eq, Default)]
     pub struct RolloutReport {
-        /// One run of the entry's process.
+        /// Identifies one run of the entry's process.
         pub run: u64,
-        /// Milliseconds since it began to count.
+        /// Milliseconds since the run began to count.
         pub age: u64,
-        /// One for each rollout.
+        /// One report for each rollout.
         pub orders: Vec<OrderReport>,
     }
 
-    /// One entry's counts in a rollout.
+    /// Counts of one entry in one rollout.
     #[derive(Eq)]
     pub struct OrderReport {
-        /// The order's service.
+        /// The service of the order.
         pub service: String,
-        /// The order's revision.
+        /// The revision of the order.
         pub revision: u64,
         /// Whether the version was found to be bad.
         pub is_bad: bool,
-        /// Requests at servers of old versions.
+        /// Requests in flight at servers of old versions.
         pub in_flight_on_old: u32,
-        /// Servers of the new version that answered, by bits of their hashes.
+        /// Servers of the new version that answered, as a [`ServerMask`].
         pub seen: u64,
-        /// Those that gave bad answers.
+        /// Servers of the new version with bad answers, as a [`ServerMask`].
         pub bad: u64,
-        /// Answers: the route's hash, whether of the new version, how they fared, how many.
+        /// Answers: hash of the route's name, whether of the new version, outcome, count.
         pub counts: Vec<(u64, bool, AnswerKind, u32)>,
     }
 }
 
 impl RolloutReport {
-    /// All counts, as the tally takes them.
+    /// Converts all counts for the tally.
     pub(crate) fn to_count_report(&self) -> CountReport<AnswerKey> {
         let mut counts = Vec::new();
         for order in &self.orders {
@@ -62,7 +62,7 @@
 }
 
 impl OrderReport {
-    /// The servers of the new version that answered, and those that gave bad answers.
+    /// Returns the servers of the new version that answered, and those with bad answers.
     pub(crate) fn servers(&self) -> (ServerMask, ServerMask) {
         (ServerMask(self.seen), ServerMask(self.bad))
     }
--- a/crates/rollout/src/schedule.rs
+++ b/crates/rollout/src/schedule.rs
@@ -1,63 +1,64 @@
-//! How a service's traffic moves to a version over the time of a rollout.
+//! Schedules that move traffic to a version over the duration of a rollout.
 
 use std::time::Duration;
 
-/// What the new version gets at some time.
+/// What the new version gets at a point in time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum RolloutStage {
-    /// This part of all requests, 0 to 1.
+    /// This fraction of all requests, from 0 to 1.
     Share(f64),
-    /// All requests that it has room for.
+    /// All requests that it has capacity for.
     Preferred,
-    /// All requests; nothing goes to the old versions any more.
+    /// All requests; old versions get none any more.
     Exclusive,
 }
 
-/// How the share of a version grows while nothing speaks against it.
+/// How the share of a version grows unless it is found to be bad.
 pub trait ShareSchedule {
-    /// The stage at `elapsed` since the start of a rollout that is to take `duration`, of a
-    /// service whose answers usually take `response_time`.
+    /// Returns the stage at `elapsed` since the start of a rollout of length `duration`.
+    /// `response_time` is the usual response time of the service.
     fn stage(&self, elapsed: Duration, duration: Duration, response_time: Duration)
     -> RolloutStage;
 }
 
-/// Time before the end in which nothing goes to the old versions, so that what they run is
-/// answered before they end; less in short rollouts.
+/// Time before the deadline in which old versions get no requests, so that they finish those in
+/// flight before they terminate; less in short rollouts.
 const DRAIN_TIME: Duration = Duration::from_secs(3);
-/// The same as a part of the rollout's time at most.
+/// Maximum of that time as a fraction of the rollout's duration.
 const MAX_DRAIN_FRACTION: f64 = 0.2;
-/// Time for writing down that the rollout is completed, a failed attempt included.
+/// Time for writing the completion to the store, including one failed attempt.
 const STORE_WRITE_TIME: Duration = Duration::from_millis(500);
-/// Parts of the rollout's time that the steps before the end take, latest first. The wide one
-/// takes between these, as answers take long: what shows under load only must show in it.
+/// Fractions of the rollout's duration that the last stages take, latest first. The wide stage
+/// has a minimum and a maximum and depends on the response time: faults that occur only under
+/// load must show in it.
 const PREFERRED_FRACTION: f64 = 0.05;
 const WIDE_FRACTION: (f64, f64) = (0.06, 0.15);
 const NARROW_FRACTION: f64 = 0.1;
-/// Time of the wide step, as a multiple of what answers take: those that are slow have been
-/// noticed by then, and told.
+/// Duration of the wide stage as a multiple of the response time, enough for slow answers to be
+/// noticed and reported.
 const WIDE_RESPONSE_TIMES: f64 = 2.7;
-/// What the version gets in each step, as a multiple of the exposure that is allowed for a
-/// bad one. All steps before the preferred one together use less than half of it, so that a version
-/// that turns bad under full load can still be rolled back within the bound.
+/// The share of each stage as a multiple of the exposure that a bad version is allowed. All
+/// stages before the preferred one together use less than half of the exposure, so that a
+/// version that turns bad under full load can still be rolled back within the limit.
 const WIDE_FACTOR: f64 = 2.0;
 const NARROW_FACTOR: f64 = 0.8;
 const CANARY_FACTOR: f64 = 0.2;
 
-/// A small share for most of the time, everything shortly before the end: a version that
-/// turns bad at any moment has had little until then.
+/// Keeps the share small for most of the time and moves all traffic shortly before the
+/// deadline: a version that turns bad at any time has had few requests until then.
 #[derive(Debug, Clone, Copy)]
 pub struct CanarySchedule {
-    /// Part of all requests that a bad version may get over the whole time.
+    /// Fraction of all requests that a bad version may get over the whole rollout.
     exposure: f64,
 }
 
 impl CanarySchedule {
-    /// A schedule by which a bad version gets about `exposure` of all requests at most.
+    /// Creates a schedule by which a bad version gets at most about `exposure` of all requests.
     pub fn new(exposure: f64) -> Self {
         Self { exposure }
     }
 
-    /// Time before the end at which the old versions get their last request.
+    /// Returns the time before the deadline at which old versions get their last request.
     pub fn drain_time(duration: Duration) -> Duration {
         DRAIN_TIME.min(duration.mul_f64(MAX_DRAIN_FRACTION)) + STORE_WRITE_TIME.min(duration / 10)
     }
@@ -91,8 +92,8 @@
     }
 }
 
-/// Equal steps over the whole time. Kept for comparison: a version that turns bad late has
-/// had most of the traffic by then.
+/// Equal steps over the whole duration. Kept for comparison: by the time a version turns bad
+/// late, it has had most of the traffic.
 #[derive(Debug, Clone, Copy)]
 pub struct LinearSchedule {
     /// Number of steps.
--- a/crates/rollout/src/sends.rs
+++ b/crates/rollout/src/sends.rs
@@ -1,16 +1,17 @@
-//! Requests of a rollout that are at servers, and how they fare.
+//! Tracks requests in flight during rollouts and classifies their outcomes.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use crate::evidence::AnswerKind;
 
-/// An answer that takes this many times what was expected is slow.
+/// Multiple of the expected response time from which on an answer is slow.
 const SLOW_FACTOR: f64 = 2.2;
-/// Time beyond the expected one that is never slow: networks and schedulers take as much.
+/// Delay beyond the expected response time that never counts as slow, since networks and
+/// schedulers alone may cause it.
 const MIN_SLOW_DELAY: Duration = Duration::from_millis(150);
 
-/// A request that goes to a server.
+/// A request that is sent to a server.
 #[derive(Debug, Clone, Copy)]
 pub struct VersionSend<'a> {
     /// The service.
@@ -21,26 +22,26 @@
     pub route: u64,
     /// Hash of the server's run.
     pub server: u64,
-    /// Whether the server is cold, and slow for that.
+    /// Whether the server is cold, and therefore expected to be slow.
     pub is_cold: bool,
-    /// Time in which an answer is expected.
+    /// The expected response time.
     pub expected: Duration,
 }
 
-/// Names a request at a server until its outcome is known.
+/// Identifies a request in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct SendToken(pub(crate) u64);
 
-/// What became of a request at its server.
+/// The result of a request at its server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// A whole answer.
+    /// A complete answer.
     Answered,
-    /// A failure of the server's, or a connection that it broke off.
+    /// The server failed or broke the connection.
     Failed,
-    /// No answer before the end of the request's time.
+    /// No answer before the deadline of the request.
     TimedOut,
-    /// Nothing that speaks for or against the version: not run, or given up by the caller.
+    /// No evidence for or against the version: the request was not run, or its caller gave up.
     Inconclusive,
 }
 
@@ -55,7 +56,7 @@
     is_classified: bool,
 }
 
-/// How one request fared.
+/// A request with its classified outcome.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClassifiedSend {
     /// The service.
@@ -64,13 +65,13 @@
     pub route: u64,
     /// Hash of the server's run.
     pub server: u64,
-    /// Whether the new version ran it.
+    /// Whether the new version ran the request.
     pub is_new: bool,
-    /// How it fared.
+    /// The outcome.
     pub kind: AnswerKind,
 }
 
-/// The requests at servers.
+/// The requests in flight.
 #[derive(Debug, Default)]
 pub struct SendTracker {
     next: u64,
@@ -78,7 +79,7 @@
 }
 
 impl SendTracker {
-    /// A request goes to a server, of the new version where `is_new`.
+    /// Records that a request is sent to a server, of the new version if `is_new`.
     pub fn open(&mut self, now: Instant, send: &VersionSend<'_>, is_new: bool) -> SendToken {
         let slack = send.expected.mul_f64(SLOW_FACTOR - 1.0).max(MIN_SLOW_DELAY);
         let id = self.next;
@@ -98,7 +99,8 @@
         SendToken(id)
     }
 
-    /// Takes in what became of a request; how it fared, where that tells something new.
+    /// Records the result of a request. Returns its classification unless the result is no
+    /// evidence or the request was classified before.
     pub fn close(
         &mut self,
         now: Instant,
@@ -113,7 +115,7 @@
         let kind = match outcome {
             SendOutcome::Inconclusive => return None,
             SendOutcome::Failed => AnswerKind::Failed,
-            // A caller in a hurry says nothing of the version.
+            // The short deadline of a caller is no evidence against the version.
             SendOutcome::TimedOut if !is_slow => return None,
             SendOutcome::TimedOut => AnswerKind::Slow,
             SendOutcome::Answered if is_slow => AnswerKind::Slow,
@@ -122,8 +124,8 @@
         Some(send.classify(kind))
     }
 
-    /// Requests that have taken too long by now, each once: waiting for the answers of a slow
-    /// version would let it have more.
+    /// Classifies requests that are overdue as slow, each only once. Waiting for the answers of
+    /// a slow version would expose more requests to it.
     pub fn overdue(&mut self, now: Instant) -> Vec<ClassifiedSend> {
         let mut classified = Vec::new();
         for send in self.open.values_mut() {
@@ -136,7 +138,7 @@
         classified
     }
 
-    /// Requests of `service` at servers of its old versions.
+    /// Returns the number of requests of `service` in flight at its old versions.
     pub fn in_flight_on_old(&self, service: &str) -> u32 {
         let open = self.open.values();
         let old = open.filter(|send| !send.is_new && send.service == service);
--- a/crates/rollout/src/versions.rs
+++ b/crates/rollout/src/versions.rs
@@ -1,24 +1,24 @@
-//! The versions that a service's servers have had.
+//! The versions that the servers of each service have run.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-/// A version that appears beside others gets nothing for this long: the order for it may
-/// still be on its way, and until then it must not get more than a part of the traffic.
+/// Time for which a version that appears beside others gets no requests. Its order may still be
+/// on the way, and without an order it would get a full part of the traffic.
 const NEW_VERSION_HOLD: Duration = Duration::from_millis(1500);
 
-/// Versions of a service that are remembered.
+/// Maximum number of versions remembered for a service.
 const MAX_VERSIONS: usize = 64;
 
-/// When each version was seen first.
+/// When each version first appeared.
 #[derive(Debug, Default)]
 pub struct VersionHistory {
     services: HashMap<String, BTreeMap<String, Option<Instant>>>,
 }
 
 impl VersionHistory {
-    /// A server of `service` has `version`. `is_first` where nothing was known of any server
-    /// before: what is there then isn't new.
+    /// Records that a server of `service` runs `version`. `is_first` is set if no server was
+    /// known before; the versions found then are not new.
     pub fn on_server(&mut self, now: Instant, service: &str, version: &str, is_first: bool) {
         if !self.services.contains_key(service) {
             self.services.insert(service.to_owned(), BTreeMap::new());
@@ -37,8 +37,8 @@
         versions.insert(version.to_owned(), held_from);
     }
 
-    /// The versions of `service` that are too new to be used without an order, and until
-    /// when.
+    /// Returns the versions of `service` that are too new to be used without an order, each
+    /// with the time at which this ends.
     pub fn held_versions(&self, now: Instant, service: &str) -> Vec<(String, Instant)> {
         let versions = self.services.get(service).into_iter().flatten();
         let held_versions = versions.filter_map(|(version, held_from)| {
@@ -48,7 +48,7 @@
         held_versions.collect()
     }
 
-    /// All versions of `service` but `version`.
+    /// Returns all versions of `service` except `version`.
     pub fn others(&self, service: &str, version: &str) -> Vec<String> {
         let versions = self.services.get(service).into_iter().flatten();
         let names = versions.map(|(name, _)| name);
--- a/crates/rollout/tests/histories.rs
+++ b/crates/rollout/tests/histories.rs
@@ -1,5 +1,5 @@
-//! Rollouts of a whole fleet: good versions get all traffic in time, bad ones are rolled back
-//! before callers have seen much of them.
+//! Simulated rollouts of a whole fleet: good versions get all traffic in time, and bad ones are
+//! rolled back before callers have seen much of them.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use rollout::prelude::*;
 use rollout::schedule::LinearSchedule;
 
-/// Plays `history` with the schedule that entries use.
+/// Simulates `history` with the schedule that entries use.
 fn play(history: History) -> RolloutOutcome {
     play_rollout(history, CanarySchedule::new(EXPOSURE_SHARE))
 }
@@ -21,8 +21,8 @@
     Duration::from_secs_f64(seconds)
 }
 
-/// Promise: a good version has all traffic before the deadline, and nothing runs on an old
-/// server when these may end.
+/// A good version gets all traffic before the deadline, and no request is left at an old server
+/// when these may terminate.
 #[test]
 fn a_good_version_gets_all_traffic_in_time() {
     for (entries, rate, duration) in [
@@ -45,8 +45,8 @@
     }
 }
 
-/// Promise: a bad version is rolled back, has got no more than its exposure, and gets nothing
-/// later than the bound after its fiftieth bad answer, however and whenever it turns bad.
+/// A bad version is rolled back, gets no more requests than its exposure allows, and none later
+/// than the bound after its fiftieth bad answer, whichever way and whenever it turns bad.
 #[test]
 fn a_bad_version_stays_within_its_exposure() {
     let base = History::new(5);
@@ -129,8 +129,8 @@
     }
 }
 
-/// Promise: lost words, a restarted entry, and entries that are cut off don't keep a good
-/// version from its traffic.
+/// Lost reports, a restarted entry, partitioned entries and an unavailable store must not cause
+/// a good version to be rolled back.
 #[test]
 fn trouble_among_entries_is_no_verdict() {
     let base = History::new(9);
@@ -161,8 +161,8 @@
     }
 }
 
-/// The same late fault under equal steps: the version has had most of the traffic by then,
-/// which is why entries don't move traffic in such steps.
+/// With equal steps the version has had most of the traffic when the late fault occurs, which
+/// is why entries don't use such a schedule.
 #[test]
 fn equal_steps_expose_too_much() {
     let history = History {
@@ -203,8 +203,8 @@
     }
 }
 
-/// Bad answers that a version gives within its exposure, on average: with fewer than
-/// `ENOUGH` of them nobody can tell it from a good one in time.
+/// Returns the mean number of bad answers that a version gives within its exposure. With fewer
+/// than `ENOUGH` it can't be distinguished from a good one in time.
 fn shown(history: &History) -> f64 {
     let part = match history.fault {
         Fault::None => return 0.0,
@@ -215,8 +215,8 @@
     part * routes * requests
 }
 
-/// Whether a fault that shows late can be noticed before the exposure is used up: an answer is
-/// slow only after it was due, and all traffic goes to the version meanwhile.
+/// Whether a fault that occurs late can be detected before the exposure is used up: an answer
+/// is slow only after it was due, and the version gets all traffic until then.
 fn is_in_time(history: &History) -> bool {
     let is_late = history.fault_at > Duration::ZERO || history.under_load.is_some();
     let is_slow = matches!(history.fault, Fault::Slow(..));
@@ -227,7 +227,8 @@
 
 #[derive(Debug, Default)]
 struct Tally {
-    /// Bad versions that nobody can tell in time, and how many of them were.
+    /// Bad versions that can't be detected in time, and how many of them were rolled back
+    /// within their exposure.
     undecidable: (usize, usize),
     good: usize,
     false_verdicts: usize,
@@ -276,9 +277,9 @@
     tally
 }
 
-/// Promise: over drawn histories, no more than one good version in a hundred is rolled back,
-/// and no more than one bad one in fifty completed or let beyond its exposure. `HISTORIES`
-/// sets how many; 1,000 by hand.
+/// Over random histories, at most one good version in a hundred is rolled back, and at most one
+/// bad one in fifty is completed or exceeds its exposure. The environment variable `HISTORIES`
+/// sets the number of histories, for example 1,000 in manual runs.
 #[test]
 fn drawn_histories_end_as_they_should() {
     let count = std::env::var("HISTORIES")
--- a/crates/rollout/tests/parts.rs
+++ b/crates/rollout/tests/parts.rs
@@ -1,4 +1,4 @@
-//! The parts of a rollout, each for itself.
+//! The components of a rollout, tested separately.
 
 use std::time::{Duration, Instant};
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// The record of `order` in `phase`.
+/// Returns the record of `order` in `phase`.
 fn record(order: RolloutOrder, phase: RolloutPhase) -> RolloutRecord {
     RolloutRecord {
         phase,
@@ -43,7 +43,7 @@
     controller.filters("board", choice).0.allows(version)
 }
 
-/// Promise: over any run of requests the version gets its share, rounded down, and its bonus.
+/// For any number of requests the version gets its share, rounded down, and its bonus.
 #[test]
 fn an_entry_keeps_to_its_share() {
     for (share, bonus) in [(0.02, 0.0), (0.1, 1.7), (0.25, 4.0), (0.0, 0.4)] {
@@ -59,8 +59,9 @@
     }
 }
 
-/// Promise: a version that appears beside others gets nothing until an order for it had time
-/// to arrive; what is there at the start, and a service's first servers, are used at once.
+/// A version that appears beside others gets no requests until an order for it had time to
+/// arrive. Versions that are there at the start, and those of a service's first servers, are
+/// used at once.
 #[test]
 fn a_new_version_waits_for_its_order() {
     let now = Instant::now();
@@ -79,8 +80,8 @@
     assert_eq!(history.others("board", "v2"), ["v1"]);
 }
 
-/// Promise: a version is used by nobody before its rollout runs, and by nobody after it was
-/// rolled back, also once another version is ordered; an older word changes nothing.
+/// A version gets no requests before its rollout runs, and none after it was rolled back, even
+/// if another version is ordered. An outdated record changes nothing.
 #[test]
 fn what_was_rolled_back_stays_out() {
     let now = Instant::now();
@@ -114,7 +115,7 @@
     assert_eq!(again.barred, ["v3"]);
 }
 
-/// Promise: the store's word that a rollout is completed goes before an entry's own opinion.
+/// A completion in the store overrides an entry's own decision.
 #[test]
 fn completed_is_final() {
     let now = Instant::now();
@@ -148,8 +149,8 @@
     );
 }
 
-/// Promise: an entry that hears nothing of the operator's rows, and one at which a request
-/// failed before, keep to the old version.
+/// An entry without recent operator rows sends requests to the old version only, and so do
+/// retries of requests that failed.
 #[test]
 fn doubt_means_the_old_version() {
     let now = Instant::now();
@@ -177,8 +178,8 @@
     assert!(last.allows("v2") && only_without_servers);
 }
 
-/// Promise: one faulty server isn't the version's fault, nor are failures that the old version
-/// has as well.
+/// A version is not blamed for one faulty server, nor for failures that the old version has as
+/// well.
 #[test]
 fn a_faulty_server_is_no_verdict() {
     let bad = |count| AnswerCounts {
@@ -206,8 +207,8 @@
     assert!(evidence.verdict().is_none());
 }
 
-/// Promise: a request that takes far too long counts before it is answered, once; a caller who
-/// leaves or was in a hurry counts for nothing.
+/// An overdue request counts as slow before it is answered, and only once. Requests whose
+/// caller gave up or had a short deadline don't count.
 #[test]
 fn slow_answers_count_while_they_are_awaited() {
     let now = Instant::now();
@@ -251,7 +252,7 @@
     );
 }
 
-/// A rollout of 20 s that runs, at an entry among `entries` that get requests.
+/// Returns a controller with a running rollout of 20 s, with `entries` entries in service.
 fn running(now: Instant, entries: usize) -> RolloutController {
     let mut controller = controller(now);
     controller.set_entries(entries, true);
@@ -260,7 +261,7 @@
     controller
 }
 
-/// Answers of `version` on `route`, from twenty servers.
+/// Sends requests on `route` to twenty servers of `version` and answers them.
 fn answered(
     controller: &mut RolloutController,
     now: Instant,
@@ -296,8 +297,8 @@
     next.map(|record| record.phase)
 }
 
-/// Promise: an entry that hears fewer than half of the others completes nothing, though the
-/// store answers it: they may have found the version bad.
+/// An entry that hears fewer than half of the others completes no rollout, even if the store is
+/// reachable: they may have found the version to be bad.
 #[test]
 fn who_hears_nobody_completes_nothing() {
     let now = Instant::now();
@@ -313,7 +314,7 @@
     assert_eq!(next_phase(&controller, due), Some(RolloutPhase::Completed));
 }
 
-/// Promise: a verdict that another entry tells is taken at once, whatever was seen here.
+/// A verdict reported by another entry takes effect at once, whatever this entry observed.
 #[test]
 fn a_verdict_is_taken_from_others() {
     let now = Instant::now();
@@ -329,7 +330,7 @@
     );
 }
 
-/// Promise: after its end a rollout is completed no more, and its version is given up soon.
+/// A rollout is not completed after its deadline, and its version soon gets no more requests.
 #[test]
 fn nothing_is_completed_after_the_end() {
     let now = Instant::now();
@@ -354,7 +355,7 @@
     assert_eq!(late, VersionChoice::Old);
 }
 
-/// Promise: a version of which hardly any answer was seen doesn't get everything.
+/// A version with too few answers doesn't get all requests.
 #[test]
 fn an_unproven_version_gets_a_part() {
     let now = Instant::now();
@@ -371,7 +372,7 @@
     assert_eq!(choice, VersionChoice::NewOnly);
 }
 
-/// Promise: a version that fails on a route of few requests is found, though all of its answers
+/// A fault on a route with few requests is detected even though the answers of all routes
 /// together look good.
 #[test]
 fn a_fault_on_one_route_is_found() {
@@ -407,8 +408,8 @@
     }
 }
 
-/// Promise: a word fits a datagram however many routes a service has, with the counts of all
-/// routes in it.
+/// A report fits a datagram regardless of the number of routes, and includes the totals of all
+/// routes.
 #[test]
 fn a_word_stays_small() {
     let now = Instant::now();
