--- a/bin/lh-entry/src/rollout.rs
+++ b/bin/lh-entry/src/rollout.rs
@@ -210,7 +210,7 @@
     if !state.rollouts.book().is_active() {
         return;
     }
-    state.rollouts.change(|now, book| book.review(now));
+    state.rollouts.change(|now, book| book.check_overdue(now));
     let Some(word) = state.rollouts.book().report(Instant::now()) else {
         return;
     };
@@ -243,7 +243,7 @@
         if is_due {
             read_at = Instant::now();
         }
-        let services = state.rollouts.book().open_services();
+        let services = state.rollouts.book().unfinished_services();
         for service in services {
             if is_due || next_record(&state, &service).is_some() {
                 tend_one(&state, &service).await;
--- a/crates/emulate/src/rollout/world.rs
+++ b/crates/emulate/src/rollout/world.rs
@@ -252,7 +252,7 @@
             }
         }
         for book in &mut self.books {
-            book.review(now);
+            book.check_overdue(now);
         }
         if let Some((entry, when)) = self.history.restarted
             && at >= when
--- a/crates/once/tests/once.rs
+++ b/crates/once/tests/once.rs
@@ -158,7 +158,7 @@
 /// A record belongs to its owner: another caller with the same ticket and number learns nothing
 /// about it.
 #[test]
-fn a_record_is_its_owners() {
+fn records_are_private_to_their_owner() {
     let mut table = OnceTable::new(4);
     let now = Instant::now();
     let red = OnceKey { owner: 1, ..key(9) };
--- a/crates/rollout/src/controller/mod.rs
+++ b/crates/rollout/src/controller/mod.rs
@@ -99,10 +99,10 @@
         self.is_listed = is_listed;
     }
 
-    /// Records that a server of `service` runs `version`. `is_first` is set for servers in the
+    /// Records that a server of `service` runs `version`. `is_initial` is set for servers in the
     /// first list that this entry received.
-    pub fn on_server(&mut self, now: Instant, service: &str, version: &str, is_first: bool) {
-        self.history.on_server(now, service, version, is_first);
+    pub fn on_server(&mut self, now: Instant, service: &str, version: &str, is_initial: bool) {
+        self.history.on_server(now, service, version, is_initial);
         if !self.history.held_versions(now, service).is_empty() {
             self.refresh_exclusions(now, service);
         }
@@ -122,8 +122,8 @@
     /// Records that the operator withdrew the order for `service`: its rollout is rolled back
     /// unless it has finished.
     pub fn on_withdrawn(&mut self, now: Instant, service: &str) {
-        let is_open = |rollout: &&mut ServiceRollout| !rollout.record.phase.is_final();
-        if let Some(rollout) = self.rollouts.get_mut(service).filter(is_open) {
+        let is_unfinished = |rollout: &&mut ServiceRollout| !rollout.record.phase.is_final();
+        if let Some(rollout) = self.rollouts.get_mut(service).filter(is_unfinished) {
             rollout.set_phase(RolloutPhase::RolledBack);
             self.push_event(service, None);
             self.refresh_exclusions(now, service);
@@ -168,15 +168,15 @@
     }
 
     /// Returns the services whose rollout is unfinished or not yet stored in its current state.
-    pub fn open_services(&self) -> Vec<String> {
+    pub fn unfinished_services(&self) -> Vec<String> {
         let open = self.rollouts.iter();
-        let open = open.filter(|(_, rollout)| rollout.is_open());
+        let open = open.filter(|(_, rollout)| rollout.is_unfinished());
         open.map(|(service, _)| service.clone()).collect()
     }
 
     /// Whether any rollout is unfinished or not yet stored in its current state.
     pub fn is_active(&self) -> bool {
-        self.rollouts.values().any(ServiceRollout::is_open)
+        self.rollouts.values().any(ServiceRollout::is_unfinished)
     }
 
     /// Chooses the versions for a request of `service`. `is_repeat` is set for a request that
@@ -262,12 +262,12 @@
         }
         rollout.update_response_time(send.expected);
         let is_new = rollout.record.order.version == send.version;
-        Some((self.sends.open(now, send, is_new), is_new))
+        Some((self.sends.start(now, send, is_new), is_new))
     }
 
     /// Records the outcome of a request.
     pub fn on_outcome(&mut self, now: Instant, token: SendToken, outcome: SendOutcome) {
-        if let Some(classified) = self.sends.close(now, token, outcome) {
+        if let Some(classified) = self.sends.finish(now, token, outcome) {
             self.count(now, &classified);
             self.check_verdict(now, &classified.service);
         }
@@ -275,7 +275,7 @@
 
     /// Counts requests that are overdue as slow. Call it several times a second while
     /// [`Self::is_active`].
-    pub fn review(&mut self, now: Instant) {
+    pub fn check_overdue(&mut self, now: Instant) {
         for classified in self.sends.overdue(now) {
             self.count(now, &classified);
             self.check_verdict(now, &classified.service);
--- a/crates/rollout/src/controller/service.rs
+++ b/crates/rollout/src/controller/service.rs
@@ -1,4 +1,4 @@
-//! The rollout of one service: its current stage and its final phase.
+//! The rollout of one service: which stage it is in, and how it ends.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -37,14 +37,14 @@
     pub old: usize,
 }
 
-/// A rollout as known to one entry.
+/// A rollout as one entry knows it.
 #[derive(Debug)]
 pub(super) struct ServiceRollout {
-    /// The state shared by all entries.
+    /// What the entries share.
     pub(super) record: RolloutRecord,
-    /// The start of the rollout by this entry's clock.
+    /// The record's start, by this entry's clock.
     pub(super) begun: Option<Instant>,
-    /// Whether the store holds this record.
+    /// Whether the store holds what the record says.
     pub(super) is_stored: bool,
     /// Outcomes of requests on both versions.
     pub(super) evidence: VersionEvidence,
@@ -54,7 +54,7 @@
     pub(super) in_flight_on_old: HashMap<u64, (Instant, u32)>,
     /// Moving average of expected response times, in seconds; 0 before the first request.
     pub(super) response_time: f64,
-    /// When this entry learned of the order.
+    /// When this entry heard of the order.
     pub(super) learned_at: Instant,
     /// When the version was found or reported to be bad.
     pub(super) verdict_at: Option<Instant>,
@@ -78,7 +78,7 @@
     }
 
     /// Whether the rollout is unfinished or not yet stored in its current state.
-    pub(super) fn is_open(&self) -> bool {
+    pub(super) fn is_unfinished(&self) -> bool {
         !self.record.phase.is_final() || !self.is_stored
     }
 
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -160,7 +160,7 @@
         if self.bad.count() < MIN_BAD_SERVERS.min(self.answered.count()) {
             return None;
         }
-        let risen = |(route, evidence): (&u64, &RouteEvidence)| {
+        let find_bad = |(route, evidence): (&u64, &RouteEvidence)| {
             let fails = evidence.failures.has_alarm();
             (fails || evidence.delays.has_alarm()).then_some(BadVersion {
                 route: *route,
@@ -169,8 +169,8 @@
                 old: evidence.old,
             })
         };
-        let found = self.routes.iter().filter_map(risen);
-        found.max_by_key(|bad| bad.new.failed + bad.new.slow)
+        let candidates = self.routes.iter().filter_map(find_bad);
+        candidates.max_by_key(|bad| bad.new.failed + bad.new.slow)
     }
 }
 
--- a/crates/rollout/src/filter.rs
+++ b/crates/rollout/src/filter.rs
@@ -1,4 +1,4 @@
-//! Filters servers by the version that they run.
+//! Which versions of a service may run a request.
 
 /// The versions that a request should run on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -19,9 +19,9 @@
     /// All versions.
     #[default]
     Any,
-    /// Only this version.
+    /// This version alone.
     Only(&'a str),
-    /// All versions except these.
+    /// All but these.
     Except(&'a [String]),
 }
 
--- a/crates/rollout/src/order.rs
+++ b/crates/rollout/src/order.rs
@@ -63,17 +63,17 @@
 }
 
 impl RolloutRecord {
-    /// Creates the record of a new order; `before` is the previous rollout of the service.
-    pub fn new(order: RolloutOrder, before: Option<&Self>) -> Self {
-        let mut barred = before.map_or_else(Vec::new, Self::excluded_versions);
+    /// Creates the record of a new order; `previous` is the previous rollout of the service.
+    pub fn new(order: RolloutOrder, previous: Option<&Self>) -> Self {
+        let mut barred = previous.map_or_else(Vec::new, Self::excluded_versions);
         let mut phase = RolloutPhase::Ordered;
-        match before {
-            Some(before) if before.phase != RolloutPhase::Completed => {
-                barred.push(before.order.version.clone());
+        match previous {
+            Some(previous) if previous.phase != RolloutPhase::Completed => {
+                barred.push(previous.order.version.clone());
             }
             // The version has all traffic already, and the servers of earlier ones may have
             // terminated.
-            Some(before) if before.order.version == order.version => phase = before.phase,
+            Some(previous) if previous.order.version == order.version => phase = previous.phase,
             _ => {}
         }
         barred.sort_unstable();
--- a/crates/rollout/src/sends.rs
+++ b/crates/rollout/src/sends.rs
@@ -46,7 +46,7 @@
 }
 
 #[derive(Debug)]
-struct OpenSend {
+struct InFlightSend {
     service: String,
     route: u64,
     server: u64,
@@ -75,18 +75,18 @@
 #[derive(Debug, Default)]
 pub struct SendTracker {
     next: u64,
-    open: HashMap<u64, OpenSend>,
+    in_flight: HashMap<u64, InFlightSend>,
 }
 
 impl SendTracker {
     /// Records that a request is sent to a server, of the new version if `is_new`.
-    pub fn open(&mut self, now: Instant, send: &VersionSend<'_>, is_new: bool) -> SendToken {
+    pub fn start(&mut self, now: Instant, send: &VersionSend<'_>, is_new: bool) -> SendToken {
         let slack = send.expected.mul_f64(SLOW_FACTOR - 1.0).max(MIN_SLOW_DELAY);
         let id = self.next;
         self.next += 1;
-        self.open.insert(
+        self.in_flight.insert(
             id,
-            OpenSend {
+            InFlightSend {
                 service: send.service.to_owned(),
                 route: send.route,
                 server: send.server,
@@ -101,13 +101,13 @@
 
     /// Records the result of a request. Returns its classification unless the result is no
     /// evidence or the request was classified before.
-    pub fn close(
+    pub fn finish(
         &mut self,
         now: Instant,
         token: SendToken,
         outcome: SendOutcome,
     ) -> Option<ClassifiedSend> {
-        let send = self.open.remove(&token.0)?;
+        let send = self.in_flight.remove(&token.0)?;
         if send.is_classified {
             return None;
         }
@@ -128,7 +128,7 @@
     /// a slow version would expose more requests to it.
     pub fn overdue(&mut self, now: Instant) -> Vec<ClassifiedSend> {
         let mut classified = Vec::new();
-        for send in self.open.values_mut() {
+        for send in self.in_flight.values_mut() {
             if send.is_classified || send.is_cold || now < send.due {
                 continue;
             }
@@ -140,13 +140,13 @@
 
     /// Returns the number of requests of `service` in flight at its old versions.
     pub fn in_flight_on_old(&self, service: &str) -> u32 {
-        let open = self.open.values();
-        let old = open.filter(|send| !send.is_new && send.service == service);
+        let in_flight = self.in_flight.values();
+        let old = in_flight.filter(|send| !send.is_new && send.service == service);
         old.count() as u32
     }
 }
 
-impl OpenSend {
+impl InFlightSend {
     fn classify(&self, kind: AnswerKind) -> ClassifiedSend {
         ClassifiedSend {
             service: self.service.clone(),
--- a/crates/rollout/src/versions.rs
+++ b/crates/rollout/src/versions.rs
@@ -17,9 +17,9 @@
 }
 
 impl VersionHistory {
-    /// Records that a server of `service` runs `version`. `is_first` is set if no server was
+    /// Records that a server of `service` runs `version`. `is_initial` is set if no server was
     /// known before; the versions found then are not new.
-    pub fn on_server(&mut self, now: Instant, service: &str, version: &str, is_first: bool) {
+    pub fn on_server(&mut self, now: Instant, service: &str, version: &str, is_initial: bool) {
         if !self.services.contains_key(service) {
             self.services.insert(service.to_owned(), BTreeMap::new());
         }
@@ -33,7 +33,7 @@
             versions.pop_first();
         }
         let is_only_version = versions.is_empty();
-        let held_from = (!is_first && !is_only_version).then_some(now);
+        let held_from = (!is_initial && !is_only_version).then_some(now);
         versions.insert(version.to_owned(), held_from);
     }
 
--- a/crates/rollout/tests/histories.rs
+++ b/crates/rollout/tests/histories.rs
@@ -13,7 +13,7 @@
 use rollout::schedule::LinearSchedule;
 
 /// Simulates `history` with the schedule that entries use.
-fn play(history: History) -> RolloutOutcome {
+fn simulate(history: History) -> RolloutOutcome {
     play_rollout(history, CanarySchedule::new(EXPOSURE_SHARE))
 }
 
@@ -38,7 +38,7 @@
             duration: secs(duration),
             ..History::new(3)
         };
-        let outcome = play(history);
+        let outcome = simulate(history);
         assert_eq!(outcome.phase, Some(RolloutPhase::Completed), "{history:?}");
         assert!(outcome.ended.unwrap() <= history.duration, "{outcome:?}");
         assert_eq!(outcome.cut, 0, "{history:?}");
@@ -122,7 +122,7 @@
         },
     ];
     for history in cases {
-        let outcome = play(history);
+        let outcome = simulate(history);
         assert_eq!(outcome.phase, Some(RolloutPhase::RolledBack), "{history:?}");
         assert!(outcome.excess() <= 0.0, "{} {history:?}", outcome.excess());
         assert_eq!(outcome.late, 0, "{history:?}");
@@ -132,7 +132,7 @@
 /// Lost reports, a restarted entry, partitioned entries and an unavailable store must not cause
 /// a good version to be rolled back.
 #[test]
-fn trouble_among_entries_is_no_verdict() {
+fn faults_of_entries_cause_no_rollback() {
     let base = History::new(9);
     let cases = [
         History { loss: 0.3, ..base },
@@ -156,7 +156,7 @@
         },
     ];
     for history in cases {
-        let outcome = play(history);
+        let outcome = simulate(history);
         assert_eq!(outcome.phase, Some(RolloutPhase::Completed), "{history:?}");
     }
 }
@@ -172,11 +172,11 @@
     };
     let even = play_rollout(history, LinearSchedule { steps: 5 });
     assert!(even.excess() > 0.0, "{}", even.excess());
-    let late = play(history);
+    let late = simulate(history);
     assert!(late.excess() <= 0.0, "{}", late.excess());
 }
 
-fn drawn(seed: u64) -> History {
+fn random_history(seed: u64) -> History {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let duration = rng.random_range(10.0..40.0);
     let fault = match rng.random_range(0..4) {
@@ -204,8 +204,8 @@
 }
 
 /// Returns the mean number of bad answers that a version gives within its exposure. With fewer
-/// than `ENOUGH` it can't be distinguished from a good one in time.
-fn shown(history: &History) -> f64 {
+/// than `MIN_BAD_ANSWERS` it can't be distinguished from a good one in time.
+fn expected_bad_answers(history: &History) -> f64 {
     let part = match history.fault {
         Fault::None => return 0.0,
         Fault::Fails(part) | Fault::Slow(part, _) => part,
@@ -217,52 +217,52 @@
 
 /// Whether a fault that occurs late can be detected before the exposure is used up: an answer
 /// is slow only after it was due, and the version gets all traffic until then.
-fn is_in_time(history: &History) -> bool {
+fn is_detectable(history: &History) -> bool {
     let is_late = history.fault_at > Duration::ZERO || history.under_load.is_some();
     let is_slow = matches!(history.fault, Fault::Slow(..));
     !(is_late && is_slow) || history.duration > secs(20.0)
 }
 
-const ENOUGH: f64 = 25.0;
+const MIN_BAD_ANSWERS: f64 = 25.0;
 
 #[derive(Debug, Default)]
-struct Tally {
+struct Summary {
     /// Bad versions that can't be detected in time, and how many of them were rolled back
     /// within their exposure.
-    undecidable: (usize, usize),
+    undetectable: (usize, usize),
     good: usize,
     false_verdicts: usize,
     bad: usize,
     missed: usize,
-    over: usize,
+    over_exposed: usize,
     late: usize,
 }
 
-fn play_drawn(seeds: std::ops::Range<u64>) -> Tally {
-    let mut tally = Tally::default();
+fn simulate_random(seeds: std::ops::Range<u64>) -> Summary {
+    let mut summary = Summary::default();
     for seed in seeds {
-        let history = drawn(seed);
-        let outcome = play(history);
+        let history = random_history(seed);
+        let outcome = simulate(history);
         let answers = outcome.bad_answers.len();
         let is_good = history.fault == Fault::None;
         if is_good {
-            tally.good += 1;
+            summary.good += 1;
             if outcome.phase != Some(RolloutPhase::Completed) {
                 println!("good, {:?}: {history:?}", outcome.phase);
-                tally.false_verdicts += 1;
+                summary.false_verdicts += 1;
             }
             continue;
         }
-        if shown(&history) < ENOUGH || !is_in_time(&history) {
-            tally.undecidable.0 += 1;
+        if expected_bad_answers(&history) < MIN_BAD_ANSWERS || !is_detectable(&history) {
+            summary.undetectable.0 += 1;
             let is_rolled_back = outcome.phase == Some(RolloutPhase::RolledBack);
-            tally.undecidable.1 += usize::from(is_rolled_back && outcome.excess() <= 0.0);
+            summary.undetectable.1 += usize::from(is_rolled_back && outcome.excess() <= 0.0);
             continue;
         }
-        tally.bad += 1;
+        summary.bad += 1;
         if outcome.phase != Some(RolloutPhase::RolledBack) {
             println!("missed with {answers} bad answers: {history:?}");
-            tally.missed += 1;
+            summary.missed += 1;
         }
         if outcome.excess() > 0.0 {
             println!(
@@ -270,11 +270,11 @@
                 outcome.excess(),
                 outcome.all
             );
-            tally.over += 1;
+            summary.over_exposed += 1;
         }
-        tally.late += usize::from(outcome.late > 0);
+        summary.late += usize::from(outcome.late > 0);
     }
-    tally
+    summary
 }
 
 /// Over random histories, at most one good version in a hundred is rolled back, and at most one
@@ -285,10 +285,10 @@
     let count = std::env::var("HISTORIES")
         .ok()
         .and_then(|text| text.parse().ok());
-    let tally = play_drawn(0..count.unwrap_or(60));
-    println!("{tally:?}");
-    assert!(tally.false_verdicts * 100 <= tally.good, "{tally:?}");
-    assert!(tally.missed * 50 <= tally.bad, "{tally:?}");
-    assert!(tally.over * 50 <= tally.bad, "{tally:?}");
-    assert_eq!(tally.late, 0);
+    let summary = simulate_random(0..count.unwrap_or(60));
+    println!("{summary:?}");
+    assert!(summary.false_verdicts * 100 <= summary.good, "{summary:?}");
+    assert!(summary.missed * 50 <= summary.bad, "{summary:?}");
+    assert!(summary.over_exposed * 50 <= summary.bad, "{summary:?}");
+    assert_eq!(summary.late, 0);
 }
--- a/crates/rollout/tests/parts.rs
+++ b/crates/rollout/tests/parts.rs
@@ -83,7 +83,7 @@
 /// A version gets no requests before its rollout runs, and none after it was rolled back, even
 /// if another version is ordered. An outdated record changes nothing.
 #[test]
-fn what_was_rolled_back_stays_out() {
+fn a_rolled_back_version_stays_excluded() {
     let now = Instant::now();
     let mut controller = controller(now);
     controller.on_order(now, &order("v2", 5));
@@ -117,7 +117,7 @@
 
 /// A completion in the store overrides an entry's own decision.
 #[test]
-fn completed_is_final() {
+fn a_stored_completion_is_final() {
     let now = Instant::now();
     let mut controller = controller(now);
     controller.on_record(
@@ -152,7 +152,7 @@
 /// An entry without recent operator rows sends requests to the old version only, and so do
 /// retries of requests that failed.
 #[test]
-fn doubt_means_the_old_version() {
+fn stale_settings_and_retries_use_the_old_version() {
     let now = Instant::now();
     let mut controller = controller(now);
     controller.on_record(
@@ -181,7 +181,7 @@
 /// A version is not blamed for one faulty server, nor for failures that the old version has as
 /// well.
 #[test]
-fn a_faulty_server_is_no_verdict() {
+fn a_faulty_server_is_not_blamed_on_the_version() {
     let bad = |count| AnswerCounts {
         failed: count,
         ..AnswerCounts::default()
@@ -210,7 +210,7 @@
 /// An overdue request counts as slow before it is answered, and only once. Requests whose
 /// caller gave up or had a short deadline don't count.
 #[test]
-fn slow_answers_count_while_they_are_awaited() {
+fn overdue_requests_count_as_slow() {
     let now = Instant::now();
     let mut controller = controller(now);
     controller.on_record(
@@ -240,12 +240,12 @@
     for server in 0..20 {
         controller.on_sent(now, &send(server)).unwrap();
     }
-    controller.review(now + ms(800));
+    controller.check_overdue(now + ms(800));
     assert_eq!(
         controller.record("board").unwrap().phase,
         RolloutPhase::Running
     );
-    controller.review(now + ms(900));
+    controller.check_overdue(now + ms(900));
     assert_eq!(
         controller.record("board").unwrap().phase,
         RolloutPhase::RolledBack
@@ -300,7 +300,7 @@
 /// An entry that hears fewer than half of the others completes no rollout, even if the store is
 /// reachable: they may have found the version to be bad.
 #[test]
-fn who_hears_nobody_completes_nothing() {
+fn an_isolated_entry_completes_no_rollout() {
     let now = Instant::now();
     let mut controller = running(now, 8);
     answered(&mut controller, now, "v2", 3, false);
@@ -316,7 +316,7 @@
 
 /// A verdict reported by another entry takes effect at once, whatever this entry observed.
 #[test]
-fn a_verdict_is_taken_from_others() {
+fn a_reported_verdict_takes_effect() {
     let now = Instant::now();
     let (mut controller, mut other) = (running(now, 8), running(now, 8));
     answered(&mut other, now, "v2", 3, true);
@@ -357,7 +357,7 @@
 
 /// A version with too few answers doesn't get all requests.
 #[test]
-fn an_unproven_version_gets_a_part() {
+fn an_unproven_version_gets_a_share() {
     let now = Instant::now();
     let mut controller = running(now, 1);
     let late = now + ms(18_000);
@@ -411,7 +411,7 @@
 /// A report fits a datagram regardless of the number of routes, and includes the totals of all
 /// routes.
 #[test]
-fn a_word_stays_small() {
+fn a_report_fits_a_datagram() {
     let now = Instant::now();
     let mut controller = running(now, 8);
     for route in 1..=3000 {
--- a/crates/tally/tests/tally.rs
+++ b/crates/tally/tests/tally.rs
@@ -21,7 +21,7 @@
 /// Counts from before the first report are no increments, later ones are, and a later run
 /// starts from 0.
 #[test]
-fn only_news_is_news() {
+fn only_increments_are_counted() {
     let start = Instant::now();
     let now = start + Duration::from_secs(2);
     let mut tally = PeerTally::new(REPORT_TTL).with_start(start);
@@ -52,7 +52,7 @@
 
 /// A peer that was dropped and reports again must not be counted twice.
 #[test]
-fn who_comes_back_is_not_counted_twice() {
+fn a_returning_peer_is_not_counted_twice() {
     let start = Instant::now();
     let mut tally = PeerTally::new(REPORT_TTL).with_start(start);
     let early = start + Duration::from_secs(3);
@@ -75,7 +75,7 @@
 
 /// Until a peer reports or expires, its unreported count is estimated by this entry's own.
 #[test]
-fn the_unheard_is_reckoned() {
+fn unreported_counts_are_estimated() {
     let start = Instant::now();
     let at = |millis| start + Duration::from_millis(millis);
     let mut tally = PeerTally::new(REPORT_TTL).with_start(start);
@@ -98,17 +98,17 @@
 
     /// Whichever reports get lost, the next one that arrives brings the sum up to date.
     #[test]
-    fn lost_words_lose_no_count(steps in proptest::collection::vec((0..4_u32, any::<bool>()), 1..60)) {
+    fn lost_reports_lose_no_count(steps in proptest::collection::vec((0..4_u32, any::<bool>()), 1..60)) {
         let start = Instant::now();
         let mut tally = PeerTally::new(REPORT_TTL).with_start(start);
-        let (mut total, mut heard) = (0, 0);
+        let (mut total, mut reported) = (0, 0);
         for (turn, (added, arrives)) in steps.iter().enumerate() {
             total += added;
             let now = start + Duration::from_millis(100 * (turn as u64 + 1));
             if *arrives {
                 let deltas = tally.on_report(now, 1, &report(1, 50, &[(0, total)]));
-                heard += deltas.iter().map(|(_, added)| added).sum::<i64>();
-                prop_assert_eq!(heard, i64::from(total));
+                reported += deltas.iter().map(|(_, added)| added).sum::<i64>();
+                prop_assert_eq!(reported, i64::from(total));
             }
         }
     }
--- a/crates/team/src/bucket.rs
+++ b/crates/team/src/bucket.rs
@@ -38,7 +38,7 @@
 pub struct FleetShare {
     at: Option<Instant>,
     silent: usize,
-    known: usize,
+    entries: usize,
 }
 
 /// The token bucket of a team.
@@ -83,7 +83,7 @@
         Self {
             at: None,
             silent: 0,
-            known: 1,
+            entries: 1,
         }
     }
 }
@@ -92,12 +92,12 @@
     /// Time between two refreshes of the share.
     pub const REFRESH_INTERVAL: Duration = Duration::from_millis(50);
 
-    /// As of `now`, `silent` of the `known` entries (including this one) are silent.
-    pub fn new(now: Instant, silent: usize, known: usize) -> Self {
+    /// As of `now`, `silent` of the `entries` entries (including this one) are silent.
+    pub fn new(now: Instant, silent: usize, entries: usize) -> Self {
         Self {
             at: Some(now),
             silent,
-            known: known.max(1),
+            entries: entries.max(1),
         }
     }
 
@@ -109,11 +109,11 @@
 
     /// Fraction of a quota that is available to the entries that hear each other.
     fn reachable_fraction(&self) -> f64 {
-        (self.known - self.silent.min(self.known - 1)) as f64 / self.known as f64
+        (self.entries - self.silent.min(self.entries - 1)) as f64 / self.entries as f64
     }
 
     fn entry_fraction(&self) -> f64 {
-        1.0 / self.known as f64
+        1.0 / self.entries as f64
     }
 }
 
@@ -200,11 +200,11 @@
     /// Returns the estimated admissions of each other entry per admission of this one; 1 until
     /// it is measured.
     fn spread(&self, now: Instant, share: FleetShare) -> f64 {
-        let others = (share.known - share.silent.min(share.known - 1) - 1) as f64;
+        let others = (share.entries - share.silent.min(share.entries - 1) - 1) as f64;
         let own = self.own.value(now) + SPREAD_PRIOR;
-        let heard = self.others.value(now) + SPREAD_PRIOR * others;
+        let measured = self.others.value(now) + SPREAD_PRIOR * others;
         if others > 0.0 {
-            heard / (own * others)
+            measured / (own * others)
         } else {
             0.0
         }
@@ -223,10 +223,10 @@
 
     /// Adjusts the level when entries fall silent or report again: what silent entries may
     /// admit is reserved.
-    pub fn on_share_change(&mut self, now: Instant, before: FleetShare, share: FleetShare) {
-        let (old, new) = (before.reachable_fraction(), share.reachable_fraction());
-        if before.at.is_some() && new < old && self.level > 0.0 {
-            self.refill(now, before);
+    pub fn on_share_change(&mut self, now: Instant, previous: FleetShare, share: FleetShare) {
+        let (old, new) = (previous.reachable_fraction(), share.reachable_fraction());
+        if previous.at.is_some() && new < old && self.level > 0.0 {
+            self.refill(now, previous);
             self.level *= new / old;
         }
     }
--- a/crates/team/tests/access.rs
+++ b/crates/team/tests/access.rs
@@ -78,12 +78,12 @@
 /// Without teams no request needs a key. Public routes need none either, but a key sent there
 /// still identifies its team.
 #[test]
-fn who_needs_no_key() {
-    let nobody = TeamIndex::new(&[]);
+fn requests_that_need_no_key() {
+    let no_teams = TeamIndex::new(&[]);
     let index = TeamIndex::new(&[team("red", &["r1"]), team("empty", &[])]);
     let at = bounds(Some(secs(5)));
     assert_eq!(
-        at.decide(&nobody, KeyClaim::None, false, None),
+        at.decide(&no_teams, KeyClaim::None, false, None),
         Access::Open
     );
     assert_eq!(at.decide(&index, KeyClaim::None, true, None), Access::Open);
@@ -133,11 +133,11 @@
 
 /// The regions of route and team both apply.
 #[test]
-fn homes_of_route_and_team_bind() {
+fn regions_of_route_and_team_both_apply() {
     let regions =
         |names: &[&str]| -> Vec<String> { names.iter().map(|name| (*name).to_owned()).collect() };
     let common = |route: &[&str], team: &[&str]| {
-        allowed_regions(&regions(route), &regions(team)).map(|homes| homes.into_owned())
+        allowed_regions(&regions(route), &regions(team)).map(|allowed| allowed.into_owned())
     };
     assert_eq!(common(&[], &[]), Some(Vec::new()));
     assert_eq!(common(&["a"], &[]), Some(regions(&["a"])));
--- a/crates/team/tests/quota.rs
+++ b/crates/team/tests/quota.rs
@@ -67,7 +67,7 @@
 
 /// Requests that did not run are refunded.
 #[test]
-fn what_has_not_run_is_given_back() {
+fn requests_that_did_not_run_are_refunded() {
     let (now, mut limiter) = lone_limiter(1.0, 2.0);
     assert_eq!(admitted(&mut limiter, now, 5), 2);
     limiter.refund(now, "red");
@@ -96,7 +96,7 @@
 
 /// A starting entry must not admit the full burst again that its peers may have used up before.
 #[test]
-fn an_entry_that_starts_begins_with_little() {
+fn a_starting_entry_has_a_low_initial_level() {
     let start = Instant::now();
     let mut limiter = QuotaLimiter::new(start, BOUNDS, 2, true);
     for peer in 1..=8 {
@@ -112,7 +112,7 @@
 /// An entry without reports from its peers keeps to its own part. Once they report again it has
 /// the whole quota, less what they admitted.
 #[test]
-fn a_silent_fleet_leaves_each_its_part() {
+fn an_isolated_entry_keeps_to_its_part() {
     let start = Instant::now();
     let mut limiter = QuotaLimiter::new(start, BOUNDS, 1, true);
     limiter.set_teams(start, &[team("red", 90.0, 90.0)]);
@@ -143,7 +143,7 @@
 
 /// No part is reserved for an entry that reported that it stops admitting requests.
 #[test]
-fn who_stands_by_takes_no_part() {
+fn no_part_is_reserved_for_a_stopped_entry() {
     let (mut now, mut limiter) = lone_limiter(100.0, 100.0);
     receive_report(&mut limiter, now, 1, 1, 1000);
     let last = QuotaReport {
@@ -160,7 +160,7 @@
 /// Indexes into another set of teams are ignored, and no count is lost once both entries know
 /// the same teams.
 #[test]
-fn counts_of_other_sets_of_teams_wait() {
+fn counts_for_other_teams_are_ignored_without_loss() {
     let start = Instant::now();
     let both = [team("blue", 10.0, 10.0), team("red", 10.0, 10.0)];
     let mut ahead = QuotaLimiter::new(start, BOUNDS, 1, false);
@@ -184,7 +184,7 @@
 /// With a hundred thousand teams, the cost of a request is the same as with one, and a report
 /// lists only teams with recent requests.
 #[test]
-fn many_teams_cost_only_those_that_ask() {
+fn cost_does_not_grow_with_idle_teams() {
     let start = Instant::now();
     let teams: Vec<TeamSpec> = (0..100_000)
         .map(|index| team(&format!("team-{index}"), 5.0, 5.0))
