--- a/crates/rollout/src/controller/service.rs
+++ b/crates/rollout/src/controller/service.rs
@@ -117,9 +117,9 @@
         schedule: &impl ShareSchedule,
         hears_counts: bool,
     ) -> RolloutStage {
-        let answer = Duration::from_secs_f64(self.response_time);
+        let response_time = Duration::from_secs_f64(self.response_time);
         let duration = self.record.order.duration;
-        let stage = schedule.stage(self.elapsed(now), duration, answer);
+        let stage = schedule.stage(self.elapsed(now), duration, response_time);
         let is_full = matches!(stage, RolloutStage::Preferred | RolloutStage::Exclusive);
         if is_full && hears_counts && self.evidence.answers() < MIN_ANSWERS {
             return RolloutStage::Share(UNPROVEN_SHARE);
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -6,8 +6,8 @@
 
 /// Stands for all routes of a service together, since a single route may have too few requests.
 pub const ALL_ROUTES: u64 = 0;
-/// Number of servers with bad answers from which on the version is blamed, or all of its
-/// servers if there are fewer. With less, the servers themselves may be faulty.
+/// Number of servers with bad answers that is needed to blame the version, or all of its servers
+/// if it has fewer. Below that the servers themselves may be faulty.
 const MIN_BAD_SERVERS: u32 = 3;
 /// Good answers assumed for the old version at the start, so that its first bad answers don't
 /// result in a high baseline.
--- a/crates/rollout/src/schedule.rs
+++ b/crates/rollout/src/schedule.rs
@@ -101,7 +101,12 @@
 }
 
 impl ShareSchedule for LinearSchedule {
-    fn stage(&self, elapsed: Duration, duration: Duration, _answer: Duration) -> RolloutStage {
+    fn stage(
+        &self,
+        elapsed: Duration,
+        duration: Duration,
+        _response_time: Duration,
+    ) -> RolloutStage {
         let transition = duration.saturating_sub(CanarySchedule::drain_time(duration));
         if elapsed >= transition {
             return RolloutStage::Exclusive;
--- a/crates/rollout/tests/parts.rs
+++ b/crates/rollout/tests/parts.rs
@@ -253,7 +253,7 @@
 }
 
 /// Returns a controller with a running rollout of 20 s, with `entries` entries in service.
-fn running(now: Instant, entries: usize) -> RolloutController {
+fn running_rollout(now: Instant, entries: usize) -> RolloutController {
     let mut controller = controller(now);
     controller.set_entries(entries, true);
     let record = record(order("v2", 5), RolloutPhase::Running);
@@ -262,7 +262,7 @@
 }
 
 /// Sends requests on `route` to twenty servers of `version` and answers them.
-fn answered(
+fn answer_requests(
     controller: &mut RolloutController,
     now: Instant,
     version: &str,
@@ -302,11 +302,11 @@
 #[test]
 fn an_isolated_entry_completes_no_rollout() {
     let now = Instant::now();
-    let mut controller = running(now, 8);
-    answered(&mut controller, now, "v2", 3, false);
+    let mut controller = running_rollout(now, 8);
+    answer_requests(&mut controller, now, "v2", 3, false);
     let due = now + ms(18_600);
     assert_eq!(next_phase(&controller, due), None);
-    let other = running(now, 8);
+    let other = running_rollout(now, 8);
     for peer in 0..4 {
         let report = other.report(due).unwrap();
         controller.on_report(due, peer, &report);
@@ -318,8 +318,8 @@
 #[test]
 fn a_reported_verdict_takes_effect() {
     let now = Instant::now();
-    let (mut controller, mut other) = (running(now, 8), running(now, 8));
-    answered(&mut other, now, "v2", 3, true);
+    let (mut controller, mut other) = (running_rollout(now, 8), running_rollout(now, 8));
+    answer_requests(&mut other, now, "v2", 3, true);
     assert!(other.take_verdict());
     let mut report = other.report(now + ms(500)).unwrap();
     report.orders[0].counts.clear();
@@ -334,8 +334,8 @@
 #[test]
 fn nothing_is_completed_after_the_end() {
     let now = Instant::now();
-    let mut controller = running(now, 1);
-    answered(&mut controller, now, "v2", 3, false);
+    let mut controller = running_rollout(now, 1);
+    answer_requests(&mut controller, now, "v2", 3, false);
     assert_eq!(
         next_phase(&controller, now + ms(18_600)),
         Some(RolloutPhase::Completed)
@@ -359,7 +359,7 @@
 #[test]
 fn an_unproven_version_gets_a_share() {
     let now = Instant::now();
-    let mut controller = running(now, 1);
+    let mut controller = running_rollout(now, 1);
     let late = now + ms(18_000);
     let mut old = 0;
     for _ in 0..100 {
@@ -367,7 +367,7 @@
         old += usize::from(choice == VersionChoice::Old);
     }
     assert!(old > 60, "{old}");
-    answered(&mut controller, now, "v2", 3, false);
+    answer_requests(&mut controller, now, "v2", 3, false);
     let choice = controller.choose(late, "board", false, Some(ms(300)));
     assert_eq!(choice, VersionChoice::NewOnly);
 }
@@ -377,11 +377,11 @@
 #[test]
 fn a_fault_on_one_route_is_found() {
     let now = Instant::now();
-    let mut controller = running(now, 1);
+    let mut controller = running_rollout(now, 1);
     for turn in 0..40 {
-        answered(&mut controller, now + ms(100 * turn), "v1", 3, false);
-        answered(&mut controller, now + ms(100 * turn), "v2", 3, false);
-        answered(&mut controller, now + ms(100 * turn), "v2", 4, false);
+        answer_requests(&mut controller, now + ms(100 * turn), "v1", 3, false);
+        answer_requests(&mut controller, now + ms(100 * turn), "v2", 3, false);
+        answer_requests(&mut controller, now + ms(100 * turn), "v2", 4, false);
     }
     assert_eq!(
         controller.record("board").unwrap().phase,
@@ -390,9 +390,9 @@
     let mut failures = 0;
     while controller.record("board").unwrap().phase == RolloutPhase::Running {
         let at = now + ms(5000);
-        answered(&mut controller, at, "v2", 3, false);
-        answered(&mut controller, at, "v2", 3, false);
-        answered(&mut controller, at, "v2", 3, false);
+        answer_requests(&mut controller, at, "v2", 3, false);
+        answer_requests(&mut controller, at, "v2", 3, false);
+        answer_requests(&mut controller, at, "v2", 3, false);
         let send = VersionSend {
             service: "board",
             version: "v2",
@@ -413,9 +413,9 @@
 #[test]
 fn a_report_fits_a_datagram() {
     let now = Instant::now();
-    let mut controller = running(now, 8);
+    let mut controller = running_rollout(now, 8);
     for route in 1..=3000 {
-        answered(&mut controller, now, "v1", route, false);
+        answer_requests(&mut controller, now, "v1", route, false);
     }
     let report = controller.report(now + ms(500)).unwrap();
     let counts = &report.orders[0].counts;
--- a/crates/team/src/bucket.rs
+++ b/crates/team/src/bucket.rs
@@ -92,7 +92,7 @@
     /// Time between two refreshes of the share.
     pub const REFRESH_INTERVAL: Duration = Duration::from_millis(50);
 
-    /// As of `now`, `silent` of the `entries` entries (including this one) are silent.
+    /// As of `now`, `silent` of `entries` entries, including this one, are silent.
     pub fn new(now: Instant, silent: usize, entries: usize) -> Self {
         Self {
             at: Some(now),
--- a/crates/team/src/fairness.rs
+++ b/crates/team/src/fairness.rs
@@ -108,8 +108,8 @@
         if self.requests.len() >= MAX_TRACKED_TEAMS {
             self.requests.retain(|_, (at, _)| is_recent(*at));
         }
-        let active_weight = self.requests.iter().filter(|(_, (at, _))| is_recent(*at));
-        self.active_weight = active_weight.map(|(team, _)| self.weight(team)).sum();
+        let active = self.requests.iter().filter(|(_, (at, _))| is_recent(*at));
+        self.active_weight = active.map(|(team, _)| self.weight(team)).sum();
     }
 }
 
