--- a/crates/rollout/tests/histories.rs
+++ b/crates/rollout/tests/histories.rs
@@ -248,7 +248,7 @@
         if is_good {
             summary.good += 1;
             if outcome.phase != Some(RolloutPhase::Completed) {
-                println!("good, {:?}: {history:?}", outcome.phase);
+                println!("good version ended as {:?}: {history:?}", outcome.phase);
                 summary.false_verdicts += 1;
             }
             continue;
@@ -261,12 +261,12 @@
         }
         summary.bad += 1;
         if outcome.phase != Some(RolloutPhase::RolledBack) {
-            println!("missed with {answers} bad answers: {history:?}");
+            println!("bad version not rolled back after {answers} bad answers: {history:?}");
             summary.missed += 1;
         }
         if outcome.excess() > 0.0 {
             println!(
-                "over by {:.0} of {}: {history:?}",
+                "exposure exceeded by {:.0} of {} requests: {history:?}",
                 outcome.excess(),
                 outcome.all
             );
--- a/crates/team/src/error.rs
+++ b/crates/team/src/error.rs
@@ -8,11 +8,11 @@
     pub enum Error {
         /// The text lacks the prefix with the name of the hash.
         Scheme {
-            display("a key's digest is written sha256: and 64 hexadecimal digits")
+            display("a key digest must start with sha256:, followed by 64 hexadecimal digits")
         }
         /// The digest has the wrong number of digits, or other characters.
         Digits {
-            display("a key's digest has 64 hexadecimal digits after sha256:")
+            display("a key digest must have exactly 64 hexadecimal digits after sha256:")
         }
     }
 }
