--- a/bin/lh-entry/src/rollout.rs
+++ b/bin/lh-entry/src/rollout.rs
@@ -7,12 +7,12 @@
 use std::time::{Duration, Instant};
 
 use place::fleet::clock::StoreTime;
-use place::fleet::message::{PeerMessage, RolloutReport};
+use place::fleet::message::{PeerMessage, RolloutMessage};
 use place::prelude::*;
 use place::rank::stable_hash;
 use platform::rollouts::status_write;
 use platform::tables::PlatformClient;
-use rollout::book::RolloutNote;
+use rollout::controller::RolloutEvent;
 use rollout::evidence::ALL_ROUTES;
 use rollout::prelude::*;
 use store::{CommitOutcome, ENTRY_TABLE, ROLLOUT_PREFIX, Row, RowWrite, TableService};
@@ -33,7 +33,7 @@
 /// The rollouts as this entry knows them.
 #[derive(Debug)]
 pub(crate) struct RolloutDesk {
-    book: RefCell<RolloutBook>,
+    book: RefCell<RolloutController>,
     /// Something changed that the store should say.
     wake: Notify,
     /// A version was found to be bad, and the other entries are to be told.
@@ -48,16 +48,16 @@
             exposure_slack: config.exposure.slack,
             run: incarnation,
         };
-        let schedule = LateSchedule::new(bounds.exposure_share);
+        let schedule = CanarySchedule::new(bounds.exposure_share);
         Self {
-            book: RefCell::new(RolloutBook::new(Instant::now(), bounds, schedule)),
+            book: RefCell::new(RolloutController::new(Instant::now(), bounds, schedule)),
             wake: Notify::new(),
             verdict: Notify::new(),
         }
     }
 
     /// Looks something up.
-    pub(crate) fn book(&self) -> Ref<'_, RolloutBook> {
+    pub(crate) fn book(&self) -> Ref<'_, RolloutController> {
         self.book.borrow()
     }
 
@@ -66,7 +66,7 @@
         self.book.borrow_mut().set_entries(entries, is_listed);
     }
 
-    /// A server of `service` has `version`; see [`RolloutBook::on_server`].
+    /// A server of `service` has `version`; see [`RolloutController::on_server`].
     pub(crate) fn on_server(&self, service: &str, version: &str, is_first: bool) {
         let mut book = self.book.borrow_mut();
         book.on_server(Instant::now(), service, version, is_first);
@@ -108,8 +108,8 @@
     }
 
     /// Another entry's counts.
-    pub(crate) fn on_beat(&self, beat: &RolloutReport) {
-        self.change(|now, book| book.on_word(now, beat.entry, &beat.word));
+    pub(crate) fn on_beat(&self, beat: &RolloutMessage) {
+        self.change(|now, book| book.on_report(now, beat.entry, &beat.word));
     }
 
     /// A request goes to the server of `placement`; its token, and whether the new version runs
@@ -141,20 +141,20 @@
         let outcome = match outcome {
             ServerOutcome::Answered { good: true } => SendOutcome::Answered,
             ServerOutcome::Answered { good: false } | ServerOutcome::Broken => SendOutcome::Failed,
-            ServerOutcome::OutOfTime => SendOutcome::Late,
+            ServerOutcome::OutOfTime => SendOutcome::TimedOut,
             ServerOutcome::Full
             | ServerOutcome::Misdirected
             | ServerOutcome::Unreachable
             | ServerOutcome::Withdrawn
-            | ServerOutcome::Abandoned => SendOutcome::Void,
+            | ServerOutcome::Abandoned => SendOutcome::Inconclusive,
         };
         self.change(|now, book| book.on_outcome(now, token, outcome));
     }
 
-    fn change(&self, change: impl FnOnce(Instant, &mut RolloutBook)) {
+    fn change(&self, change: impl FnOnce(Instant, &mut RolloutController)) {
         let mut book = self.book.borrow_mut();
         change(Instant::now(), &mut book);
-        let notes = book.take_notes();
+        let notes = book.take_events();
         if book.take_verdict() {
             self.verdict.notify_one();
         }
@@ -182,7 +182,7 @@
     let mut book = state.rollouts.book.borrow_mut();
     let is_repeat = !request.tried.is_empty();
     let choice = book.choose(now, service, is_repeat, operator_age(state));
-    let (rule, fallback) = book.rules(service, choice);
+    let (rule, fallback) = book.filters(service, choice);
     let mut placer = state.placer.borrow_mut();
     let placed = placer.place(now, &request.with_versions(rule));
     let (Err(refusal), Some((rule, is_last_resort))) = (&placed, fallback) else {
@@ -210,8 +210,8 @@
     if !state.rollouts.book().is_active() {
         return;
     }
-    state.rollouts.change(|now, book| book.review(now));
-    let Some(word) = state.rollouts.book().word(Instant::now()) else {
+    state.rollouts.change(|now, book| book.check_overdue(now));
+    let Some(word) = state.rollouts.book().report(Instant::now()) else {
         return;
     };
     let mut targets = listeners.to_vec();
@@ -227,7 +227,7 @@
     targets.sort_unstable();
     targets.dedup();
     targets.retain(|target| *target != state.config.beat_address);
-    let beat = RolloutReport {
+    let beat = RolloutMessage {
         entry: stable_hash(state.config.instance.as_bytes()),
         word,
     };
@@ -246,7 +246,7 @@
         if is_due {
             read_at = Instant::now();
         }
-        let services = state.rollouts.book().open_services();
+        let services = state.rollouts.book().unfinished_services();
         for service in services {
             if is_due || next_record(&state, &service).is_some() {
                 tend_one(&state, &service).await;
@@ -279,7 +279,7 @@
 fn next_record(state: &InstanceState, service: &str) -> Option<RolloutRecord> {
     let book = state.rollouts.book();
     let version = &book.record(service)?.order.version;
-    let mut sight = ServiceSight::default();
+    let mut sight = ServerCounts::default();
     let placer = state.placer.borrow();
     for (_, server) in placer.catalog.open_servers(service) {
         if server.entry.version == *version {
@@ -292,7 +292,7 @@
     if !store_now.is_some() {
         return None;
     }
-    book.next(Instant::now(), service, sight, store_now.0)
+    book.next_record(Instant::now(), service, sight, store_now.0)
 }
 
 /// The row of the rollout of `service`, which this entry takes in; `None` where the store
@@ -368,10 +368,10 @@
     }
 }
 
-fn log_note(note: &RolloutNote) {
+fn log_note(note: &RolloutEvent) {
     let (service, version) = (note.service.as_str(), note.version.as_str());
     let phase = note.phase.as_str();
-    let Some(found) = note.found else {
+    let Some(found) = note.verdict else {
         log::info!(service, version, phase; "rollout");
         return;
     };
--- a/crates/emulate/src/rollout/world.rs
+++ b/crates/emulate/src/rollout/world.rs
@@ -41,7 +41,7 @@
     to: usize,
     from: usize,
     at: Duration,
-    word: RolloutWord,
+    word: RolloutReport,
 }
 
 /// The entries, what is on its way between them, and what the store holds.
@@ -50,7 +50,7 @@
     schedule: S,
     start: Instant,
     rng: ChaCha8Rng,
-    books: Vec<RolloutBook<S>>,
+    books: Vec<RolloutController<S>>,
     runs: Vec<u64>,
     running: Vec<Running>,
     letters: VecDeque<Letter>,
@@ -82,14 +82,14 @@
         world
     }
 
-    fn book(&self, entry: usize, at: Duration) -> RolloutBook<S> {
+    fn book(&self, entry: usize, at: Duration) -> RolloutController<S> {
         let config = RolloutConfig {
             exposure_share: EXPOSURE_SHARE,
             exposure_slack: EXPOSURE_SLACK,
             run: self.runs[entry],
         };
         let now = self.start + at;
-        let mut book = RolloutBook::new(now, config, self.schedule);
+        let mut book = RolloutController::new(now, config, self.schedule);
         book.set_entries(self.history.entries, true);
         for version in ["v1", "v2"] {
             book.on_server(now, SERVICE, version, true);
@@ -175,7 +175,7 @@
         let is_new = match choice {
             VersionChoice::New | VersionChoice::NewOnly => true,
             VersionChoice::Old => false,
-            VersionChoice::Usual => is_over == Some(RolloutPhase::Completed),
+            VersionChoice::NoRollout => is_over == Some(RolloutPhase::Completed),
         };
         let route = self.rng.random_range(1..=3);
         let server = self.rng.random_range(0..20);
@@ -252,7 +252,7 @@
             }
         }
         for book in &mut self.books {
-            book.review(now);
+            book.check_overdue(now);
         }
         if let Some((entry, when)) = self.history.restarted
             && at >= when
@@ -270,7 +270,7 @@
     fn speak(&mut self, at: Duration) {
         let now = self.start + at;
         for from in 0..self.books.len() {
-            let Some(word) = self.books[from].word(now) else {
+            let Some(word) = self.books[from].report(now) else {
                 continue;
             };
             if self.is_cut_off(from, at) {
@@ -294,7 +294,7 @@
             let Some(letter) = self.letters.pop_front() else {
                 return;
             };
-            self.books[letter.to].on_word(now, letter.from as u64, &letter.word);
+            self.books[letter.to].on_report(now, letter.from as u64, &letter.word);
         }
         let due: Vec<RolloutRecord> = {
             let ready = self.told.iter().filter(|(when, _)| *when <= at);
@@ -318,9 +318,9 @@
             return;
         }
         let now = self.start + at;
-        let sight = ServiceSight { new: 20, old: 20 };
+        let sight = ServerCounts { new: 20, old: 20 };
         let store_now = at.as_millis() as u64;
-        let Some(record) = self.books[lead].next(now, SERVICE, sight, store_now) else {
+        let Some(record) = self.books[lead].next_record(now, SERVICE, sight, store_now) else {
             return;
         };
         let stored = self.stored.clone();
--- a/crates/place/src/fleet/message.rs
+++ b/crates/place/src/fleet/message.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
-use rollout::word::RolloutWord;
-use team::quota::QuotaWord;
+use rollout::report::RolloutReport;
+use team::quota::QuotaReport;
 
 use crate::crash::word::CrashMessage;
 use crate::fleet::advertise::ServingEntry;
@@ -30,7 +30,7 @@
         Crash(CrashMessage),
         /// Request outcomes during rollouts. Sent among entries that receive requests,
         /// and to leads.
-        Rollout(RolloutReport),
+        Rollout(RolloutMessage),
     }
 
     /// An entry's requests by server.
@@ -41,16 +41,16 @@
         /// Requests the entry has sent.
         pub word: LoadUpdate,
         /// Admitted requests of teams with quotas, if there are any such teams.
-        pub quota: Option<QuotaWord>,
+        pub quota: Option<QuotaReport>,
     }
 
     /// An entry's request counts in rollouts.
     #[derive(Eq)]
-    pub struct RolloutReport {
+    pub struct RolloutMessage {
         /// Hash of the entry's name.
         pub entry: u64,
         /// The counts.
-        pub word: RolloutWord,
+        pub word: RolloutReport,
     }
 
     /// The state an entry reports about itself.
--- a/crates/place/src/limits/shift.rs
+++ b/crates/place/src/limits/shift.rs
@@ -9,7 +9,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use tally::{CountWord, PeerTally};
+use tally::{CountReport, PeerTally};
 
 /// Share of the platform's cap that is used. The rest covers requests that end up in another
 /// region than they were sent to, and requests of other instances that were not reported yet
@@ -120,7 +120,7 @@
             add(window, counts);
         }
         for (region, unheard) in self.unheard.iter_mut().enumerate() {
-            *unheard = self.tally.unheard(now, region);
+            *unheard = self.tally.estimate_unreported(now, region);
         }
     }
 
@@ -175,7 +175,7 @@
     /// of its region.
     pub fn sent(&self) -> Vec<u32> {
         let regions = 0..self.regions.len();
-        regions.map(|region| self.tally.own(region)).collect()
+        regions.map(|region| self.tally.own_total(region)).collect()
     }
 
     /// Applies what the instance `peer` of the own region has sent since its start. The first
@@ -194,14 +194,14 @@
         }
         known.clear();
         known.extend_from_slice(sent);
-        let word = CountWord {
+        let word = CountReport {
             run: *run,
             // Requests sent before the first update belong to none of this instance's windows.
             age: Duration::MAX,
             counts: sent.iter().copied().enumerate().collect(),
         };
         let mut added_counts = vec![0; self.regions.len()];
-        for (region, added) in self.tally.on_word(now, peer, &word) {
+        for (region, added) in self.tally.on_report(now, peer, &word) {
             added_counts[region] = u32::try_from(added).unwrap_or_default();
         }
         self.count(now, &added_counts);
--- a/crates/place/src/request.rs
+++ b/crates/place/src/request.rs
@@ -2,11 +2,12 @@
 
 use std::time::{Duration, Instant};
 
+use rollout::filter::VersionFilter;
+
 use crate::catalog::ServerHandle;
 use crate::desired::RouteSpec;
 use crate::placing::warmth::Belief;
 use crate::server::ServerEntry;
-use rollout::rule::VersionRule;
 
 /// A request to be placed on a server.
 #[derive(Debug, Clone, Copy)]
@@ -30,7 +31,7 @@
     /// Servers that the request was sent to before.
     pub tried: &'a [ServerHandle],
     /// Rule for the versions of the service that may run it.
-    pub versions: VersionRule<'a>,
+    pub versions: VersionFilter<'a>,
 }
 
 impl<'a> PlacementRequest<'a> {
@@ -47,7 +48,7 @@
             returning: false,
             body_bytes: 0,
             tried: &[],
-            versions: VersionRule::Any,
+            versions: VersionFilter::Any,
         }
     }
 
@@ -60,7 +61,7 @@
 
     /// Sets the rule for the versions that may run the request.
     #[must_use]
-    pub fn with_versions(mut self, versions: VersionRule<'a>) -> Self {
+    pub fn with_versions(mut self, versions: VersionFilter<'a>) -> Self {
         self.versions = versions;
         self
     }
--- a/crates/rollout/src/detector.rs
+++ b/crates/rollout/src/detector.rs
@@ -1,45 +1,46 @@
-//! Finds out from a stream of outcomes that bad ones have become more frequent.
+//! Detects an increased rate of bad outcomes in a stream of outcomes.
 //!
-//! A cumulative sum of log-likelihood ratios, never below zero: what was good before doesn't
-//! hide that a version turned bad later.
+//! Uses the CUSUM method: a cumulative sum of log-likelihood ratios that never falls below
+//! zero, so that good outcomes early on don't hide a version that turns bad later.
 
-/// Sum at which a rate counts as risen, beside the logarithm of the number of outcomes: each
-/// further one is another occasion for a false alarm, while few of them must do where few
-/// requests come.
-const LIMIT: f64 = 4.5;
+/// Sum that raises an alarm, in addition to the logarithm of the number of outcomes. The
+/// logarithm compensates for the false alarms that each further outcome may cause, and lets a
+/// few outcomes suffice where a service has few requests.
+const ALARM_THRESHOLD: f64 = 4.5;
 
-/// Which rates a detector tells apart.
+/// The rates that a detector distinguishes.
 #[derive(Debug, Clone, Copy)]
 pub struct RateBounds {
-    /// Rate of bad outcomes that is always accepted.
-    pub accepted: f64,
-    /// Least rate that has to be found.
-    pub sought: f64,
-    /// The accepted rate as a multiple of the usual one.
-    pub tolerance: f64,
-    /// The sought rate as a multiple of the accepted one.
-    pub contrast: f64,
+    /// Minimum of the acceptable rate of bad outcomes.
+    pub acceptable: f64,
+    /// Minimum of the unacceptable rate.
+    pub unacceptable: f64,
+    /// The acceptable rate as a multiple of the baseline.
+    pub acceptable_factor: f64,
+    /// The unacceptable rate as a multiple of the acceptable one.
+    pub unacceptable_factor: f64,
 }
 
-/// Failures: any server fails now and then, a bad version on a noticeable part of requests.
+/// Bounds for failures: any server fails occasionally, a bad version on a noticeable fraction
+/// of requests.
 pub const FAILURE_BOUNDS: RateBounds = RateBounds {
-    accepted: 0.01,
-    sought: 0.12,
-    tolerance: 1.5,
-    contrast: 4.0,
+    acceptable: 0.01,
+    unacceptable: 0.12,
+    acceptable_factor: 1.5,
+    unacceptable_factor: 4.0,
 };
-/// Slow answers: queues and cold caches make some of any version's slow.
+/// Bounds for slow answers: queues and cold caches cause some for any version.
 pub const DELAY_BOUNDS: RateBounds = RateBounds {
-    accepted: 0.05,
-    sought: 0.3,
-    tolerance: 1.5,
-    contrast: 3.5,
+    acceptable: 0.05,
+    unacceptable: 0.3,
+    acceptable_factor: 1.5,
+    unacceptable_factor: 3.5,
 };
-/// Rates beyond these can't be told from certainty.
-const ACCEPTED_MOST: f64 = 0.6;
-const SOUGHT_MOST: f64 = 0.95;
+/// Upper limits of both rates, beyond which they can't be distinguished from certainty.
+const MAX_ACCEPTABLE: f64 = 0.6;
+const MAX_UNACCEPTABLE: f64 = 0.95;
 
-/// Whether the rate of bad outcomes is above the usual one.
+/// Detects whether the rate of bad outcomes is above the baseline.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RateDetector {
     sum: f64,
@@ -47,20 +48,21 @@
 }
 
 impl RateDetector {
-    /// Takes in `good` and `bad` outcomes where `usual` is the rate of bad ones on the old
-    /// version.
-    pub fn on_outcomes(&mut self, bounds: &RateBounds, usual: f64, good: u32, bad: u32) {
-        let accepted = (usual * bounds.tolerance).clamp(bounds.accepted, ACCEPTED_MOST);
-        let sought = (accepted * bounds.contrast).clamp(bounds.sought, SOUGHT_MOST);
-        let for_good = ((1.0 - sought) / (1.0 - accepted)).ln();
-        let for_bad = (sought / accepted).ln();
+    /// Adds outcomes; `baseline` is the rate of bad outcomes on the old version.
+    pub fn on_outcomes(&mut self, bounds: &RateBounds, baseline: f64, good: u32, bad: u32) {
+        let acceptable =
+            (baseline * bounds.acceptable_factor).clamp(bounds.acceptable, MAX_ACCEPTABLE);
+        let unacceptable =
+            (acceptable * bounds.unacceptable_factor).clamp(bounds.unacceptable, MAX_UNACCEPTABLE);
+        let good_weight = ((1.0 - unacceptable) / (1.0 - acceptable)).ln();
+        let bad_weight = (unacceptable / acceptable).ln();
         self.outcomes += f64::from(good) + f64::from(bad);
-        self.sum = (self.sum + f64::from(good) * for_good).max(0.0);
-        self.sum += f64::from(bad) * for_bad;
+        self.sum = (self.sum + f64::from(good) * good_weight).max(0.0);
+        self.sum += f64::from(bad) * bad_weight;
     }
 
-    /// Whether it is.
-    pub fn is_risen(&self) -> bool {
-        self.sum >= LIMIT + self.outcomes.max(1.0).ln()
+    /// Whether the rate is unacceptable.
+    pub fn has_alarm(&self) -> bool {
+        self.sum >= ALARM_THRESHOLD + self.outcomes.max(1.0).ln()
     }
 }
--- a/crates/rollout/src/rule.rs
+++ b/crates/rollout/src/filter.rs
@@ -1,37 +1,37 @@
 //! Which versions of a service may run a request.
 
-/// What a request should run on.
+/// The versions that a request should run on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VersionChoice {
-    /// Nothing is ordered: any version that isn't kept out.
-    Usual,
-    /// The old versions; the new one only where none of them can be reached.
+    /// No rollout is running: any version that is not excluded.
+    NoRollout,
+    /// The old versions; the new one only if none of them is reachable.
     Old,
-    /// The new version, or an old one where that has no room.
+    /// The new version, or an old one if the new one has no capacity.
     New,
-    /// The new version alone: the others are about to end.
+    /// Only the new version, since servers of the old ones are about to terminate.
     NewOnly,
 }
 
-/// A filter on servers by their version.
+/// A filter on servers by version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum VersionRule<'a> {
+pub enum VersionFilter<'a> {
     /// All versions.
     #[default]
     Any,
     /// This version alone.
     Only(&'a str),
     /// All but these.
-    Without(&'a [String]),
+    Except(&'a [String]),
 }
 
-impl VersionRule<'_> {
+impl VersionFilter<'_> {
     /// Whether a server of `version` may run the request.
     pub fn allows(&self, version: &str) -> bool {
         match self {
             Self::Any => true,
             Self::Only(only) => *only == version,
-            Self::Without(versions) => !versions.iter().any(|other| other == version),
+            Self::Except(versions) => !versions.iter().any(|other| other == version),
         }
     }
 }
--- a/crates/rollout/src/versions.rs
+++ b/crates/rollout/src/versions.rs
@@ -1,25 +1,25 @@
-//! The versions that a service's servers have had.
+//! The versions that the servers of each service have run.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-/// A version that appears beside others gets nothing for this long: the order for it may
-/// still be on its way, and until then it must not get more than a part of the traffic.
-const ORDER_WAIT: Duration = Duration::from_millis(1500);
+/// Time for which a version that appears beside others gets no requests. Its order may still be
+/// on the way, and without an order it would get a full part of the traffic.
+const NEW_VERSION_HOLD: Duration = Duration::from_millis(1500);
 
-/// Versions of a service that are remembered.
-const VERSIONS_MOST: usize = 64;
+/// Maximum number of versions remembered for a service.
+const MAX_VERSIONS: usize = 64;
 
-/// When each version was seen first.
+/// When each version first appeared.
 #[derive(Debug, Default)]
-pub struct VersionLedger {
+pub struct VersionHistory {
     services: HashMap<String, BTreeMap<String, Option<Instant>>>,
 }
 
-impl VersionLedger {
-    /// A server of `service` has `version`. `is_first` where nothing was known of any server
-    /// before: what is there then isn't new.
-    pub fn on_server(&mut self, now: Instant, service: &str, version: &str, is_first: bool) {
+impl VersionHistory {
+    /// Records that a server of `service` runs `version`. `is_initial` is set if no server was
+    /// known before; the versions found then are not new.
+    pub fn on_server(&mut self, now: Instant, service: &str, version: &str, is_initial: bool) {
         if !self.services.contains_key(service) {
             self.services.insert(service.to_owned(), BTreeMap::new());
         }
@@ -29,26 +29,26 @@
         if versions.contains_key(version) {
             return;
         }
-        if versions.len() >= VERSIONS_MOST {
+        if versions.len() >= MAX_VERSIONS {
             versions.pop_first();
         }
-        let is_lone = versions.is_empty();
-        let since = (!is_first && !is_lone).then_some(now);
-        versions.insert(version.to_owned(), since);
+        let is_only_version = versions.is_empty();
+        let held_from = (!is_initial && !is_only_version).then_some(now);
+        versions.insert(version.to_owned(), held_from);
     }
 
-    /// The versions of `service` that are too new to be used without an order, and until
-    /// when.
-    pub fn held(&self, now: Instant, service: &str) -> Vec<(String, Instant)> {
+    /// Returns the versions of `service` that are too new to be used without an order, each
+    /// with the time at which this ends.
+    pub fn held_versions(&self, now: Instant, service: &str) -> Vec<(String, Instant)> {
         let versions = self.services.get(service).into_iter().flatten();
-        let held = versions.filter_map(|(version, since)| {
-            let until = (*since)? + ORDER_WAIT;
+        let held_versions = versions.filter_map(|(version, held_from)| {
+            let until = (*held_from)? + NEW_VERSION_HOLD;
             (now < until).then(|| (version.clone(), until))
         });
-        held.collect()
+        held_versions.collect()
     }
 
-    /// All versions of `service` but `version`.
+    /// Returns all versions of `service` except `version`.
     pub fn others(&self, service: &str, version: &str) -> Vec<String> {
         let versions = self.services.get(service).into_iter().flatten();
         let names = versions.map(|(name, _)| name);
--- a/crates/rollout/tests/histories.rs
+++ b/crates/rollout/tests/histories.rs
@@ -1,5 +1,5 @@
-//! Rollouts of a whole fleet: good versions get all traffic in time, bad ones are rolled back
-//! before callers have seen much of them.
+//! Simulated rollouts of a whole fleet: good versions get all traffic in time, and bad ones are
+//! rolled back before callers have seen much of them.
 
 use std::time::Duration;
 
@@ -10,19 +10,19 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rollout::prelude::*;
-use rollout::schedule::EvenSchedule;
+use rollout::schedule::LinearSchedule;
 
-/// Plays `history` with the schedule that entries use.
-fn play(history: History) -> RolloutOutcome {
-    play_rollout(history, LateSchedule::new(EXPOSURE_SHARE))
+/// Simulates `history` with the schedule that entries use.
+fn simulate(history: History) -> RolloutOutcome {
+    play_rollout(history, CanarySchedule::new(EXPOSURE_SHARE))
 }
 
 fn secs(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
 
-/// Promise: a good version has all traffic before the deadline, and nothing runs on an old
-/// server when these may end.
+/// A good version gets all traffic before the deadline, and no request is left at an old server
+/// when these may terminate.
 #[test]
 fn a_good_version_gets_all_traffic_in_time() {
     for (entries, rate, duration) in [
@@ -38,15 +38,15 @@
             duration: secs(duration),
             ..History::new(3)
         };
-        let outcome = play(history);
+        let outcome = simulate(history);
         assert_eq!(outcome.phase, Some(RolloutPhase::Completed), "{history:?}");
         assert!(outcome.ended.unwrap() <= history.duration, "{outcome:?}");
         assert_eq!(outcome.cut, 0, "{history:?}");
     }
 }
 
-/// Promise: a bad version is rolled back, has got no more than its exposure, and gets nothing
-/// later than the bound after its fiftieth bad answer, however and whenever it turns bad.
+/// A bad version is rolled back, gets no more requests than its exposure allows, and none later
+/// than the bound after its fiftieth bad answer, whichever way and whenever it turns bad.
 #[test]
 fn a_bad_version_stays_within_its_exposure() {
     let base = History::new(5);
@@ -122,17 +122,17 @@
         },
     ];
     for history in cases {
-        let outcome = play(history);
+        let outcome = simulate(history);
         assert_eq!(outcome.phase, Some(RolloutPhase::RolledBack), "{history:?}");
         assert!(outcome.excess() <= 0.0, "{} {history:?}", outcome.excess());
         assert_eq!(outcome.late, 0, "{history:?}");
     }
 }
 
-/// Promise: lost words, a restarted entry, and entries that are cut off don't keep a good
-/// version from its traffic.
+/// Lost reports, a restarted entry, partitioned entries and an unavailable store must not cause
+/// a good version to be rolled back.
 #[test]
-fn trouble_among_entries_is_no_verdict() {
+fn faults_of_entries_cause_no_rollback() {
     let base = History::new(9);
     let cases = [
         History { loss: 0.3, ..base },
@@ -156,13 +156,13 @@
         },
     ];
     for history in cases {
-        let outcome = play(history);
+        let outcome = simulate(history);
         assert_eq!(outcome.phase, Some(RolloutPhase::Completed), "{history:?}");
     }
 }
 
-/// The same late fault under equal steps: the version has had most of the traffic by then,
-/// which is why entries don't move traffic in such steps.
+/// With equal steps the version has had most of the traffic when the late fault occurs, which
+/// is why entries don't use such a schedule.
 #[test]
 fn equal_steps_expose_too_much() {
     let history = History {
@@ -170,13 +170,13 @@
         fault_at: secs(7.0),
         ..History::new(5)
     };
-    let even = play_rollout(history, EvenSchedule { steps: 5 });
+    let even = play_rollout(history, LinearSchedule { steps: 5 });
     assert!(even.excess() > 0.0, "{}", even.excess());
-    let late = play(history);
+    let late = simulate(history);
     assert!(late.excess() <= 0.0, "{}", late.excess());
 }
 
-fn drawn(seed: u64) -> History {
+fn random_history(seed: u64) -> History {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let duration = rng.random_range(10.0..40.0);
     let fault = match rng.random_range(0..4) {
@@ -203,9 +203,9 @@
     }
 }
 
-/// Bad answers that a version gives within its exposure, on average: with fewer than
-/// `ENOUGH` of them nobody can tell it from a good one in time.
-fn shown(history: &History) -> f64 {
+/// Returns the mean number of bad answers that a version gives within its exposure. With fewer
+/// than `MIN_BAD_ANSWERS` it can't be distinguished from a good one in time.
+fn expected_bad_answers(history: &History) -> f64 {
     let part = match history.fault {
         Fault::None => return 0.0,
         Fault::Fails(part) | Fault::Slow(part, _) => part,
@@ -215,79 +215,80 @@
     part * routes * requests
 }
 
-/// Whether a fault that shows late can be noticed before the exposure is used up: an answer is
-/// slow only after it was due, and all traffic goes to the version meanwhile.
-fn is_in_time(history: &History) -> bool {
+/// Whether a fault that occurs late can be detected before the exposure is used up: an answer
+/// is slow only after it was due, and the version gets all traffic until then.
+fn is_detectable(history: &History) -> bool {
     let is_late = history.fault_at > Duration::ZERO || history.under_load.is_some();
     let is_slow = matches!(history.fault, Fault::Slow(..));
     !(is_late && is_slow) || history.duration > secs(20.0)
 }
 
-const ENOUGH: f64 = 25.0;
+const MIN_BAD_ANSWERS: f64 = 25.0;
 
 #[derive(Debug, Default)]
-struct Tally {
-    /// Bad versions that nobody can tell in time, and how many of them were.
-    undecidable: (usize, usize),
+struct Summary {
+    /// Bad versions that can't be detected in time, and how many of them were rolled back
+    /// within their exposure.
+    undetectable: (usize, usize),
     good: usize,
     false_verdicts: usize,
     bad: usize,
     missed: usize,
-    over: usize,
+    over_exposed: usize,
     late: usize,
 }
 
-fn play_drawn(seeds: std::ops::Range<u64>) -> Tally {
-    let mut tally = Tally::default();
+fn simulate_random(seeds: std::ops::Range<u64>) -> Summary {
+    let mut summary = Summary::default();
     for seed in seeds {
-        let history = drawn(seed);
-        let outcome = play(history);
+        let history = random_history(seed);
+        let outcome = simulate(history);
         let answers = outcome.bad_answers.len();
         let is_good = history.fault == Fault::None;
         if is_good {
-            tally.good += 1;
+            summary.good += 1;
             if outcome.phase != Some(RolloutPhase::Completed) {
-                println!("good, {:?}: {history:?}", outcome.phase);
-                tally.false_verdicts += 1;
+                println!("good version ended as {:?}: {history:?}", outcome.phase);
+                summary.false_verdicts += 1;
             }
             continue;
         }
-        if shown(&history) < ENOUGH || !is_in_time(&history) {
-            tally.undecidable.0 += 1;
+        if expected_bad_answers(&history) < MIN_BAD_ANSWERS || !is_detectable(&history) {
+            summary.undetectable.0 += 1;
             let is_rolled_back = outcome.phase == Some(RolloutPhase::RolledBack);
-            tally.undecidable.1 += usize::from(is_rolled_back && outcome.excess() <= 0.0);
+            summary.undetectable.1 += usize::from(is_rolled_back && outcome.excess() <= 0.0);
             continue;
         }
-        tally.bad += 1;
+        summary.bad += 1;
         if outcome.phase != Some(RolloutPhase::RolledBack) {
-            println!("missed with {answers} bad answers: {history:?}");
-            tally.missed += 1;
+            println!("bad version not rolled back after {answers} bad answers: {history:?}");
+            summary.missed += 1;
         }
         if outcome.excess() > 0.0 {
             println!(
-                "over by {:.0} of {}: {history:?}",
+                "exposure exceeded by {:.0} of {} requests: {history:?}",
                 outcome.excess(),
                 outcome.all
             );
-            tally.over += 1;
+            summary.over_exposed += 1;
         }
-        tally.late += usize::from(outcome.late > 0);
+        summary.late += usize::from(outcome.late > 0);
     }
-    tally
+    summary
 }
 
-/// Promise: over drawn histories, no more than one good version in a hundred is rolled back,
-/// and no more than one bad one in fifty completed or let beyond its exposure. `HISTORIES`
-/// sets how many; 1,000 by hand.
+/// Over random histories, at most one good version in a hundred is rolled back, and at most one
+/// bad one in fifty is completed or exceeds its exposure. The environment variable `HISTORIES`
+/// sets the number of histories, for example 1,000 in manual runs.
 #[test]
 fn drawn_histories_end_as_they_should() {
     let count = std::env::var("HISTORIES")
         .ok()
         .and_then(|text| text.parse().ok());
-    let tally = play_drawn(0..count.unwrap_or(60));
-    println!("{tally:?}");
-    assert!(tally.false_verdicts * 100 <= tally.good, "{tally:?}");
-    assert!(tally.missed * 50 <= tally.bad, "{tally:?}");
-    assert!(tally.over * 50 <= tally.bad, "{tally:?}");
-    assert_eq!(tally.late, 0);
+    let summary = simulate_random(0..count.unwrap_or(60));
+    println!("{summary:?}");
+    assert!(summary.false_verdicts * 100 <= summary.good, "{summary:?}");
+    assert!(summary.missed * 50 <= summary.bad, "{summary:?}");
+    assert!(summary.over_exposed * 50 <= summary.bad, "{summary:?}");
+    assert_eq!(summary.late, 0);
 }
--- a/crates/rollout/tests/parts.rs
+++ b/crates/rollout/tests/parts.rs
@@ -1,23 +1,23 @@
-//! The parts of a rollout, each for itself.
+//! The components of a rollout, tested separately.
 
 use std::time::{Duration, Instant};
 
 use rollout::evidence::{ALL_ROUTES, AnswerCounts, ServerMask, VersionEvidence};
 use rollout::exposure::ExposureLimiter;
 use rollout::prelude::*;
-use rollout::versions::VersionLedger;
+use rollout::versions::VersionHistory;
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-fn book(now: Instant) -> RolloutBook {
+fn controller(now: Instant) -> RolloutController {
     let config = RolloutConfig {
         exposure_share: 0.1,
         exposure_slack: 0.0,
         run: 1,
     };
-    RolloutBook::new(now, config, LateSchedule::new(0.1))
+    RolloutController::new(now, config, CanarySchedule::new(0.1))
 }
 
 fn order(version: &str, revision: u64) -> RolloutOrder {
@@ -29,7 +29,7 @@
     }
 }
 
-/// The record of `order` in `phase`.
+/// Returns the record of `order` in `phase`.
 fn record(order: RolloutOrder, phase: RolloutPhase) -> RolloutRecord {
     RolloutRecord {
         phase,
@@ -38,19 +38,19 @@
     }
 }
 
-fn allows(book: &mut RolloutBook, now: Instant, version: &str) -> bool {
-    let choice = book.choose(now, "board", false, Some(ms(300)));
-    book.rules("board", choice).0.allows(version)
+fn allows(controller: &mut RolloutController, now: Instant, version: &str) -> bool {
+    let choice = controller.choose(now, "board", false, Some(ms(300)));
+    controller.filters("board", choice).0.allows(version)
 }
 
-/// Promise: over any run of requests the version gets its share, rounded down, and its bonus.
+/// For any number of requests the version gets its share, rounded down, and its bonus.
 #[test]
 fn an_entry_keeps_to_its_share() {
     for (share, bonus) in [(0.02, 0.0), (0.1, 1.7), (0.25, 4.0), (0.0, 0.4)] {
         let mut limiter = ExposureLimiter::new(bonus);
         let mut taken = 0;
         for number in 1..=1000 {
-            taken += usize::from(limiter.take(share));
+            taken += usize::from(limiter.try_take(share));
             let most = share * f64::from(number) + bonus;
             assert!(taken as f64 <= most + 1e-6, "{taken} of {number}, {share}");
         }
@@ -59,93 +59,103 @@
     }
 }
 
-/// Promise: a version that appears beside others gets nothing until an order for it had time
-/// to arrive; what is there at the start, and a service's first servers, are used at once.
+/// A version that appears beside others gets no requests until an order for it had time to
+/// arrive. Versions that are there at the start, and those of a service's first servers, are
+/// used at once.
 #[test]
 fn a_new_version_waits_for_its_order() {
     let now = Instant::now();
-    let mut ledger = VersionLedger::default();
-    ledger.on_server(now, "board", "v1", false);
-    ledger.on_server(now, "desk", "v1", true);
-    ledger.on_server(now, "desk", "v2", true);
-    assert!(ledger.held(now, "board").is_empty() && ledger.held(now, "desk").is_empty());
-    ledger.on_server(now, "board", "v2", false);
-    let held = ledger.held(now, "board");
+    let mut history = VersionHistory::default();
+    history.on_server(now, "board", "v1", false);
+    history.on_server(now, "desk", "v1", true);
+    history.on_server(now, "desk", "v2", true);
+    assert!(
+        history.held_versions(now, "board").is_empty()
+            && history.held_versions(now, "desk").is_empty()
+    );
+    history.on_server(now, "board", "v2", false);
+    let held = history.held_versions(now, "board");
     assert_eq!(held[0].0, "v2");
-    assert!(ledger.held(held[0].1, "board").is_empty());
-    assert_eq!(ledger.others("board", "v2"), ["v1"]);
+    assert!(history.held_versions(held[0].1, "board").is_empty());
+    assert_eq!(history.others("board", "v2"), ["v1"]);
 }
 
-/// Promise: a version is used by nobody before its rollout runs, and by nobody after it was
-/// rolled back, also once another version is ordered; an older word changes nothing.
+/// A version gets no requests before its rollout runs, and none after it was rolled back, even
+/// if another version is ordered. An outdated record changes nothing.
 #[test]
-fn what_was_rolled_back_stays_out() {
+fn a_rolled_back_version_stays_excluded() {
     let now = Instant::now();
-    let mut book = book(now);
-    book.on_order(now, &order("v2", 5));
-    assert!(!allows(&mut book, now, "v2") && allows(&mut book, now, "v1"));
-    book.on_record(
+    let mut controller = controller(now);
+    controller.on_order(now, &order("v2", 5));
+    assert!(!allows(&mut controller, now, "v2") && allows(&mut controller, now, "v1"));
+    controller.on_record(
         now,
         &record(order("v2", 5), RolloutPhase::RolledBack),
         Some(now),
         true,
     );
-    book.on_record(
+    controller.on_record(
         now,
         &record(order("v2", 5), RolloutPhase::Running),
         Some(now),
         true,
     );
-    assert!(!allows(&mut book, now, "v2"));
-    book.on_order(now, &order("v3", 9));
-    book.on_record(
+    assert!(!allows(&mut controller, now, "v2"));
+    controller.on_order(now, &order("v3", 9));
+    controller.on_record(
         now,
         &record(order("v1", 4), RolloutPhase::Completed),
         Some(now),
         true,
     );
-    assert!(!allows(&mut book, now, "v2") && !allows(&mut book, now, "v3"));
-    book.on_order(now, &order("v2", 12));
-    let again = book.record("board").unwrap();
+    assert!(!allows(&mut controller, now, "v2") && !allows(&mut controller, now, "v3"));
+    controller.on_order(now, &order("v2", 12));
+    let again = controller.record("board").unwrap();
     assert_eq!(again.phase, RolloutPhase::Ordered);
     assert_eq!(again.barred, ["v3"]);
 }
 
-/// Promise: the store's word that a rollout is completed goes before an entry's own opinion.
+/// A completion in the store overrides an entry's own decision.
 #[test]
-fn completed_is_final() {
+fn a_stored_completion_is_final() {
     let now = Instant::now();
-    let mut book = book(now);
-    book.on_record(
+    let mut controller = controller(now);
+    controller.on_record(
         now,
         &record(order("v2", 5), RolloutPhase::Running),
         Some(now),
         true,
     );
-    book.on_withdrawn(now, "board");
+    controller.on_withdrawn(now, "board");
     assert_eq!(
-        book.record("board").unwrap().phase,
+        controller.record("board").unwrap().phase,
         RolloutPhase::RolledBack
     );
     let completed = RolloutRecord {
         barred: vec!["v1".to_owned()],
         ..record(order("v2", 5), RolloutPhase::Completed)
     };
-    book.on_record(now, &completed, Some(now), true);
-    assert!(allows(&mut book, now, "v2") && !allows(&mut book, now, "v1"));
-    book.on_withdrawn(now, "board");
-    assert_eq!(book.record("board").unwrap().phase, RolloutPhase::Completed);
-    book.on_order(now, &order("v2", 8));
-    assert_eq!(book.record("board").unwrap().phase, RolloutPhase::Completed);
+    controller.on_record(now, &completed, Some(now), true);
+    assert!(allows(&mut controller, now, "v2") && !allows(&mut controller, now, "v1"));
+    controller.on_withdrawn(now, "board");
+    assert_eq!(
+        controller.record("board").unwrap().phase,
+        RolloutPhase::Completed
+    );
+    controller.on_order(now, &order("v2", 8));
+    assert_eq!(
+        controller.record("board").unwrap().phase,
+        RolloutPhase::Completed
+    );
 }
 
-/// Promise: an entry that hears nothing of the operator's rows, and one at which a request
-/// failed before, keep to the old version.
+/// An entry without recent operator rows sends requests to the old version only, and so do
+/// retries of requests that failed.
 #[test]
-fn doubt_means_the_old_version() {
+fn stale_settings_and_retries_use_the_old_version() {
     let now = Instant::now();
-    let mut book = book(now);
-    book.on_record(
+    let mut controller = controller(now);
+    controller.on_record(
         now,
         &record(order("v2", 5), RolloutPhase::Running),
         Some(now),
@@ -158,20 +168,20 @@
         (Some(ms(300)), true),
     ] {
         for _ in 0..100 {
-            let choice = book.choose(late - ms(9000), "board", is_repeat, age);
+            let choice = controller.choose(late - ms(9000), "board", is_repeat, age);
             assert_eq!(choice, VersionChoice::Old);
         }
     }
-    let (rule, fallback) = book.rules("board", VersionChoice::Old);
+    let (rule, fallback) = controller.filters("board", VersionChoice::Old);
     assert!(rule.allows("v1") && !rule.allows("v2"));
     let (last, only_without_servers) = fallback.unwrap();
     assert!(last.allows("v2") && only_without_servers);
 }
 
-/// Promise: one faulty server isn't the version's fault, nor are failures that the old version
-/// has as well.
+/// A version is not blamed for one faulty server, nor for failures that the old version has as
+/// well.
 #[test]
-fn a_faulty_server_is_no_verdict() {
+fn a_faulty_server_is_not_blamed_on_the_version() {
     let bad = |count| AnswerCounts {
         failed: count,
         ..AnswerCounts::default()
@@ -197,13 +207,13 @@
     assert!(evidence.verdict().is_none());
 }
 
-/// Promise: a request that takes far too long counts before it is answered, once; a caller who
-/// leaves or was in a hurry counts for nothing.
+/// An overdue request counts as slow before it is answered, and only once. Requests whose
+/// caller gave up or had a short deadline don't count.
 #[test]
-fn slow_answers_count_while_they_are_awaited() {
+fn overdue_requests_count_as_slow() {
     let now = Instant::now();
-    let mut book = book(now);
-    book.on_record(
+    let mut controller = controller(now);
+    controller.on_record(
         now,
         &record(order("v2", 5), RolloutPhase::Running),
         Some(now),
@@ -218,35 +228,47 @@
         expected: ms(400),
     };
     for server in 0..20 {
-        let (token, _) = book.on_sent(now, &send(server)).unwrap();
-        book.on_outcome(now + ms(100), token, SendOutcome::Void);
-        let (token, _) = book.on_sent(now, &send(server)).unwrap();
-        book.on_outcome(now + ms(100), token, SendOutcome::Late);
+        let (token, _) = controller.on_sent(now, &send(server)).unwrap();
+        controller.on_outcome(now + ms(100), token, SendOutcome::Inconclusive);
+        let (token, _) = controller.on_sent(now, &send(server)).unwrap();
+        controller.on_outcome(now + ms(100), token, SendOutcome::TimedOut);
     }
-    assert_eq!(book.record("board").unwrap().phase, RolloutPhase::Running);
+    assert_eq!(
+        controller.record("board").unwrap().phase,
+        RolloutPhase::Running
+    );
     for server in 0..20 {
-        book.on_sent(now, &send(server)).unwrap();
+        controller.on_sent(now, &send(server)).unwrap();
     }
-    book.review(now + ms(800));
-    assert_eq!(book.record("board").unwrap().phase, RolloutPhase::Running);
-    book.review(now + ms(900));
+    controller.check_overdue(now + ms(800));
+    assert_eq!(
+        controller.record("board").unwrap().phase,
+        RolloutPhase::Running
+    );
+    controller.check_overdue(now + ms(900));
     assert_eq!(
-        book.record("board").unwrap().phase,
+        controller.record("board").unwrap().phase,
         RolloutPhase::RolledBack
     );
 }
 
-/// A rollout of 20 s that runs, at an entry among `entries` that get requests.
-fn running(now: Instant, entries: usize) -> RolloutBook {
-    let mut book = book(now);
-    book.set_entries(entries, true);
+/// Returns a controller with a running rollout of 20 s, with `entries` entries in service.
+fn running_rollout(now: Instant, entries: usize) -> RolloutController {
+    let mut controller = controller(now);
+    controller.set_entries(entries, true);
     let record = record(order("v2", 5), RolloutPhase::Running);
-    book.on_record(now, &record, Some(now), true);
-    book
+    controller.on_record(now, &record, Some(now), true);
+    controller
 }
 
-/// Answers of `version` on `route`, from twenty servers.
-fn answered(book: &mut RolloutBook, now: Instant, version: &str, route: u64, bad: bool) {
+/// Sends requests on `route` to twenty servers of `version` and answers them.
+fn answer_requests(
+    controller: &mut RolloutController,
+    now: Instant,
+    version: &str,
+    route: u64,
+    bad: bool,
+) {
     for server in 0..20 {
         let send = VersionSend {
             service: "board",
@@ -256,7 +278,7 @@
             is_cold: false,
             expected: ms(400),
         };
-        let Some((token, _)) = book.on_sent(now, &send) else {
+        let Some((token, _)) = controller.on_sent(now, &send) else {
             return;
         };
         let outcome = if bad {
@@ -264,110 +286,113 @@
         } else {
             SendOutcome::Answered
         };
-        book.on_outcome(now + ms(400), token, outcome);
+        controller.on_outcome(now + ms(400), token, outcome);
     }
 }
 
-const SIGHT: ServiceSight = ServiceSight { new: 5, old: 5 };
+const SERVERS: ServerCounts = ServerCounts { new: 5, old: 5 };
 
-fn next_phase(book: &RolloutBook, now: Instant) -> Option<RolloutPhase> {
-    let next = book.next(now, "board", SIGHT, 20_000);
+fn next_phase(controller: &RolloutController, now: Instant) -> Option<RolloutPhase> {
+    let next = controller.next_record(now, "board", SERVERS, 20_000);
     next.map(|record| record.phase)
 }
 
-/// Promise: an entry that hears fewer than half of the others completes nothing, though the
-/// store answers it: they may have found the version bad.
+/// An entry that hears fewer than half of the others completes no rollout, even if the store is
+/// reachable: they may have found the version to be bad.
 #[test]
-fn who_hears_nobody_completes_nothing() {
+fn an_isolated_entry_completes_no_rollout() {
     let now = Instant::now();
-    let mut book = running(now, 8);
-    answered(&mut book, now, "v2", 3, false);
+    let mut controller = running_rollout(now, 8);
+    answer_requests(&mut controller, now, "v2", 3, false);
     let due = now + ms(18_600);
-    assert_eq!(next_phase(&book, due), None);
-    let other = running(now, 8);
+    assert_eq!(next_phase(&controller, due), None);
+    let other = running_rollout(now, 8);
     for peer in 0..4 {
-        let word = other.word(due).unwrap();
-        book.on_word(due, peer, &word);
+        let report = other.report(due).unwrap();
+        controller.on_report(due, peer, &report);
     }
-    assert_eq!(next_phase(&book, due), Some(RolloutPhase::Completed));
+    assert_eq!(next_phase(&controller, due), Some(RolloutPhase::Completed));
 }
 
-/// Promise: a verdict that another entry tells is taken at once, whatever was seen here.
+/// A verdict reported by another entry takes effect at once, whatever this entry observed.
 #[test]
-fn a_verdict_is_taken_from_others() {
+fn a_reported_verdict_takes_effect() {
     let now = Instant::now();
-    let (mut book, mut other) = (running(now, 8), running(now, 8));
-    answered(&mut other, now, "v2", 3, true);
+    let (mut controller, mut other) = (running_rollout(now, 8), running_rollout(now, 8));
+    answer_requests(&mut other, now, "v2", 3, true);
     assert!(other.take_verdict());
-    let mut word = other.word(now + ms(500)).unwrap();
-    word.orders[0].counts.clear();
-    book.on_word(now + ms(500), 3, &word);
+    let mut report = other.report(now + ms(500)).unwrap();
+    report.orders[0].counts.clear();
+    controller.on_report(now + ms(500), 3, &report);
     assert_eq!(
-        book.record("board").unwrap().phase,
+        controller.record("board").unwrap().phase,
         RolloutPhase::RolledBack
     );
 }
 
-/// Promise: after its end a rollout is completed no more, and its version is given up soon.
+/// A rollout is not completed after its deadline, and its version soon gets no more requests.
 #[test]
 fn nothing_is_completed_after_the_end() {
     let now = Instant::now();
-    let mut book = running(now, 1);
-    answered(&mut book, now, "v2", 3, false);
+    let mut controller = running_rollout(now, 1);
+    answer_requests(&mut controller, now, "v2", 3, false);
     assert_eq!(
-        next_phase(&book, now + ms(18_600)),
+        next_phase(&controller, now + ms(18_600)),
         Some(RolloutPhase::Completed)
     );
     assert_eq!(
-        next_phase(&book, now + ms(20_000)),
+        next_phase(&controller, now + ms(20_000)),
         Some(RolloutPhase::RolledBack)
     );
     let fresh = Some(ms(300));
-    let soon = book.choose(now + ms(20_100), "board", false, fresh);
+    let soon = controller.choose(now + ms(20_100), "board", false, fresh);
     assert_eq!(
         soon,
         VersionChoice::NewOnly,
         "its completion may be on the way"
     );
-    let late = book.choose(now + ms(22_600), "board", false, fresh);
+    let late = controller.choose(now + ms(22_600), "board", false, fresh);
     assert_eq!(late, VersionChoice::Old);
 }
 
-/// Promise: a version of which hardly any answer was seen doesn't get everything.
+/// A version with too few answers doesn't get all requests.
 #[test]
-fn an_unproven_version_gets_a_part() {
+fn an_unproven_version_gets_a_share() {
     let now = Instant::now();
-    let mut book = running(now, 1);
+    let mut controller = running_rollout(now, 1);
     let late = now + ms(18_000);
     let mut old = 0;
     for _ in 0..100 {
-        let choice = book.choose(late, "board", false, Some(ms(300)));
+        let choice = controller.choose(late, "board", false, Some(ms(300)));
         old += usize::from(choice == VersionChoice::Old);
     }
     assert!(old > 60, "{old}");
-    answered(&mut book, now, "v2", 3, false);
-    let choice = book.choose(late, "board", false, Some(ms(300)));
+    answer_requests(&mut controller, now, "v2", 3, false);
+    let choice = controller.choose(late, "board", false, Some(ms(300)));
     assert_eq!(choice, VersionChoice::NewOnly);
 }
 
-/// Promise: a version that fails on a route of few requests is found, though all of its answers
+/// A fault on a route with few requests is detected even though the answers of all routes
 /// together look good.
 #[test]
 fn a_fault_on_one_route_is_found() {
     let now = Instant::now();
-    let mut book = running(now, 1);
+    let mut controller = running_rollout(now, 1);
     for turn in 0..40 {
-        answered(&mut book, now + ms(100 * turn), "v1", 3, false);
-        answered(&mut book, now + ms(100 * turn), "v2", 3, false);
-        answered(&mut book, now + ms(100 * turn), "v2", 4, false);
+        answer_requests(&mut controller, now + ms(100 * turn), "v1", 3, false);
+        answer_requests(&mut controller, now + ms(100 * turn), "v2", 3, false);
+        answer_requests(&mut controller, now + ms(100 * turn), "v2", 4, false);
     }
-    assert_eq!(book.record("board").unwrap().phase, RolloutPhase::Running);
+    assert_eq!(
+        controller.record("board").unwrap().phase,
+        RolloutPhase::Running
+    );
     let mut failures = 0;
-    while book.record("board").unwrap().phase == RolloutPhase::Running {
+    while controller.record("board").unwrap().phase == RolloutPhase::Running {
         let at = now + ms(5000);
-        answered(&mut book, at, "v2", 3, false);
-        answered(&mut book, at, "v2", 3, false);
-        answered(&mut book, at, "v2", 3, false);
+        answer_requests(&mut controller, at, "v2", 3, false);
+        answer_requests(&mut controller, at, "v2", 3, false);
+        answer_requests(&mut controller, at, "v2", 3, false);
         let send = VersionSend {
             service: "board",
             version: "v2",
@@ -376,24 +401,24 @@
             is_cold: false,
             expected: ms(400),
         };
-        let (token, _) = book.on_sent(at, &send).unwrap();
-        book.on_outcome(at, token, SendOutcome::Failed);
+        let (token, _) = controller.on_sent(at, &send).unwrap();
+        controller.on_outcome(at, token, SendOutcome::Failed);
         failures += 1;
         assert!(failures < 10, "{failures} failures of one route");
     }
 }
 
-/// Promise: a word fits a datagram however many routes a service has, with the counts of all
-/// routes in it.
+/// A report fits a datagram regardless of the number of routes, and includes the totals of all
+/// routes.
 #[test]
-fn a_word_stays_small() {
+fn a_report_fits_a_datagram() {
     let now = Instant::now();
-    let mut book = running(now, 8);
+    let mut controller = running_rollout(now, 8);
     for route in 1..=3000 {
-        answered(&mut book, now, "v1", route, false);
+        answer_requests(&mut controller, now, "v1", route, false);
     }
-    let word = book.word(now + ms(500)).unwrap();
-    let counts = &word.orders[0].counts;
+    let report = controller.report(now + ms(500)).unwrap();
+    let counts = &report.orders[0].counts;
     assert!(counts.len() <= 240, "{}", counts.len());
     let all = counts.iter().find(|(route, ..)| *route == ALL_ROUTES);
     assert_eq!(all.unwrap().3, 60_000);
--- a/crates/team/src/quota.rs
+++ b/crates/team/src/quota.rs
@@ -1,108 +1,110 @@
-//! Holds all entries together within what each team may ask for.
+//! Enforces team quotas across all entries.
 //!
-//! A team's requests are counted where they enter. Entries tell each other their counts, so
-//! that each keeps the level of one bucket for the whole fleet: it fills at the team's rate
-//! up to its burst, and every request that any entry lets in takes one out. What others let
-//! in and is not heard yet is reckoned by what this entry let in meanwhile.
+//! Requests are counted by the entry that admits them. Entries report their counts to each
+//! other, so that each maintains one token bucket per team for the whole fleet: the bucket
+//! fills at the team's rate up to its burst, and each request admitted by any entry removes a
+//! token. Admissions that peers have not reported yet are estimated by this entry's own.
 //!
-//! An entry that isn't heard may be cut off and go on. So each has a part that is always its
-//! own: the others leave it alone while they don't hear that entry, and an entry that hears
-//! nobody keeps to it. The parts add up to the whole, however the fleet is cut.
+//! A silent entry may be partitioned from the others and still admit requests. Each entry
+//! therefore has a fixed part of the quota: the others reserve it while the entry is silent,
+//! and an entry that hears no peer admits no more than its part. The parts add up to the whole
+//! quota, whichever way the fleet is partitioned.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-use tally::{CountWord, PeerTally};
+use tally::{CountReport, PeerTally};
 
 use crate::bucket::{FleetShare, QuotaBounds, TeamBucket};
 use crate::spec::TeamSpec;
 
-/// An entry that wasn't heard for this long, or for so many times that others take between
-/// two words, is silent: its part is set aside. Until then it is taken to go on.
+/// An entry is silent after this time without a report, or after this many report intervals if
+/// that is longer; its part is then reserved. Until then it is assumed to continue as before.
 const SILENT_AFTER: Duration = Duration::from_millis(500);
-const SILENT_WORDS: f64 = 3.2;
-/// A silent entry is reckoned with for so long: it may be cut off and go on.
-const SET_ASIDE_FOR: Duration = Duration::from_secs(60);
-/// Entries that one which has met none of the others is taken to be among.
-const UNMET: usize = 8;
-/// A count that changed is told for this long: some of several words may get lost.
-const TOLD_FOR: Duration = Duration::from_millis(1000);
+const SILENT_INTERVALS: f64 = 3.2;
+/// Time for which the part of a silent entry is reserved, since it may be partitioned and still
+/// admit requests.
+const RESERVATION_TIME: Duration = Duration::from_secs(60);
+/// Fleet size assumed by an entry that has not met any of its peers.
+const ASSUMED_FLEET_SIZE: usize = 8;
+/// Time for which a changed count is included in reports, so that it survives the loss of some.
+const REPORT_CHANGE_FOR: Duration = Duration::from_millis(1000);
 
 base::common! {
-    /// What an entry let in, as it tells others.
+    /// The requests admitted by an entry, as reported to its peers.
     #[derive(Eq, Default, PartialOrd, Ord)]
-    pub struct QuotaWord {
-        /// One run of the entry's process.
+    pub struct QuotaReport {
+        /// Identifies one run of the entry's process.
         pub run: u64,
-        /// Milliseconds since it began to count.
+        /// Milliseconds since the run began to count.
         pub age: u64,
-        /// Tells apart sets of teams, in which places differ.
+        /// Hash of the set of teams, without which the indexes in `counts` have no meaning.
         pub teams: u32,
-        /// Whether it lets nothing in any more until it speaks again.
-        pub ends: bool,
-        /// Requests let in since the start, of teams for which that changed lately, by their
-        /// places in the order of all teams' names.
+        /// Whether the entry admits no more requests until its next report.
+        pub stops: bool,
+        /// Requests admitted since the start, for teams with recent changes. Each team is given
+        /// by its index in the sorted list of all team names.
         pub counts: Vec<(u32, u32)>,
     }
 }
 
-/// Names a team among all entries, whatever teams there are besides.
+/// Identifies a team at all entries, independently of which other teams exist.
 type TeamId = u64;
 
-/// The quotas of all teams.
+/// Limits the requests of all teams to their quotas.
 #[derive(Debug)]
 pub struct QuotaLimiter {
     bounds: QuotaBounds,
     run: u64,
-    /// All teams, by name.
+    /// All teams, sorted by name.
     teams: Vec<TeamId>,
-    set: u32,
+    teams_hash: u32,
     buckets: HashMap<TeamId, TeamBucket>,
     tally: PeerTally<TeamId>,
     changed: HashMap<TeamId, Instant>,
-    /// The others that get requests, and since when they are listed.
+    /// The other entries in service, with the time since which they are listed.
     listed: HashMap<u64, Instant>,
     has_others: bool,
     silent_after: Duration,
-    /// Others that let nothing in until they speak again.
-    ended: HashSet<u64>,
-    /// The others that are silent.
+    /// Other entries that admit nothing until their next report.
+    stopped: HashSet<u64>,
+    /// Other entries that are silent.
     silent: HashSet<u64>,
     share: FleetShare,
 }
 
 impl QuotaLimiter {
-    /// A limiter of the run `run` of an entry that starts at `now`; `has_others` where there
-    /// are other entries, met or not.
+    /// Creates the limiter of an entry that starts at `now` with the run number `run`.
+    /// `has_others` tells whether other entries exist, met or not.
     pub fn new(now: Instant, bounds: QuotaBounds, run: u64, has_others: bool) -> Self {
         Self {
             bounds,
             run,
             teams: Vec::new(),
-            set: 0,
+            teams_hash: 0,
             buckets: HashMap::new(),
-            tally: PeerTally::new(SILENT_AFTER).with_begin(now),
+            tally: PeerTally::new(SILENT_AFTER).with_start(now),
             changed: HashMap::new(),
             listed: HashMap::new(),
             has_others,
             silent_after: SILENT_AFTER,
-            ended: HashSet::new(),
+            stopped: HashSet::new(),
             silent: HashSet::new(),
             share: FleetShare::default(),
         }
     }
 
-    /// Takes in the teams of a new desired state.
+    /// Replaces the teams after a change of settings.
     pub fn set_teams(&mut self, now: Instant, teams: &[TeamSpec]) {
         let mut names: Vec<&str> = teams.iter().map(|team| team.name.as_str()).collect();
         names.sort_unstable();
         names.dedup();
         self.teams = names.iter().map(|name| team_id(name)).collect();
-        let set = self
+        let hash = self
             .teams
             .iter()
-            .fold(0, |set: u64, id| set.rotate_left(5) ^ id);
-        self.set = (set ^ (set >> 32)) as u32;
+            .fold(0, |hash: u64, id| hash.rotate_left(5) ^ id);
+        self.teams_hash = (hash ^ (hash >> 32)) as u32;
         let share = self.share(now);
         let mut buckets = HashMap::new();
         for team in teams {
@@ -121,125 +123,128 @@
         self.buckets = buckets;
     }
 
-    /// Takes in which other entries get requests, and after what time each of them speaks
-    /// again.
-    pub fn set_entries(&mut self, now: Instant, entries: &[u64], pause: Duration) {
-        self.silent_after = SILENT_AFTER.max(pause.mul_f64(SILENT_WORDS));
-        self.tally.set_life(self.silent_after);
+    /// Updates the list of other entries in service and the interval at which each of them
+    /// reports.
+    pub fn set_entries(&mut self, now: Instant, entries: &[u64], report_interval: Duration) {
+        self.silent_after = SILENT_AFTER.max(report_interval.mul_f64(SILENT_INTERVALS));
+        self.tally.set_report_ttl(self.silent_after);
         self.listed.retain(|peer, _| entries.contains(peer));
         for peer in entries {
             self.listed.entry(*peer).or_insert(now);
         }
         let listed = &self.listed;
-        self.tally.retain(|peer, heard| {
-            listed.contains_key(&peer) || now.saturating_duration_since(heard) < SET_ASIDE_FOR
+        self.tally.retain(|peer, last_heard| {
+            listed.contains_key(&peer)
+                || now.saturating_duration_since(last_heard) < RESERVATION_TIME
         });
         let tally = &self.tally;
-        self.ended.retain(|peer| tally.heard(*peer).is_some());
-        self.look_around(now);
+        self.stopped
+            .retain(|peer| tally.last_heard(*peer).is_some());
+        self.refresh_share(now);
     }
 
-    /// Lets a request of the team `name` in.
+    /// Admits a request of the team `name`.
     ///
     /// # Errors
-    /// The time after which its caller is to come back, where the team asks for too much.
+    /// The time after which the caller should retry, if the team exceeds its quota.
     pub fn admit(&mut self, now: Instant, name: &str) -> Result<(), Duration> {
         let id = team_id(name);
         let share = self.share(now);
-        let unheard = self.tally.unheard(now, id);
+        let unreported = self.tally.estimate_unreported(now, id);
         let Some(bucket) = self.buckets.get_mut(&id) else {
             return Ok(());
         };
-        bucket.take(now, &self.bounds, share, unheard)?;
+        bucket.try_take(now, &self.bounds, share, unreported)?;
         self.tally.add(now, id);
         self.changed.insert(id, now);
         Ok(())
     }
 
-    /// A request of the team `name` that was let in has not run and never will.
-    pub fn give_back(&mut self, now: Instant, name: &str) {
+    /// Refunds an admitted request of the team `name` that was not run and never will be.
+    pub fn refund(&mut self, now: Instant, name: &str) {
         let id = team_id(name);
         if let Some(bucket) = self.buckets.get_mut(&id) {
-            bucket.count(-1.0);
-            self.tally.take_back(id);
+            bucket.debit(-1.0);
+            self.tally.undo_add(id);
             self.changed.insert(id, now);
         }
     }
 
-    /// What this entry let in, for the others. Call it several times a second while
-    /// [`Self::is_used`].
-    pub fn word(&mut self, now: Instant) -> QuotaWord {
-        self.look_around(now);
+    /// Returns this entry's report to its peers. Call it several times a second while
+    /// [`Self::has_changes`].
+    pub fn report(&mut self, now: Instant) -> QuotaReport {
+        self.refresh_share(now);
         self.changed
-            .retain(|_, at| now.saturating_duration_since(*at) < TOLD_FOR);
+            .retain(|_, at| now.saturating_duration_since(*at) < REPORT_CHANGE_FOR);
         let mut counts = Vec::with_capacity(self.changed.len());
-        for (place, id) in (0..).zip(&self.teams) {
+        for (index, id) in (0..).zip(&self.teams) {
             if self.changed.contains_key(id) {
-                counts.push((place, self.tally.own(*id)));
+                counts.push((index, self.tally.own_total(*id)));
             }
         }
-        QuotaWord {
+        QuotaReport {
             run: self.run,
             age: u64::try_from(self.tally.age(now).as_millis()).unwrap_or(u64::MAX),
-            teams: self.set,
-            ends: false,
+            teams: self.teams_hash,
+            stops: false,
             counts,
         }
     }
 
     /// Whether any team has a quota.
-    pub fn is_needed(&self) -> bool {
+    pub fn has_quotas(&self) -> bool {
         !self.buckets.is_empty()
     }
 
-    /// Whether this entry let something in lately that the others may not have heard.
-    pub fn is_used(&self) -> bool {
+    /// Whether this entry admitted requests recently that peers may not know of.
+    pub fn has_changes(&self) -> bool {
         !self.changed.is_empty()
     }
 
-    /// Takes in what the entry `peer` let in.
-    pub fn on_word(&mut self, now: Instant, peer: u64, word: &QuotaWord) {
-        // Places among other teams say nothing; counts add up, so that nothing is lost by it.
-        let teams = if word.teams == self.set {
+    /// Records a report of the entry `peer`.
+    pub fn on_report(&mut self, now: Instant, peer: u64, report: &QuotaReport) {
+        // Indexes into another set of teams have no meaning. Counts are totals, so a later
+        // report makes up for the skipped one.
+        let teams = if report.teams == self.teams_hash {
             self.teams.as_slice()
         } else {
             &[]
         };
-        let heard = self
+        let last_heard = self
             .tally
-            .heard(peer)
+            .last_heard(peer)
             .or_else(|| self.listed.get(&peer).copied());
-        let silent_for = heard.map(|at| now.saturating_duration_since(at));
+        let silent_for = last_heard.map(|at| now.saturating_duration_since(at));
         let silent_for = silent_for.filter(|span| *span >= self.silent_after);
-        let (share, ends) = (self.share, word.ends);
-        let word = word.counted(teams);
-        for (id, added) in self.tally.on_word(now, peer, &word) {
+        let (share, stops) = (self.share, report.stops);
+        let report = report.to_count_report(teams);
+        for (id, added) in self.tally.on_report(now, peer, &report) {
             let Some(bucket) = self.buckets.get_mut(&id) else {
                 continue;
             };
-            // What it let in of its own part was set aside.
-            let own = silent_for.map_or(0.0, |span| bucket.part(share, span));
+            // What the entry admitted from its own part was already reserved.
+            let own = silent_for.map_or(0.0, |span| bucket.entry_allowance(share, span));
             let added = added as f64;
-            bucket.on_others(now, added);
-            bucket.count(if added > 0.0 {
+            bucket.on_peer_admitted(now, added);
+            bucket.debit(if added > 0.0 {
                 (added - own).max(0.0)
             } else {
                 added
             });
         }
-        if ends {
-            self.ended.insert(peer);
+        if stops {
+            self.stopped.insert(peer);
         } else {
-            self.ended.remove(&peer);
+            self.stopped.remove(&peer);
         }
     }
 
-    /// Counts what those that have just fallen silent likely let in since they were heard.
-    fn charge(&mut self, now: Instant, silent: &HashSet<u64>) {
+    /// Charges the estimated admissions of entries that have just fallen silent.
+    fn charge_silent(&mut self, now: Instant, silent: &HashSet<u64>) {
         for peer in silent.difference(&self.silent) {
-            for (id, own) in self.tally.since(*peer) {
+            for (id, own) in self.tally.own_since(*peer) {
                 if let Some(bucket) = self.buckets.get_mut(&id) {
-                    bucket.charge(now, self.share, own);
+                    bucket.charge_silent(now, self.share, own);
                 }
             }
         }
@@ -247,30 +252,29 @@
     }
 
     fn share(&mut self, now: Instant) -> FleetShare {
-        if self.share.is_old(now) {
-            self.look_around(now);
+        if self.share.is_stale(now) {
+            self.refresh_share(now);
         }
         self.share
     }
 
-    /// Finds out which of the others are silent. Where there are more, their parts are set
-    /// aside.
-    fn look_around(&mut self, now: Instant) {
+    /// Determines which entries are silent. If others became silent, their parts are reserved.
+    fn refresh_share(&mut self, now: Instant) {
         let is_silent = |at: Instant| now.saturating_duration_since(at) >= self.silent_after;
         let (mut known, mut silent) = (1, HashSet::new());
-        for (peer, heard) in self.tally.peers() {
-            let is_old = now.saturating_duration_since(heard) >= SET_ASIDE_FOR;
+        for (peer, last_heard) in self.tally.peers() {
+            let is_old = now.saturating_duration_since(last_heard) >= RESERVATION_TIME;
             let is_listed = self.listed.contains_key(&peer);
-            if self.ended.contains(&peer) || is_old && !is_listed {
+            if self.stopped.contains(&peer) || is_old && !is_listed {
                 continue;
             }
             known += 1;
-            if is_silent(heard) {
+            if is_silent(last_heard) {
                 silent.insert(peer);
             }
         }
         for (peer, since) in &self.listed {
-            if self.tally.heard(*peer).is_some() {
+            if self.tally.last_heard(*peer).is_some() {
                 continue;
             }
             known += 1;
@@ -278,27 +282,27 @@
                 silent.insert(*peer);
             }
         }
-        self.charge(now, &silent);
+        self.charge_silent(now, &silent);
         let mut silent = silent.len();
         if known == 1 && self.has_others {
-            (known, silent) = (UNMET, UNMET - 1);
+            (known, silent) = (ASSUMED_FLEET_SIZE, ASSUMED_FLEET_SIZE - 1);
         }
         let share = FleetShare::new(now, silent, known);
         for bucket in self.buckets.values_mut() {
-            bucket.on_share(now, self.share, share);
+            bucket.on_share_change(now, self.share, share);
         }
         self.share = share;
     }
 }
 
-impl QuotaWord {
-    /// The counts by the ids of `teams`, among which the word's places are.
-    fn counted(&self, teams: &[TeamId]) -> CountWord<TeamId> {
-        let counts = self.counts.iter().filter_map(|(place, count)| {
-            let id = teams.get(usize::try_from(*place).ok()?)?;
+impl QuotaReport {
+    /// Resolves the indexes of the report to the ids in `teams`.
+    fn to_count_report(&self, teams: &[TeamId]) -> CountReport<TeamId> {
+        let counts = self.counts.iter().filter_map(|(index, count)| {
+            let id = teams.get(usize::try_from(*index).ok()?)?;
             Some((*id, *count))
         });
-        CountWord {
+        CountReport {
             run: self.run,
             age: Duration::from_millis(self.age),
             counts: counts.collect(),
@@ -306,7 +310,7 @@
     }
 }
 
-/// FNV-1a of the team's name: the same at all entries.
+/// FNV-1a hash of the team's name, equal at all entries.
 fn team_id(name: &str) -> TeamId {
     let mut hash = 0xcbf2_9ce4_8422_2325_u64;
     for byte in name.bytes() {
--- a/crates/team/tests/access.rs
+++ b/crates/team/tests/access.rs
@@ -1,14 +1,14 @@
-//! Whose request it is, and whether it may enter.
+//! Access checks: which team a request belongs to, and whether it is admitted.
 
 use std::time::Duration;
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use team::error::Error;
-use team::homes::common_homes;
-use team::prelude::{Access, AccessBounds, KeyClaim, KeyDigest, TeamBook, TeamQuota, TeamSpec};
+use team::prelude::{Access, AccessBounds, KeyClaim, KeyDigest, TeamIndex, TeamQuota, TeamSpec};
+use team::regions::allowed_regions;
 
-/// Fixed, so that each run gives the same verdict.
+/// Fixed, so that each run gives the same result.
 const SEED: u64 = 3;
 
 fn secs(seconds: u64) -> Duration {
@@ -46,11 +46,11 @@
     }
 }
 
-/// Promise: a request is its key's team's, and nobody else's.
+/// A key identifies its own team and no other.
 #[test]
 fn a_key_names_its_team() {
-    let book = TeamBook::new(&[team("red", &["r1", "r2"]), team("blue", &["b1"])]);
-    let decide = |claim| bounds(Some(secs(5))).decide(&book, claim, false, Some(secs(1)));
+    let index = TeamIndex::new(&[team("red", &["r1", "r2"]), team("blue", &["b1"])]);
+    let decide = |claim| bounds(Some(secs(5))).decide(&index, claim, false, Some(secs(1)));
     assert_eq!(name_of(&decide(claim("r2"))), Some("red"));
     assert_eq!(name_of(&decide(claim("b1"))), Some("blue"));
     assert_eq!(decide(claim("b2")), Access::Denied);
@@ -58,7 +58,7 @@
     assert_eq!(decide(KeyClaim::Malformed), Access::Denied);
 }
 
-/// Promise: a key that two teams hold lets nobody in as either, and is named to operators.
+/// A key that belongs to two teams identifies neither and is reported to operators.
 #[test]
 fn a_key_of_two_teams_names_neither() {
     let teams = [
@@ -66,46 +66,46 @@
         team("blue", &["k"]),
         team("grey", &["k"]),
     ];
-    let book = TeamBook::new(&teams);
-    assert!(book.find(KeyDigest::of(b"k")).is_none());
-    assert!(book.find(KeyDigest::of(b"r")).is_some());
-    assert!(book.shared_keys().contains(&KeyDigest::of(b"k")));
-    let twice = TeamBook::new(&[team("red", &["k", "k"])]);
+    let index = TeamIndex::new(&teams);
+    assert!(index.find(KeyDigest::of(b"k")).is_none());
+    assert!(index.find(KeyDigest::of(b"r")).is_some());
+    assert!(index.shared_keys().contains(&KeyDigest::of(b"k")));
+    let twice = TeamIndex::new(&[team("red", &["k", "k"])]);
     assert!(twice.find(KeyDigest::of(b"k")).is_some());
     assert!(twice.shared_keys().is_empty());
 }
 
-/// Promise: without teams nobody needs a key; public routes need none either, and a key
-/// there still names its team.
+/// Without teams no request needs a key. Public routes need none either, but a key sent there
+/// still identifies its team.
 #[test]
-fn who_needs_no_key() {
-    let nobody = TeamBook::new(&[]);
-    let book = TeamBook::new(&[team("red", &["r1"]), team("empty", &[])]);
+fn requests_that_need_no_key() {
+    let no_teams = TeamIndex::new(&[]);
+    let index = TeamIndex::new(&[team("red", &["r1"]), team("empty", &[])]);
     let at = bounds(Some(secs(5)));
     assert_eq!(
-        at.decide(&nobody, KeyClaim::None, false, None),
+        at.decide(&no_teams, KeyClaim::None, false, None),
         Access::Open
     );
-    assert_eq!(at.decide(&book, KeyClaim::None, true, None), Access::Open);
+    assert_eq!(at.decide(&index, KeyClaim::None, true, None), Access::Open);
     assert_eq!(
-        at.decide(&book, claim("x"), true, Some(secs(1))),
+        at.decide(&index, claim("x"), true, Some(secs(1))),
         Access::Open
     );
-    let named = at.decide(&book, claim("r1"), true, Some(secs(1)));
+    let named = at.decide(&index, claim("r1"), true, Some(secs(1)));
     assert_eq!(name_of(&named), Some("red"));
-    // Who it was can't be told any more.
+    // The settings are too old to identify the team.
     assert_eq!(
-        at.decide(&book, claim("r1"), true, Some(secs(9))),
+        at.decide(&index, claim("r1"), true, Some(secs(9))),
         Access::Open
     );
 }
 
-/// Promise: a key counts only while it is known that it held less than the bound ago.
+/// A key is accepted only on settings that are younger than the bound.
 #[test]
 fn stale_knowledge_serves_no_key() {
-    let book = TeamBook::new(&[team("red", &["r1"])]);
+    let index = TeamIndex::new(&[team("red", &["r1"])]);
     let at = bounds(Some(secs(5)));
-    let decide = |age| at.decide(&book, claim("r1"), false, age);
+    let decide = |age| at.decide(&index, claim("r1"), false, age);
     assert_eq!(
         name_of(&decide(Some(Duration::from_millis(4800)))),
         Some("red")
@@ -113,31 +113,31 @@
     assert_eq!(decide(Some(secs(5))), Access::Stale);
     assert_eq!(decide(None), Access::Stale);
     let unbound = bounds(None);
-    let served = unbound.decide(&book, claim("r1"), false, Some(secs(3600)));
+    let served = unbound.decide(&index, claim("r1"), false, Some(secs(3600)));
     assert_eq!(name_of(&served), Some("red"));
 }
 
-/// Promise: a key that may just have been added is not denied.
+/// A key that may have been added recently is not denied.
 #[test]
 fn an_unknown_key_is_denied_only_on_fresh_knowledge() {
-    let book = TeamBook::new(&[team("red", &["r1"])]);
+    let index = TeamIndex::new(&[team("red", &["r1"])]);
     let at = bounds(Some(secs(5)));
-    let decide = |claim, age| at.decide(&book, claim, false, age);
+    let decide = |claim, age| at.decide(&index, claim, false, age);
     assert_eq!(decide(claim("new"), Some(secs(2))), Access::Denied);
     assert_eq!(decide(claim("new"), Some(secs(3))), Access::Unsure);
     assert_eq!(decide(KeyClaim::None, Some(secs(3))), Access::Unsure);
     assert_eq!(decide(claim("new"), None), Access::Unsure);
-    // What can't be read can't have been added.
+    // A malformed key can't have been added.
     assert_eq!(decide(KeyClaim::Malformed, None), Access::Denied);
 }
 
-/// Promise: regions of route and team bind together.
+/// The regions of route and team both apply.
 #[test]
-fn homes_of_route_and_team_bind() {
+fn regions_of_route_and_team_both_apply() {
     let regions =
         |names: &[&str]| -> Vec<String> { names.iter().map(|name| (*name).to_owned()).collect() };
     let common = |route: &[&str], team: &[&str]| {
-        common_homes(&regions(route), &regions(team)).map(|homes| homes.into_owned())
+        allowed_regions(&regions(route), &regions(team)).map(|allowed| allowed.into_owned())
     };
     assert_eq!(common(&[], &[]), Some(Vec::new()));
     assert_eq!(common(&["a"], &[]), Some(regions(&["a"])));
@@ -146,7 +146,7 @@
     assert_eq!(common(&["a"], &["c"]), None);
 }
 
-/// Promise: figures that bound nothing are no quota.
+/// Rates that are not positive finite numbers are no quota.
 #[test]
 fn a_rate_of_zero_bounds_nothing() {
     assert_eq!(TeamQuota::new(0.0, 5.0), None);
@@ -157,7 +157,7 @@
     assert!((quota.rate - 0.5).abs() < 1e-9 && quota.burst == 0.0);
 }
 
-/// Promise: what settings write as a digest is read as that, and all else is refused.
+/// Digests in settings are validated.
 #[test]
 fn digests_in_settings_are_checked() {
     let digest = KeyDigest::of(b"key");
@@ -171,8 +171,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(SEED), ..ProptestConfig::default() })]
 
-    /// Promise: nothing that is shown or stored of a key contains it, and a digest is not
-    /// itself a key.
+    /// No text form of a digest contains the key, and a digest can't be used as a key.
     #[test]
     fn a_key_is_never_shown(key in "[a-z0-9]{9,40}") {
         let digest = KeyDigest::of(key.as_bytes());
@@ -182,7 +181,7 @@
         prop_assert!(KeyDigest::of(digest.to_text().as_bytes()) != digest);
     }
 
-    /// Promise: no text breaks the reading of digests.
+    /// Parsing never panics on arbitrary text, and what it accepts round-trips.
     #[test]
     fn any_text_is_read_or_refused(text in any::<String>()) {
         if let Ok(digest) = KeyDigest::parse(&text) {
--- a/crates/team/tests/quota.rs
+++ b/crates/team/tests/quota.rs
@@ -1,10 +1,10 @@
-//! One entry's part in a team's quota.
+//! Team quotas at one entry.
 
 use std::time::{Duration, Instant};
 
-use team::prelude::{QuotaBounds, QuotaLimiter, QuotaWord, TeamQuota, TeamSpec};
+use team::prelude::{QuotaBounds, QuotaLimiter, QuotaReport, TeamQuota, TeamSpec};
 
-const PAUSE: Duration = Duration::from_millis(80);
+const REPORT_INTERVAL: Duration = Duration::from_millis(80);
 const BOUNDS: QuotaBounds = QuotaBounds {
     window: Duration::from_secs(5),
     excess: 0.1,
@@ -25,8 +25,8 @@
     Duration::from_millis(millis)
 }
 
-/// A limiter that knows the team `red` and has run alone for a while.
-fn alone(rate: f64, burst: f64) -> (Instant, QuotaLimiter) {
+/// Returns a limiter that knows the team `red` and has run for a minute without peers.
+fn lone_limiter(rate: f64, burst: f64) -> (Instant, QuotaLimiter) {
     let start = Instant::now();
     let mut limiter = QuotaLimiter::new(start, BOUNDS, 1, false);
     limiter.set_teams(start, &[team("red", rate, burst)]);
@@ -38,47 +38,46 @@
     tries.count() as u32
 }
 
-fn hears(limiter: &mut QuotaLimiter, now: Instant, peer: u64, run: u64, age: u64) {
-    let word = QuotaWord {
+fn receive_report(limiter: &mut QuotaLimiter, now: Instant, peer: u64, run: u64, age: u64) {
+    let report = QuotaReport {
         run,
         age,
-        ..QuotaWord::default()
+        ..QuotaReport::default()
     };
-    limiter.on_word(now, peer, &word);
+    limiter.on_report(now, peer, &report);
 }
 
-/// Promise: a team gets its burst and its rate, no more; teams without a quota get all.
+/// A team gets its burst and its rate, no more; teams without a quota are unlimited.
 #[test]
 fn a_quota_is_a_rate_and_a_burst() {
-    let (now, mut limiter) = alone(10.0, 30.0);
+    let (now, mut limiter) = lone_limiter(10.0, 30.0);
     assert_eq!(admitted(&mut limiter, now, 100), 30);
     assert_eq!(admitted(&mut limiter, now + ms(2000), 100), 20);
     assert!((0..1000).all(|_| limiter.admit(now, "free").is_ok()));
 }
 
-/// Promise: a rate far below one request a second, and no burst, still let one in now and
-/// then.
+/// A rate far below one request per second without a burst still admits single requests.
 #[test]
 fn a_small_quota_is_not_none() {
-    let (now, mut limiter) = alone(0.1, 0.0);
+    let (now, mut limiter) = lone_limiter(0.1, 0.0);
     assert_eq!(admitted(&mut limiter, now, 5), 1);
     assert_eq!(admitted(&mut limiter, now + ms(9000), 5), 0);
     assert_eq!(admitted(&mut limiter, now + ms(10_100), 5), 1);
 }
 
-/// Promise: what hasn't run doesn't count.
+/// Requests that did not run are refunded.
 #[test]
-fn what_has_not_run_is_given_back() {
-    let (now, mut limiter) = alone(1.0, 2.0);
+fn requests_that_did_not_run_are_refunded() {
+    let (now, mut limiter) = lone_limiter(1.0, 2.0);
     assert_eq!(admitted(&mut limiter, now, 5), 2);
-    limiter.give_back(now, "red");
+    limiter.refund(now, "red");
     assert_eq!(admitted(&mut limiter, now, 5), 1);
 }
 
-/// Promise: callers are told to come back when there is room, one after the other.
+/// Refused callers get increasing retry delays, one for each request that becomes available.
 #[test]
 fn refused_callers_come_back_one_after_the_other() {
-    let (now, mut limiter) = alone(4.0, 4.0);
+    let (now, mut limiter) = lone_limiter(4.0, 4.0);
     assert_eq!(admitted(&mut limiter, now, 4), 4);
     let waits: Vec<Duration> = (0..4)
         .map(|_| limiter.admit(now, "red").unwrap_err())
@@ -95,74 +94,73 @@
     }
 }
 
-/// Promise: an entry that starts among others doesn't take what they may have let in before
-/// for free.
+/// A starting entry must not admit the full burst again that its peers may have used up before.
 #[test]
-fn an_entry_that_starts_begins_with_little() {
+fn a_starting_entry_has_a_low_initial_level() {
     let start = Instant::now();
     let mut limiter = QuotaLimiter::new(start, BOUNDS, 2, true);
     for peer in 1..=8 {
-        hears(&mut limiter, start, peer, 1, 60_000);
+        receive_report(&mut limiter, start, peer, 1, 60_000);
     }
-    limiter.set_entries(start, &[1, 2, 3, 4, 5, 6, 7, 8], PAUSE);
+    limiter.set_entries(start, &[1, 2, 3, 4, 5, 6, 7, 8], REPORT_INTERVAL);
     let now = start + ms(100);
     limiter.set_teams(now, &[team("red", 100.0, 100.0)]);
     let first = admitted(&mut limiter, now, 1000);
     assert!((1..=20).contains(&first), "{first}");
 }
 
-/// Promise: an entry that nobody hears keeps to its part; once it hears the others again it
-/// has all of the quota, less what they let in.
+/// An entry without reports from its peers keeps to its own part. Once they report again it has
+/// the whole quota, less what they admitted.
 #[test]
-fn a_silent_fleet_leaves_each_its_part() {
+fn an_isolated_entry_keeps_to_its_part() {
     let start = Instant::now();
     let mut limiter = QuotaLimiter::new(start, BOUNDS, 1, true);
     limiter.set_teams(start, &[team("red", 90.0, 90.0)]);
     let peers: Vec<u64> = (1..=8).collect();
-    limiter.set_entries(start, &peers, PAUSE);
+    limiter.set_entries(start, &peers, REPORT_INTERVAL);
     let mut now = start;
     for _ in 0..50 {
         now += ms(100);
         for peer in &peers {
-            hears(&mut limiter, now, *peer, 1, 1000);
+            receive_report(&mut limiter, now, *peer, 1, 1000);
         }
     }
     now += ms(20_000);
-    let alone = admitted(&mut limiter, now, 1000);
-    // A ninth of the burst, and a little for what it can't know.
-    assert!((10..=14).contains(&alone), "{alone}");
+    let lone_limiter = admitted(&mut limiter, now, 1000);
+    // A ninth of the burst, and a little of the tolerance for unknown requests.
+    assert!((10..=14).contains(&lone_limiter), "{lone_limiter}");
     now += ms(5000);
     for _ in 0..12 {
         now += ms(100);
         for peer in &peers {
-            hears(&mut limiter, now, *peer, 1, 30_000);
+            receive_report(&mut limiter, now, *peer, 1, 30_000);
         }
-        limiter.word(now);
+        limiter.report(now);
     }
     let together = admitted(&mut limiter, now, 1000);
     assert!(together >= 90, "{together}");
 }
 
-/// Promise: an entry that says that it lets nothing in any more has no part set aside.
+/// No part is reserved for an entry that reported that it stops admitting requests.
 #[test]
-fn who_stands_by_takes_no_part() {
-    let (mut now, mut limiter) = alone(100.0, 100.0);
-    hears(&mut limiter, now, 1, 1, 1000);
-    let last = QuotaWord {
+fn no_part_is_reserved_for_a_stopped_entry() {
+    let (mut now, mut limiter) = lone_limiter(100.0, 100.0);
+    receive_report(&mut limiter, now, 1, 1, 1000);
+    let last = QuotaReport {
         run: 1,
         age: 1080,
-        ends: true,
-        ..QuotaWord::default()
+        stops: true,
+        ..QuotaReport::default()
     };
-    limiter.on_word(now + PAUSE, 1, &last);
+    limiter.on_report(now + REPORT_INTERVAL, 1, &last);
     now += ms(10_000);
     assert_eq!(admitted(&mut limiter, now, 1000), 100);
 }
 
-/// Promise: places among other teams are not taken for this entry's, and nothing is lost once
-/// both know the same teams.
+/// Indexes into another set of teams are ignored, and no count is lost once both entries know
+/// the same teams.
 #[test]
-fn counts_of_other_sets_of_teams_wait() {
+fn counts_for_other_teams_are_ignored_without_loss() {
     let start = Instant::now();
     let both = [team("blue", 10.0, 10.0), team("red", 10.0, 10.0)];
     let mut ahead = QuotaLimiter::new(start, BOUNDS, 1, false);
@@ -170,19 +168,23 @@
     let mut behind = QuotaLimiter::new(start, BOUNDS, 1, false);
     behind.set_teams(start, &[team("red", 10.0, 10.0)]);
     let now = start + ms(4000);
-    hears(&mut behind, now, 7, 1, 4000);
+    receive_report(&mut behind, now, 7, 1, 4000);
     assert_eq!(admitted(&mut ahead, now, 9), 9);
-    let word = ahead.word(now);
-    behind.on_word(now, 7, &word);
+    let report = ahead.report(now);
+    behind.on_report(now, 7, &report);
     behind.set_teams(now, &both);
-    behind.on_word(now + PAUSE, 7, &ahead.word(now + PAUSE));
-    assert!(admitted(&mut behind, now + PAUSE, 100) <= 2);
+    behind.on_report(
+        now + REPORT_INTERVAL,
+        7,
+        &ahead.report(now + REPORT_INTERVAL),
+    );
+    assert!(admitted(&mut behind, now + REPORT_INTERVAL, 100) <= 2);
 }
 
-/// Promise: a hundred thousand teams cost a request no more than one does, and a word tells
-/// only of those that asked lately.
+/// With a hundred thousand teams, the cost of a request is the same as with one, and a report
+/// lists only teams with recent requests.
 #[test]
-fn many_teams_cost_only_those_that_ask() {
+fn cost_does_not_grow_with_idle_teams() {
     let start = Instant::now();
     let teams: Vec<TeamSpec> = (0..100_000)
         .map(|index| team(&format!("team-{index}"), 5.0, 5.0))
@@ -193,6 +195,6 @@
     for index in 0..40 {
         assert!(limiter.admit(now, &format!("team-{}", index * 7)).is_ok());
     }
-    assert_eq!(limiter.word(now).counts.len(), 40);
-    assert_eq!(limiter.word(now + ms(1500)).counts.len(), 0);
+    assert_eq!(limiter.report(now).counts.len(), 40);
+    assert_eq!(limiter.report(now + ms(1500)).counts.len(), 0);
 }
