--- a/crates/place/src/fleet/doubt.rs
+++ b/crates/place/src/fleet/doubt.rs
@@ -29,8 +29,8 @@
     /// Whether everything is to be asked for anew now, where that was not done for `pause`.
     pub fn is_due(&self, now: Instant, pause: Duration) -> bool {
         let is_over = |at: Instant, span| now.saturating_duration_since(at) >= span;
-        let is_backing_off = self.acted_at.is_some_and(|at| !is_over(at, pause));
-        self.since.is_some_and(|at| is_over(at, SETTLED_AFTER)) && !is_backing_off
+        let is_paused = self.acted_at.is_some_and(|at| !is_over(at, pause));
+        self.since.is_some_and(|at| is_over(at, SETTLED_AFTER)) && !is_paused
     }
 
     /// When to look again, while there is doubt.
--- a/crates/place/src/fleet/member/crashes.rs
+++ b/crates/place/src/fleet/member/crashes.rs
@@ -9,12 +9,8 @@
 
 impl FleetMember {
     /// How much longer the request is refused; `None` where it isn't.
-    pub fn quarantine_left(
-        &self,
-        now: Instant,
-        fingerprint: RequestFingerprint,
-    ) -> Option<Duration> {
-        self.quarantine.quarantine_left(now, fingerprint)
+    pub fn quarantine_left(&self, now: Instant, print: RequestFingerprint) -> Option<Duration> {
+        self.quarantine.quarantine_left(now, print)
     }
 
     /// Whether any request may be in quarantine.
@@ -29,8 +25,8 @@
     }
 
     /// Whether a good answer to the request is news.
-    pub fn suspects(&self, fingerprint: RequestFingerprint) -> bool {
-        self.quarantine.contains(fingerprint) || self.ledger.is_suspect(fingerprint)
+    pub fn suspects(&self, print: RequestFingerprint) -> bool {
+        self.quarantine.contains(print) || self.ledger.is_suspect(print)
     }
 
     /// The requests in quarantine.
@@ -49,12 +45,12 @@
     pub(super) fn on_cleared(
         &mut self,
         now: Instant,
-        fingerprint: RequestFingerprint,
+        print: RequestFingerprint,
         actions: &mut Vec<FleetAction>,
     ) {
-        let was_held = self.quarantine.contains(fingerprint);
-        self.outbox.on_cleared(now, fingerprint, was_held);
-        self.clear(now, fingerprint, actions);
+        let was_held = self.quarantine.contains(print);
+        self.outbox.on_cleared(now, print, was_held);
+        self.clear(now, print, actions);
     }
 
     /// Takes in what another entry says; what is news to a lead goes to the other leads.
@@ -117,12 +113,11 @@
 
     fn mend_rows(&self, now: Instant, rows: &[StoredQuarantine], actions: &mut Vec<FleetAction>) {
         let prints = rows.iter().map(|row| row.print);
-        let is_over =
-            |fingerprint: &RequestFingerprint| self.quarantine_left(now, *fingerprint).is_none();
+        let is_over = |print: &RequestFingerprint| self.quarantine_left(now, *print).is_none();
         drop_rows(prints.filter(is_over).collect(), actions);
-        let is_kept = |fingerprint| rows.iter().any(|row| row.print == fingerprint);
+        let is_kept = |print| rows.iter().any(|row| row.print == print);
         let quarantines = self.quarantines(now);
-        let missing = quarantines.filter(|(fingerprint, _)| !is_kept(*fingerprint));
+        let missing = quarantines.filter(|(print, _)| !is_kept(*print));
         keep(missing.collect(), actions);
     }
 
@@ -169,8 +164,8 @@
             return;
         }
         let news = self.ledger.review(now, &mut self.quarantine);
-        for (fingerprint, status) in &news {
-            self.on_raised(now, *fingerprint, *status, actions);
+        for (print, status) in &news {
+            self.on_raised(now, *print, *status, actions);
             self.statuses_due = now;
         }
     }
@@ -196,16 +191,16 @@
     fn clear(
         &mut self,
         at: Instant,
-        fingerprint: RequestFingerprint,
+        print: RequestFingerprint,
         actions: &mut Vec<FleetAction>,
     ) -> bool {
-        let was_held = self.quarantine.contains(fingerprint);
-        let was_suspect = self.ledger.clear(fingerprint);
-        let is_news = self.quarantine.clear(fingerprint, at);
-        if was_held && !self.quarantine.contains(fingerprint) {
-            actions.push(FleetAction::Note(FleetNote::Cleared(fingerprint)));
+        let was_held = self.quarantine.contains(print);
+        let was_suspect = self.ledger.clear(print);
+        let is_news = self.quarantine.clear(print, at);
+        if was_held && !self.quarantine.contains(print) {
+            actions.push(FleetAction::Note(FleetNote::Cleared(print)));
             if self.leading.is_some() && self.is_first(at) {
-                drop_rows(vec![fingerprint], actions);
+                drop_rows(vec![print], actions);
             }
             self.statuses_due = at;
         }
@@ -215,25 +210,24 @@
     /// The requests in quarantine, and how long ago they were put there.
     fn quarantines(&self, now: Instant) -> impl Iterator<Item = (RequestFingerprint, Duration)> {
         let quarantines = self.quarantine.quarantines();
-        quarantines
-            .map(move |(fingerprint, since)| (fingerprint, now.saturating_duration_since(since)))
+        quarantines.map(move |(print, since)| (print, now.saturating_duration_since(since)))
     }
 
     /// A request is treated more strictly from now on.
     fn on_raised(
         &mut self,
         now: Instant,
-        fingerprint: RequestFingerprint,
+        print: RequestFingerprint,
         status: RequestStatus,
         actions: &mut Vec<FleetAction>,
     ) {
         if status == RequestStatus::Suspect {
-            actions.push(FleetAction::Note(FleetNote::Suspected(fingerprint)));
+            actions.push(FleetAction::Note(FleetNote::Suspected(print)));
             return;
         }
-        actions.push(FleetAction::Note(FleetNote::Quarantined(fingerprint)));
+        actions.push(FleetAction::Note(FleetNote::Quarantined(print)));
         if self.leading.is_some() && self.is_first(now) {
-            keep(vec![(fingerprint, Duration::ZERO)], actions);
+            keep(vec![(print, Duration::ZERO)], actions);
         }
     }
 }
--- a/crates/place/tests/fleet_world/mod.rs
+++ b/crates/place/tests/fleet_world/mod.rs
@@ -340,8 +340,8 @@
             Delivery::WatchTold { operator, time } => self.end_watch(to, Some((operator, time))),
             Delivery::Rows => {
                 let kept = self.kept.iter();
-                let kept = kept.map(|(fingerprint, (at, lifted))| StoredQuarantine {
-                    print: *fingerprint,
+                let kept = kept.map(|(print, (at, lifted))| StoredQuarantine {
+                    print: *print,
                     age: self.now - *at,
                     lifted: *lifted,
                 });
@@ -431,16 +431,15 @@
             FleetAction::KeepQuarantines(quarantines) => {
                 self.calls += 1;
                 if self.is_served(entry) {
-                    for (fingerprint, age) in quarantines {
-                        self.kept.insert(fingerprint, (self.now - age, false));
+                    for (print, age) in quarantines {
+                        self.kept.insert(print, (self.now - age, false));
                     }
                 }
             }
             FleetAction::DropQuarantines(prints) => {
                 self.calls += 1;
                 if self.is_served(entry) {
-                    self.kept
-                        .retain(|fingerprint, _| !prints.contains(fingerprint));
+                    self.kept.retain(|print, _| !prints.contains(print));
                 }
             }
             FleetAction::WriteRow(leads) => {
--- a/crates/place/tests/limits.rs
+++ b/crates/place/tests/limits.rs
@@ -173,10 +173,10 @@
         while at < 4 * WINDOW_MS {
             let now = start + ms(at);
             // Most of them, once servers are full of work that fills their caches.
-            let is_remote = at >= 1400 && stable_hash(&[entry as u8, request as u8]) % 100 < 70;
-            let wanted = if is_remote { "b" } else { "a" };
+            let away = at >= 1400 && stable_hash(&[entry as u8, request as u8]) % 100 < 70;
+            let wanted = if away { "b" } else { "a" };
             limiter.advance(now);
-            let other = if is_remote { "a" } else { "b" };
+            let other = if away { "a" } else { "b" };
             let region = if limiter.permits(wanted) {
                 wanted
             } else {
--- a/crates/rollout/src/book/service.rs
+++ b/crates/rollout/src/book/service.rs
@@ -50,7 +50,7 @@
     /// Requests that other entries have at old versions.
     pub(super) at_old: HashMap<u64, (Instant, u32)>,
     /// What answers usually take, in seconds; 0 before any was expected.
-    pub(super) answer_as_of: f64,
+    pub(super) answer_time: f64,
     /// When this entry heard of the order.
     pub(super) heard_at: Instant,
     /// When the version was found or told to be bad.
@@ -68,7 +68,7 @@
             evidence: VersionEvidence::default(),
             limiter: ExposureLimiter::new(bonus),
             at_old: HashMap::new(),
-            answer_as_of: 0.0,
+            answer_time: 0.0,
             heard_at: now,
             judged_at: None,
         }
@@ -88,12 +88,12 @@
     /// An answer is expected within `expected`.
     pub(super) fn on_expected(&mut self, expected: Duration) {
         let expected = expected.as_secs_f64();
-        let weight = if self.answer_as_of > 0.0 {
+        let weight = if self.answer_time > 0.0 {
             ANSWER_WEIGHT
         } else {
             1.0
         };
-        self.answer_as_of += weight * (expected - self.answer_as_of);
+        self.answer_time += weight * (expected - self.answer_time);
     }
 
     /// Whether it should have ended long ago.
@@ -114,7 +114,7 @@
         schedule: &impl ShareSchedule,
         hears_counts: bool,
     ) -> RolloutStage {
-        let answer = Duration::from_secs_f64(self.answer_as_of);
+        let answer = Duration::from_secs_f64(self.answer_time);
         let duration = self.record.order.duration;
         let stage = schedule.stage(self.elapsed(now), duration, answer);
         let is_whole = matches!(stage, RolloutStage::Preferred | RolloutStage::Exclusive);
