--- a/crates/place/src/fleet/conflict.rs
+++ b/crates/place/src/fleet/conflict.rs
@@ -32,10 +32,10 @@
     /// last refetch.
     pub fn is_due(&self, now: Instant, backoff: Duration) -> bool {
         let has_elapsed = |at: Instant, span| now.saturating_duration_since(at) >= span;
-        let is_backing_off = self
+        let is_paused = self
             .refetched_at
             .is_some_and(|at| !has_elapsed(at, backoff));
-        self.since.is_some_and(|at| has_elapsed(at, SETTLING_TIME)) && !is_backing_off
+        self.since.is_some_and(|at| has_elapsed(at, SETTLING_TIME)) && !is_paused
     }
 
     /// Returns when to check again while there is a conflict.
--- a/crates/place/src/fleet/member/crashes.rs
+++ b/crates/place/src/fleet/member/crashes.rs
@@ -9,12 +9,8 @@
 
 impl FleetMember {
     /// Returns how much longer the request is rejected; `None` if it is not quarantined.
-    pub fn quarantine_left(
-        &self,
-        now: Instant,
-        fingerprint: RequestFingerprint,
-    ) -> Option<Duration> {
-        self.quarantine.quarantine_left(now, fingerprint)
+    pub fn quarantine_left(&self, now: Instant, print: RequestFingerprint) -> Option<Duration> {
+        self.quarantine.quarantine_left(now, print)
     }
 
     /// Whether any request may be suspected or quarantined.
@@ -29,8 +25,8 @@
     }
 
     /// Whether a successful answer to this request must be reported.
-    pub fn suspects(&self, fingerprint: RequestFingerprint) -> bool {
-        self.quarantine.contains(fingerprint) || self.ledger.is_suspect(fingerprint)
+    pub fn suspects(&self, print: RequestFingerprint) -> bool {
+        self.quarantine.contains(print) || self.ledger.is_suspect(print)
     }
 
     /// Returns the quarantined requests.
@@ -49,12 +45,12 @@
     pub(super) fn on_cleared(
         &mut self,
         now: Instant,
-        fingerprint: RequestFingerprint,
+        print: RequestFingerprint,
         actions: &mut Vec<FleetAction>,
     ) {
-        let was_held = self.quarantine.contains(fingerprint);
-        self.outbox.on_cleared(now, fingerprint, was_held);
-        self.clear(now, fingerprint, actions);
+        let was_held = self.quarantine.contains(print);
+        self.outbox.on_cleared(now, print, was_held);
+        self.clear(now, print, actions);
     }
 
     /// Applies a message from another entry. A lead forwards new facts to the other
@@ -124,12 +120,11 @@
         actions: &mut Vec<FleetAction>,
     ) {
         let prints = rows.iter().map(|row| row.print);
-        let has_lapsed =
-            |fingerprint: &RequestFingerprint| self.quarantine_left(now, *fingerprint).is_none();
+        let has_lapsed = |print: &RequestFingerprint| self.quarantine_left(now, *print).is_none();
         delete_quarantine_rows(prints.filter(has_lapsed).collect(), actions);
-        let is_stored = |fingerprint| rows.iter().any(|row| row.print == fingerprint);
+        let is_stored = |print| rows.iter().any(|row| row.print == print);
         let quarantines = self.quarantines(now);
-        let missing = quarantines.filter(|(fingerprint, _)| !is_stored(*fingerprint));
+        let missing = quarantines.filter(|(print, _)| !is_stored(*print));
         write_quarantine_rows(missing.collect(), actions);
     }
 
@@ -176,8 +171,8 @@
             return;
         }
         let new_facts = self.ledger.review(now, &mut self.quarantine);
-        for (fingerprint, status) in &new_facts {
-            self.on_status_raised(now, *fingerprint, *status, actions);
+        for (print, status) in &new_facts {
+            self.on_status_raised(now, *print, *status, actions);
             self.statuses_due = now;
         }
     }
@@ -205,16 +200,16 @@
     fn clear(
         &mut self,
         at: Instant,
-        fingerprint: RequestFingerprint,
+        print: RequestFingerprint,
         actions: &mut Vec<FleetAction>,
     ) -> bool {
-        let was_held = self.quarantine.contains(fingerprint);
-        let was_suspect = self.ledger.clear(fingerprint);
-        let is_news = self.quarantine.clear(fingerprint, at);
-        if was_held && !self.quarantine.contains(fingerprint) {
-            actions.push(FleetAction::Log(FleetChange::Cleared(fingerprint)));
+        let was_held = self.quarantine.contains(print);
+        let was_suspect = self.ledger.clear(print);
+        let is_news = self.quarantine.clear(print, at);
+        if was_held && !self.quarantine.contains(print) {
+            actions.push(FleetAction::Log(FleetChange::Cleared(print)));
             if self.lead_since.is_some() && self.is_reader(at) {
-                delete_quarantine_rows(vec![fingerprint], actions);
+                delete_quarantine_rows(vec![print], actions);
             }
             self.statuses_due = at;
         }
@@ -224,25 +219,24 @@
     /// Returns the quarantined requests with the age of their quarantine.
     fn quarantines(&self, now: Instant) -> impl Iterator<Item = (RequestFingerprint, Duration)> {
         let quarantines = self.quarantine.quarantines();
-        quarantines
-            .map(move |(fingerprint, since)| (fingerprint, now.saturating_duration_since(since)))
+        quarantines.map(move |(print, since)| (print, now.saturating_duration_since(since)))
     }
 
     /// Handles a request that became suspected or quarantined.
     fn on_status_raised(
         &mut self,
         now: Instant,
-        fingerprint: RequestFingerprint,
+        print: RequestFingerprint,
         status: RequestStatus,
         actions: &mut Vec<FleetAction>,
     ) {
         if status == RequestStatus::Suspect {
-            actions.push(FleetAction::Log(FleetChange::Suspected(fingerprint)));
+            actions.push(FleetAction::Log(FleetChange::Suspected(print)));
             return;
         }
-        actions.push(FleetAction::Log(FleetChange::Quarantined(fingerprint)));
+        actions.push(FleetAction::Log(FleetChange::Quarantined(print)));
         if self.lead_since.is_some() && self.is_reader(now) {
-            write_quarantine_rows(vec![(fingerprint, Duration::ZERO)], actions);
+            write_quarantine_rows(vec![(print, Duration::ZERO)], actions);
         }
     }
 }
--- a/crates/place/tests/fleet_world/mod.rs
+++ b/crates/place/tests/fleet_world/mod.rs
@@ -345,8 +345,8 @@
             Delivery::StoreRows => {
                 let quarantine_rows = self.quarantine_rows.iter();
                 let quarantine_rows =
-                    quarantine_rows.map(|(fingerprint, (at, lifted))| StoredQuarantine {
-                        print: *fingerprint,
+                    quarantine_rows.map(|(print, (at, lifted))| StoredQuarantine {
+                        print: *print,
                         age: self.now - *at,
                         lifted: *lifted,
                     });
@@ -439,9 +439,8 @@
             FleetAction::WriteQuarantineRows(quarantines) => {
                 self.calls += 1;
                 if self.is_served(entry) {
-                    for (fingerprint, age) in quarantines {
-                        self.quarantine_rows
-                            .insert(fingerprint, (self.now - age, false));
+                    for (print, age) in quarantines {
+                        self.quarantine_rows.insert(print, (self.now - age, false));
                     }
                 }
             }
@@ -449,7 +448,7 @@
                 self.calls += 1;
                 if self.is_served(entry) {
                     self.quarantine_rows
-                        .retain(|fingerprint, _| !prints.contains(fingerprint));
+                        .retain(|print, _| !prints.contains(print));
                 }
             }
             FleetAction::WriteLeadRow(leads) => {
