--- a/crates/place/src/fleet/leads.rs
+++ b/crates/place/src/fleet/leads.rs
@@ -31,7 +31,7 @@
     /// The leads and substitutes of its region according to this lead.
     pub candidates: Vec<LeadCandidate>,
     incarnation: u64,
-    at: Instant,
+    last_heard: Instant,
 }
 
 /// All known leads.
@@ -88,7 +88,7 @@
                 .map(|summary| summary.candidates.clone())
                 .unwrap_or_default(),
             incarnation: digest.incarnation,
-            at: now,
+            last_heard: now,
         };
         self.leads.insert(lead.candidate.node.clone(), lead);
         true
@@ -97,7 +97,7 @@
     /// Returns the leads that are neither silent nor stepping down.
     pub fn live_leads(&self, now: Instant) -> impl Iterator<Item = &LeadRecord> {
         self.leads.values().filter(move |lead| {
-            !lead.leaving && now.saturating_duration_since(lead.at) < LEAD_TIMEOUT
+            !lead.leaving && now.saturating_duration_since(lead.last_heard) < LEAD_TIMEOUT
         })
     }
 
@@ -123,20 +123,20 @@
 
     /// Returns when the last lead of `region` times out unless another digest arrives.
     pub fn timeout_at(&self, region: &str) -> Option<Instant> {
-        let near = self.leads.values().filter(|lead| lead.region == region);
-        let staying = near.filter(|lead| !lead.leaving);
-        staying.map(|lead| lead.at + LEAD_TIMEOUT).max()
+        let region_leads = self.leads.values().filter(|lead| lead.region == region);
+        let staying = region_leads.filter(|lead| !lead.leaving);
+        staying.map(|lead| lead.last_heard + LEAD_TIMEOUT).max()
     }
 
     /// Returns the live lead of `region` with the highest rank.
     pub fn top_lead_of(&self, now: Instant, region: &str) -> Option<&LeadRecord> {
-        let near = self.live_leads(now).filter(|lead| lead.region == region);
-        near.max_by_key(|lead| lead.rank())
+        let region_leads = self.live_leads(now).filter(|lead| lead.region == region);
+        region_leads.max_by_key(|lead| lead.rank())
     }
 
     /// Removes leads that have been silent for longer than `RETENTION`.
     pub fn forget(&mut self, now: Instant) {
         self.leads
-            .retain(|_, lead| now.saturating_duration_since(lead.at) < RETENTION);
+            .retain(|_, lead| now.saturating_duration_since(lead.last_heard) < RETENTION);
     }
 }
--- a/crates/place/tests/fleet.rs
+++ b/crates/place/tests/fleet.rs
@@ -129,10 +129,10 @@
 #[test]
 fn entries_that_get_no_answers_ask_the_store() {
     let mut world = settled(300);
-    let pulls_fail: Vec<usize> = (100..110)
+    let failing: Vec<usize> = (100..110)
         .filter(|entry| !world.entries[*entry].member.leads())
         .collect();
-    for entry in &pulls_fail {
+    for entry in &failing {
         world.entries[*entry].pulls_fail = true;
     }
     world.change();
@@ -149,7 +149,7 @@
     world.run(ms(2000));
     let calls = world.calls_in(ms(10_000));
     assert!(
-        calls <= 70 + pulls_fail.len() as u64 * 10 * 2,
+        calls <= 70 + failing.len() as u64 * 10 * 2,
         "{calls} calls in 10 s"
     );
 }
@@ -412,25 +412,21 @@
 #[test]
 fn a_forged_digest_is_overcome() {
     let mut world = settled(300);
-    let liar = world.leads(1)[0];
-    let victims: Vec<usize> = (0..300).filter(|entry| region_of(*entry) == 1).collect();
-    for victim in &victims {
-        let mut known = *world.entries[*victim].member.known();
-        if *victim != liar && !world.entries[*victim].member.leads() {
+    let lead = world.leads(1)[0];
+    let region_entries: Vec<usize> = (0..300).filter(|entry| region_of(*entry) == 1).collect();
+    for entry in &region_entries {
+        let mut known = *world.entries[*entry].member.known();
+        if *entry != lead && !world.entries[*entry].member.leads() {
             known.registry = u64::MAX - 7;
-            world.deliver_event(*victim, FleetEvent::Known(known));
+            world.deliver_event(*entry, FleetEvent::Known(known));
         }
     }
     world.run(ms(6000));
     world.change();
     world.run(ms(3000));
-    for victim in victims {
-        let known = world.entries[victim].member.known();
-        assert_eq!(
-            known.registry,
-            log_version(world.registry),
-            "entry {victim}"
-        );
+    for entry in region_entries {
+        let known = world.entries[entry].member.known();
+        assert_eq!(known.registry, log_version(world.registry), "entry {entry}");
     }
 }
 
