--- a/bin/lh-entry/src/accept.rs
+++ b/bin/lh-entry/src/accept.rs
@@ -15,7 +15,7 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
 use crate::error::{Error, Result};
-use crate::forward;
+use crate::handler;
 use crate::state::InstanceState;
 use crate::stop::StopPhase;
 
@@ -75,7 +75,7 @@
         let state = Rc::clone(&served);
         let seen = Rc::clone(&seen);
         async move {
-            let answer = forward::serve(state, request).await;
+            let answer = handler::serve(state, request).await;
             seen.on_answer();
             answer
         }
--- a/bin/lh-entry/src/forward.rs
+++ b/bin/lh-entry/src/handler.rs
@@ -15,11 +15,10 @@
 use place::routes::RouteTable;
 use platform::headers;
 
+use crate::admission::{self, RequestTerms};
 use crate::body::{AnswerBody, CountGuard};
+use crate::body_reader::{JobBody, read_body};
 use crate::caller::{Caller, Interface, TicketHead};
-use crate::door::{self, RequestTerms};
-use crate::handover;
-use crate::intake::{JobBody, read_body};
 use crate::job::{JobProgress, RequestJob};
 use crate::problem::Problem;
 use crate::record::RequestRecord;
@@ -27,6 +26,7 @@
 use crate::state::InstanceState;
 use crate::stop::StopPhase;
 use crate::ticket::{fingerprint, ticket_needed, unknown};
+use crate::ticket_forward;
 
 /// How long a request without a deadline or a bound of its route may take.
 const DEFAULT_TIME: Duration = Duration::from_secs(30);
@@ -78,7 +78,7 @@
         }
         caller.name().clone_into(&mut record.id);
     }
-    let terms = match door::admit(&state, &route, headers::parse_key(&parts.headers)) {
+    let terms = match admission::admit(&state, &route, headers::parse_key(&parts.headers)) {
         Ok(terms) => terms,
         Err(problem) => {
             record.finish_with(&problem);
@@ -97,8 +97,15 @@
         .as_ref()
         .filter(|head| head.ticket.node != state.node);
     if let Some(head) = elsewhere {
-        return handover::pass_on(&state, record, (&caller, &terms), head, (parts, body), ends)
-            .await;
+        return ticket_forward::pass_on(
+            &state,
+            record,
+            (&caller, &terms),
+            head,
+            (parts, body),
+            ends,
+        )
+        .await;
     }
     let mut job = new_job(state, record, caller, (parts, terms), &route, ends);
     let body = match read_body(&job.state, ends, body, limit).await {
--- a/bin/lh-entry/src/job.rs
+++ b/bin/lh-entry/src/job.rs
@@ -17,11 +17,11 @@
 use platform::headers::{self, ServerHeaders};
 use tokio::time::timeout_at;
 
+use crate::admission::RequestTerms;
 use crate::attempt::AttemptGuard;
 use crate::body::{AnswerBody, RequestBody};
+use crate::body_reader::JobBody;
 use crate::caller::{Caller, Interface};
-use crate::door::RequestTerms;
-use crate::intake::JobBody;
 use crate::pool::Lease;
 use crate::problem::{Problem, state_outcome};
 use crate::record::{RequestOutcome, RequestRecord};
--- a/bin/lh-entry/src/suspect.rs
+++ b/bin/lh-entry/src/job_quarantine.rs
@@ -3,10 +3,10 @@
 use place::crash::print::RequestFingerprint;
 use place::prelude::*;
 
+use crate::body_reader::JobBody;
 use crate::crash;
-use crate::intake::JobBody;
+use crate::fingerprint::request_print;
 use crate::job::RequestJob;
-use crate::print::request_print;
 
 impl RequestJob {
     /// The refusal of a request that ended the servers that ran it: however many callers
--- a/bin/lh-entry/src/state.rs
+++ b/bin/lh-entry/src/state.rs
@@ -25,9 +25,9 @@
 use team::index::TeamIndex;
 use team::quota::QuotaLimiter;
 
+use crate::admission;
 use crate::config::EntryConfig;
 use crate::crash::CrashDesk;
-use crate::door;
 use crate::fleet::FleetDesk;
 use crate::homes::HomeBook;
 use crate::logs::LineLimit;
@@ -453,7 +453,7 @@
         for key in teams.shared_keys() {
             log::error!(key:%, version = desired.version; "key of two teams; it names neither");
         }
-        let apart = door::check_homes(desired, &self.apart.borrow());
+        let apart = admission::check_homes(desired, &self.apart.borrow());
         *self.apart.borrow_mut() = apart;
         let mut quota = self.quota.borrow_mut();
         quota.set_teams(Instant::now(), &desired.teams);
--- a/bin/lh-entry/src/handover.rs
+++ b/bin/lh-entry/src/ticket_forward.rs
@@ -12,10 +12,10 @@
 use hyper::{Request, Response};
 use tokio::time::timeout_at;
 
+use crate::admission::RequestTerms;
 use crate::body::{AnswerBody, RequestBody};
 use crate::caller::{Caller, TicketHead};
-use crate::door::RequestTerms;
-use crate::forward::outcome_of;
+use crate::handler::outcome_of;
 use crate::problem::Problem;
 use crate::record::RequestRecord;
 use crate::reply::{broken, strip_hop_headers};
