--- a/bin/lh-entry/src/accept.rs
+++ b/bin/lh-entry/src/accept.rs
@@ -20,33 +20,33 @@
 use crate::stop::StopPhase;
 
 /// Connections that wait to be accepted.
-const BACKLOG: u32 = 1024;
+const LISTEN_BACKLOG: u32 = 1024;
 /// Pause after a connection could not be accepted, as when descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// How often a connection is checked for a slow head or idleness.
-const CHECK_EVERY: Duration = Duration::from_secs(2);
+const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 /// Smallest head buffer that the library takes, in bytes.
-const LEAST_BUFFER: usize = 8192;
+const MIN_BUFFER_BYTES: usize = 8192;
 /// Part of the descriptors that callers' connections may use.
-const CALLER_SHARE: usize = 2;
+const CALLER_DESCRIPTOR_DIVISOR: usize = 2;
 
-/// Opens a listener at `address` for `what`.
+/// Opens a listener at `address` for `purpose`.
 ///
 /// # Errors
 /// Where the address can't be used.
-pub(crate) fn listen(what: &'static str, address: SocketAddr) -> Result<TcpListener> {
+pub(crate) fn listen(purpose: &'static str, address: SocketAddr) -> Result<TcpListener> {
     let open = || {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
-        socket.listen(BACKLOG)
+        socket.listen(LISTEN_BACKLOG)
     };
-    open().map_err(|cause| Error::Listen(what, address, cause))
+    open().map_err(|cause| Error::Listen(purpose, address, cause))
 }
 
 /// Accepts callers until the process ends.
 pub(crate) async fn run(state: Rc<InstanceState>, listener: Rc<TcpListener>) {
-    let most = (state.config.descriptors / CALLER_SHARE) as i64;
+    let most = (state.config.descriptors / CALLER_DESCRIPTOR_DIVISOR) as i64;
     loop {
         match listener.accept().await {
             Ok((stream, _)) if state.metrics.connections.get() < most => {
@@ -55,7 +55,7 @@
             Ok(_) => log::warn!(most; "too many connections; one closed"),
             Err(error) => {
                 log::warn!(error:%; "no connection accepted");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -63,27 +63,27 @@
 
 async fn serve_connection(state: Rc<InstanceState>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    let progress = Rc::new(HeadProgress::new());
+    let progress = Rc::new(ConnectionProgress::new());
     let io = WatchedIo {
         io: TokioIo::new(stream),
         progress: Rc::clone(&progress),
     };
     let served = Rc::clone(&state);
-    let seen = Rc::clone(&progress);
+    let request_progress = Rc::clone(&progress);
     let service = service_fn(move |request| {
-        seen.on_request();
+        request_progress.on_request();
         let state = Rc::clone(&served);
-        let seen = Rc::clone(&seen);
+        let request_progress = Rc::clone(&request_progress);
         async move {
             let answer = handler::serve(state, request).await;
-            seen.on_answer();
+            request_progress.on_response();
             answer
         }
     });
     let limits = state.limits.get();
     let connection = Builder::new()
         .header_read_timeout(None)
-        .max_buf_size(limits.header_bytes.max(LEAST_BUFFER))
+        .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(io, service);
     tokio::pin!(connection);
     let mut stopping = state.stopping.subscribe();
@@ -101,11 +101,11 @@
                     connection.as_mut().graceful_shutdown();
                 }
             }
-            () = tokio::time::sleep(CHECK_EVERY) => {
+            () = tokio::time::sleep(TIMEOUT_CHECK_INTERVAL) => {
                 let limits = state.limits.get();
-                match progress.overdue(limits.header_timeout, limits.idle_timeout) {
-                    Some(Overdue::Head) => break,
-                    Some(Overdue::Idle) => connection.as_mut().graceful_shutdown(),
+                match progress.expired(limits.header_timeout, limits.idle_timeout) {
+                    Some(ConnectionTimeout::Head) => break,
+                    Some(ConnectionTimeout::Idle) => connection.as_mut().graceful_shutdown(),
                     None => {}
                 }
             }
@@ -115,7 +115,7 @@
 }
 
 /// What a connection has waited for too long.
-enum Overdue {
+enum ConnectionTimeout {
     /// A head that began and did not end.
     Head,
     /// The next request.
@@ -124,56 +124,56 @@
 
 /// Whether a connection is idle, receives a head, or is being answered.
 #[derive(Debug)]
-struct HeadProgress {
+struct ConnectionProgress {
     since: Cell<Instant>,
-    head_begun: Cell<bool>,
-    answering: Cell<bool>,
+    head_started: Cell<bool>,
+    responding: Cell<bool>,
 }
 
-impl HeadProgress {
+impl ConnectionProgress {
     fn new() -> Self {
         Self {
             since: Cell::new(Instant::now()),
-            head_begun: Cell::new(false),
-            answering: Cell::new(false),
+            head_started: Cell::new(false),
+            responding: Cell::new(false),
         }
     }
 
-    fn on_bytes(&self) {
-        if self.answering.get() || self.head_begun.get() {
+    fn on_bytes_read(&self) {
+        if self.responding.get() || self.head_started.get() {
             return;
         }
-        self.head_begun.set(true);
+        self.head_started.set(true);
         self.since.set(Instant::now());
     }
 
     fn on_request(&self) {
-        self.head_begun.set(false);
-        self.answering.set(true);
+        self.head_started.set(false);
+        self.responding.set(true);
     }
 
-    fn on_answer(&self) {
-        self.answering.set(false);
-        self.head_begun.set(false);
+    fn on_response(&self) {
+        self.responding.set(false);
+        self.head_started.set(false);
         self.since.set(Instant::now());
     }
 
-    fn overdue(&self, head: Duration, idle: Duration) -> Option<Overdue> {
-        if self.answering.get() {
+    fn expired(&self, head: Duration, idle: Duration) -> Option<ConnectionTimeout> {
+        if self.responding.get() {
             return None;
         }
-        let waited = self.since.get().elapsed();
-        if self.head_begun.get() {
-            return (waited > head).then_some(Overdue::Head);
+        let wait_time = self.since.get().elapsed();
+        if self.head_started.get() {
+            return (wait_time > head).then_some(ConnectionTimeout::Head);
         }
-        (waited > idle).then_some(Overdue::Idle)
+        (wait_time > idle).then_some(ConnectionTimeout::Idle)
     }
 }
 
 /// A connection whose reads are noticed.
 struct WatchedIo {
     io: TokioIo<TcpStream>,
-    progress: Rc<HeadProgress>,
+    progress: Rc<ConnectionProgress>,
 }
 
 impl Read for WatchedIo {
@@ -184,7 +184,7 @@
     ) -> Poll<std::io::Result<()>> {
         let polled = Pin::new(&mut self.io).poll_read(context, buffer);
         if matches!(polled, Poll::Ready(Ok(()))) {
-            self.progress.on_bytes();
+            self.progress.on_bytes_read();
         }
         polled
     }
--- a/bin/lh-entry/src/caller.rs
+++ b/bin/lh-entry/src/caller.rs
@@ -25,9 +25,9 @@
 /// Header with the number of the caller's attempt under one number; the first is 1.
 const ATTEMPT: HeaderName = HeaderName::from_static("laurelhill-attempt");
 /// Headers of the own interface that differ between two attempts of a caller.
-const ATTEMPT_HEADERS: [HeaderName; 5] = [REQUEST_ID, DEADLINE, TICKET, NUMBER, ATTEMPT];
+const PER_ATTEMPT_HEADERS: [HeaderName; 5] = [REQUEST_ID, DEADLINE, TICKET, NUMBER, ATTEMPT];
 /// Headers by which a caller asks on the own interface.
-const OWN_HEADERS: [HeaderName; 3] = [DEADLINE, TICKET, OBJECT];
+const OWN_INTERFACE_HEADERS: [HeaderName; 3] = [DEADLINE, TICKET, OBJECT];
 
 /// The interface on which a request came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -52,7 +52,7 @@
 
 /// What binds a request that must not repeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct TicketHead {
+pub(crate) struct TicketHeaders {
     pub(crate) ticket: Ticket,
     /// The caller's number under the ticket.
     pub(crate) number: u64,
@@ -62,7 +62,7 @@
 
 impl Caller {
     /// Reads a head on the platform's interface.
-    pub(crate) fn on_platform(headers: &HeaderMap) -> Self {
+    pub(crate) fn from_platform_headers(headers: &HeaderMap) -> Self {
         let head = headers::parse_caller(headers);
         Self {
             interface: Interface::Platform,
@@ -77,13 +77,13 @@
     ///
     /// # Errors
     /// The answer, where a header can't be read.
-    pub(crate) fn on_own(headers: &HeaderMap) -> Result<Self, Problem> {
-        let deadline = number(headers, &DEADLINE)?.map(Duration::from_millis);
+    pub(crate) fn from_own_headers(headers: &HeaderMap) -> Result<Self, Problem> {
+        let deadline = parse_number(headers, &DEADLINE)?.map(Duration::from_millis);
         if deadline.is_some_and(|deadline| deadline.is_zero()) {
-            return Err(bad("the deadline has passed"));
+            return Err(bad_request("the deadline has passed"));
         }
-        let named = headers.get(REQUEST_ID).cloned();
-        let request_id = named.or_else(|| {
+        let stated = headers.get(REQUEST_ID).cloned();
+        let request_id = stated.or_else(|| {
             let name = format!("{:016x}", rand::random::<u64>());
             HeaderValue::from_str(&name).ok()
         });
@@ -96,7 +96,7 @@
     }
 
     /// Tells a backend server what the platform's headers would have told.
-    pub(crate) fn write(&self, headers: &mut HeaderMap) {
+    pub(crate) fn write_platform_headers(&self, headers: &mut HeaderMap) {
         if let Some(id) = &self.request_id {
             headers::write_request_id(headers, id);
         }
@@ -106,7 +106,7 @@
     }
 
     /// The request's name, where it can be shown.
-    pub(crate) fn name(&self) -> &str {
+    pub(crate) fn request_name(&self) -> &str {
         let name = self.request_id.as_ref().and_then(|id| id.to_str().ok());
         name.unwrap_or("")
     }
@@ -115,8 +115,10 @@
 impl Interface {
     /// The interface of a request with `headers` on `route`.
     pub(crate) fn of(route: &RouteSpec, headers: &HeaderMap) -> Self {
-        let asks = OWN_HEADERS.iter().any(|name| headers.contains_key(name));
-        if asks || route.host == ANY_HOST {
+        let has_own_header = OWN_INTERFACE_HEADERS
+            .iter()
+            .any(|name| headers.contains_key(name));
+        if has_own_header || route.host == ANY_HOST {
             Self::Own
         } else {
             Self::Platform
@@ -124,35 +126,35 @@
     }
 }
 
-impl TicketHead {
+impl TicketHeaders {
     /// Reads what binds the request; `None` where nothing does.
     ///
     /// # Errors
     /// The answer, where a header can't be read.
-    pub(crate) fn read(headers: &HeaderMap) -> Result<Option<Self>, Problem> {
+    pub(crate) fn parse(headers: &HeaderMap) -> Result<Option<Self>, Problem> {
         let Some(text) = headers.get(TICKET) else {
             return Ok(None);
         };
         let text = text.to_str().ok();
         let ticket = text
             .and_then(Ticket::parse)
-            .ok_or_else(|| bad("the ticket can't be read"))?;
-        let number = number(headers, &NUMBER)?
-            .ok_or_else(|| bad("a ticket needs a number of the caller's beside it"))?;
+            .ok_or_else(|| bad_request("the ticket can't be read"))?;
+        let number = parse_number(headers, &NUMBER)?
+            .ok_or_else(|| bad_request("a ticket needs a number of the caller's beside it"))?;
         Ok(Some(Self {
             ticket,
             number,
-            first_attempt: self::number(headers, &ATTEMPT)? == Some(1),
+            first_attempt: self::parse_number(headers, &ATTEMPT)? == Some(1),
         }))
     }
 }
 
 /// Whether the header of the own interface differs between two attempts of a caller.
-pub(crate) fn is_of_attempt(name: &HeaderName) -> bool {
-    ATTEMPT_HEADERS.contains(name)
+pub(crate) fn is_per_attempt(name: &HeaderName) -> bool {
+    PER_ATTEMPT_HEADERS.contains(name)
 }
 
-fn number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, Problem> {
+fn parse_number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, Problem> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
@@ -162,10 +164,12 @@
         .and_then(|text| text.trim().parse().ok());
     match number {
         Some(number) => Ok(Some(number)),
-        None => Err(bad(&format!("the header {name} is no whole number"))),
+        None => Err(bad_request(&format!(
+            "the header {name} is no whole number"
+        ))),
     }
 }
 
-fn bad(detail: &str) -> Problem {
+fn bad_request(detail: &str) -> Problem {
     Problem::new(StatusCode::BAD_REQUEST, "bad-request", detail).with_outcome(Outcome::NotRun)
 }
--- a/bin/lh-entry/src/fingerprint.rs
+++ b/bin/lh-entry/src/fingerprint.rs
@@ -41,7 +41,7 @@
     );
     let mut kept: Vec<(&str, &[u8])> = headers
         .iter()
-        .filter(|(name, _)| !is_of_attempt(name))
+        .filter(|(name, _)| !is_excluded(name))
         .map(|(name, value)| (name.as_str(), value.as_bytes()))
         .collect();
     // A proxy on the way may send them in another order.
@@ -63,9 +63,9 @@
     hasher.update(part);
 }
 
-fn is_of_attempt(name: &HeaderName) -> bool {
+fn is_excluded(name: &HeaderName) -> bool {
     headers::is_per_attempt(name)
-        || caller::is_of_attempt(name)
+        || caller::is_per_attempt(name)
         || is_hop_header(name)
         || TRACE_HEADERS.contains(name)
 }
--- a/bin/lh-entry/src/handler.rs
+++ b/bin/lh-entry/src/handler.rs
@@ -18,7 +18,7 @@
 use crate::admission::{self, RequestTerms};
 use crate::body::{AnswerBody, CountGuard};
 use crate::body_reader::{JobBody, read_body};
-use crate::caller::{Caller, Interface, TicketHead};
+use crate::caller::{Caller, Interface, TicketHeaders};
 use crate::job::{JobProgress, RequestJob};
 use crate::problem::Problem;
 use crate::record::RequestRecord;
@@ -52,8 +52,8 @@
 
 async fn answer(state: Rc<InstanceState>, request: Request<Incoming>) -> Response<AnswerBody> {
     let (parts, body) = request.into_parts();
-    let mut caller = Caller::on_platform(&parts.headers);
-    let mut record = RequestRecord::new(&state, caller.name());
+    let mut caller = Caller::from_platform_headers(&parts.headers);
+    let mut record = RequestRecord::new(&state, caller.request_name());
     state.meter.borrow_mut().on_request();
     if state.stop.get() == StopPhase::Refusing {
         return refuse(&mut record, &caller, "stopping", STOPPING_RETURN);
@@ -76,7 +76,7 @@
                 return problem.into_response(&caller);
             }
         }
-        caller.name().clone_into(&mut record.id);
+        caller.request_name().clone_into(&mut record.id);
     }
     let terms = match admission::admit(&state, &route, headers::parse_key(&parts.headers)) {
         Ok(terms) => terms,
@@ -91,7 +91,7 @@
         return reject(&mut record, &caller, StatusCode::PAYLOAD_TOO_LARGE);
     }
     let bound = [caller.deadline, route.timeout].into_iter().flatten().min();
-    let ends = record.begun + bound.unwrap_or(DEFAULT_TIME);
+    let deadline_at = record.begun + bound.unwrap_or(DEFAULT_TIME);
     record.route = Some(Rc::clone(&route));
     let elsewhere = ticket
         .as_ref()
@@ -103,12 +103,12 @@
             (&caller, &terms),
             head,
             (parts, body),
-            ends,
+            deadline_at,
         )
         .await;
     }
-    let mut job = new_job(state, record, caller, (parts, terms), &route, ends);
-    let body = match read_body(&job.state, ends, body, limit).await {
+    let mut job = new_job(state, record, caller, (parts, terms), &route, deadline_at);
+    let body = match read_body(&job.state, deadline_at, body, limit).await {
         Ok(body) => body,
         Err(status) => return reject(&mut job.record, &job.caller, status),
     };
@@ -134,12 +134,12 @@
 
 /// The caller of a request on the own interface, and its ticket where the route asks
 /// for one.
-fn read_own(route: &RouteSpec, parts: &Parts) -> Result<(Caller, Option<TicketHead>), Problem> {
-    let caller = Caller::on_own(&parts.headers)?;
+fn read_own(route: &RouteSpec, parts: &Parts) -> Result<(Caller, Option<TicketHeaders>), Problem> {
+    let caller = Caller::from_own_headers(&parts.headers)?;
     if route.kind.may_repeat() {
         return Ok((caller, None));
     }
-    let head = TicketHead::read(&parts.headers)?.ok_or_else(ticket_needed)?;
+    let head = TicketHeaders::parse(&parts.headers)?.ok_or_else(ticket_needed)?;
     Ok((caller, Some(head)))
 }
 
@@ -149,7 +149,7 @@
     caller: Caller,
     (mut parts, terms): (Parts, RequestTerms),
     route: &RouteSpec,
-    ends: Instant,
+    deadline_at: Instant,
 ) -> RequestJob {
     if !state.teams.borrow().is_empty() {
         // From here on it would be shown to servers.
@@ -170,7 +170,7 @@
         target: parts.uri,
         headers: parts.headers,
         terms,
-        ends,
+        deadline_at,
         part,
         progress: JobProgress::default(),
         caller,
@@ -183,12 +183,12 @@
     job: RequestJob,
     route: Rc<RouteSpec>,
     body: JobBody,
-    head: &TicketHead,
+    head: &TicketHeaders,
 ) -> Response<AnswerBody> {
     let state = Rc::clone(&job.state);
     let caller = job.caller.clone();
     let now = Instant::now();
-    let print = fingerprint(&job.method, &job.target, &job.headers, body.whole());
+    let print = fingerprint(&job.method, &job.target, &job.headers, body.buffered());
     let owner = job
         .terms
         .team_name()
--- a/bin/lh-entry/src/job.rs
+++ b/bin/lh-entry/src/job.rs
@@ -45,7 +45,7 @@
     /// Whose it is, and where it may be served.
     pub(crate) terms: RequestTerms,
     /// When the caller gets its answer at the latest.
-    pub(crate) ends: Instant,
+    pub(crate) deadline_at: Instant,
     /// The part of the route that the request belongs to.
     pub(crate) part: usize,
     pub(crate) progress: JobProgress,
@@ -190,7 +190,7 @@
             tried: &self.progress.tried,
             ..PlacementRequest::new(route, self.part)
                 .with_object(self.object)
-                .with_remaining(self.ends.saturating_duration_since(now))
+                .with_remaining(self.deadline_at.saturating_duration_since(now))
         };
         let placement = rollout::place(&self.state, now, &request)?;
         self.progress.tried.push(placement.handle);
@@ -239,7 +239,7 @@
         };
         self.record.on_sent(placed.elapsed());
         let sending = sender.try_send_request(request);
-        let answer = match timeout_at(self.ends.into(), sending).await {
+        let answer = match timeout_at(self.deadline_at.into(), sending).await {
             Err(_) => {
                 guard.finish(ServerOutcome::OutOfTime, None);
                 self.record.on_result("no answer in time");
@@ -306,7 +306,7 @@
                 .on_result(&format!("unsound answer ({})", parts.status.as_u16()));
             return AttemptEnd::Broken;
         }
-        let (bytes, rest) = match timeout_at(self.ends.into(), read_answer(body)).await {
+        let (bytes, rest) = match timeout_at(self.deadline_at.into(), read_answer(body)).await {
             Err(_) => {
                 guard.finish(ServerOutcome::OutOfTime, None);
                 self.record.on_result("answer not whole in time");
@@ -369,7 +369,7 @@
             return Ok(lease);
         }
         let begun = Instant::now();
-        let patience = self.ends.saturating_duration_since(begun);
+        let patience = self.deadline_at.saturating_duration_since(begun);
         let opening = self
             .state
             .pool
@@ -383,7 +383,7 @@
 
     fn request(&self, placement: &Placement, body: &mut JobBody) -> Option<Request<RequestBody>> {
         let body = match body {
-            JobBody::Whole { bytes, .. } => RequestBody::whole(bytes.clone()),
+            JobBody::Buffered { bytes, .. } => RequestBody::whole(bytes.clone()),
             JobBody::Streamed(stream) => {
                 let (first, rest, left) = stream.take()?;
                 RequestBody::streamed(first, rest, left)
@@ -401,11 +401,11 @@
         let headers = request.headers_mut();
         *headers = self.headers.clone();
         strip_hop_headers(headers);
-        let left = self.ends.saturating_duration_since(Instant::now());
+        let left = self.deadline_at.saturating_duration_since(Instant::now());
         headers::write_attempt(headers, left, &placement.id);
         headers::write_team(headers, self.terms.team_name());
         if self.caller.interface == Interface::Own {
-            self.caller.write(headers);
+            self.caller.write_platform_headers(headers);
         }
         Some(request)
     }
--- a/bin/lh-entry/src/ticket.rs
+++ b/bin/lh-entry/src/ticket.rs
@@ -11,7 +11,7 @@
 use once::{OnceKey, OnceState, OnceTable, OnceVerdict, StampKey, StoredAnswer, TicketVerdict};
 
 use crate::body::AnswerBody;
-use crate::caller::TicketHead;
+use crate::caller::TicketHeaders;
 use crate::problem::Problem;
 
 /// How long a stamp is good beyond the life of the look-ups' answers that carry it: a
@@ -63,7 +63,7 @@
     pub(crate) fn check(
         &self,
         now: Instant,
-        head: &TicketHead,
+        head: &TicketHeaders,
         owner: u64,
     ) -> Result<(OnceKey, Instant), Problem> {
         let key = OnceKey {
--- a/bin/lh-entry/src/ticket_forward.rs
+++ b/bin/lh-entry/src/ticket_forward.rs
@@ -14,7 +14,7 @@
 
 use crate::admission::RequestTerms;
 use crate::body::{AnswerBody, RequestBody};
-use crate::caller::{Caller, TicketHead};
+use crate::caller::{Caller, TicketHeaders};
 use crate::handler::outcome_of;
 use crate::problem::Problem;
 use crate::record::RequestRecord;
@@ -22,16 +22,16 @@
 use crate::state::InstanceState;
 use crate::ticket::{stale_ticket, unknown};
 
-/// Passes the request on, until `ends`.
+/// Passes the request on, until `deadline_at`.
 pub(crate) async fn pass_on(
     state: &Rc<InstanceState>,
     mut record: RequestRecord,
     (caller, terms): (&Caller, &RequestTerms),
-    head: &TicketHead,
+    head: &TicketHeaders,
     request: (Parts, Incoming),
-    ends: Instant,
+    deadline_at: Instant,
 ) -> Response<AnswerBody> {
-    match exchange(state, &mut record, (head, terms), request, ends).await {
+    match exchange(state, &mut record, (head, terms), request, deadline_at).await {
         Ok(response) => {
             record.finish_passed(outcome_of(&response), response.status().as_u16());
             response
@@ -46,9 +46,9 @@
 async fn exchange(
     state: &Rc<InstanceState>,
     record: &mut RequestRecord,
-    (head, terms): (&TicketHead, &RequestTerms),
+    (head, terms): (&TicketHeaders, &RequestTerms),
     (parts, body): (Parts, Incoming),
-    ends: Instant,
+    deadline_at: Instant,
 ) -> Result<Response<AnswerBody>, Problem> {
     let node = &head.ticket.node;
     let stale = || stale_ticket(head.first_attempt);
@@ -61,7 +61,7 @@
             .map(|(_, entry)| entry.caller_address)
     });
     let address = run.ok_or_else(stale)?;
-    let patience = ends.saturating_duration_since(Instant::now());
+    let patience = deadline_at.saturating_duration_since(Instant::now());
     let opening = state.pool.open(node.instance.as_str(), address, patience);
     let mut lease = opening.await.map_err(|reason| {
         record.on_result(&format!("ticket's entry not reached: {reason}"));
@@ -74,7 +74,7 @@
     *request.headers_mut() = parts.headers;
     strip_hop_headers(request.headers_mut());
     let sender = lease.sender().ok_or_else(stale)?;
-    let answer = match timeout_at(ends.into(), sender.try_send_request(request)).await {
+    let answer = match timeout_at(deadline_at.into(), sender.try_send_request(request)).await {
         Err(_) => return Err(unknown("the instance of the ticket did not answer in time")),
         Ok(Err(error)) if error.message().is_some() => return Err(stale()),
         Ok(Err(error)) => {
