--- a/bin/lh-entry/src/admission.rs
+++ b/bin/lh-entry/src/admission.rs
@@ -14,44 +14,48 @@
 
 /// When a caller comes back whose key may have been added or taken away meanwhile: to
 /// another entry, or to this one once it has heard.
-const UNHEARD_RETURN: Duration = Duration::from_millis(300);
+const STALE_KEYS_RETRY_AFTER: Duration = Duration::from_millis(300);
 /// When a caller comes back that no region may serve: operators have to mend that.
-const NO_HOME_RETURN: Duration = Duration::from_secs(10);
+const NO_REGION_RETRY_AFTER: Duration = Duration::from_secs(10);
 /// Pairs of teams and routes without a common home that are named in the log.
-const APART_SHOWN: usize = 8;
+const MAX_LOGGED_CONFLICTS: usize = 8;
 
 /// On which terms a request enters.
 #[derive(Debug, Clone)]
-pub(crate) struct RequestTerms {
+pub(crate) struct RequestPolicy {
     /// The team whose request it is.
     pub(crate) team: Option<Rc<TeamSpec>>,
     /// Its rank.
     pub(crate) priority: u32,
     /// Regions that may serve it; empty allows all.
-    pub(crate) homes: Vec<String>,
+    pub(crate) home_regions: Vec<String>,
 }
 
-impl RequestTerms {
+impl RequestPolicy {
     /// The terms of a request of `team` on `route`; `None` where no region may serve it.
     pub(crate) fn new(route: &RouteSpec, team: Option<Rc<TeamSpec>>) -> Option<Self> {
-        let (priority, homes) = match &team {
+        let (priority, home_regions) = match &team {
             None => (route.priority, route.home_regions.clone()),
             Some(team) => {
-                let homes = allowed_regions(&route.home_regions, &team.home_regions)?;
-                (team.priority.unwrap_or(route.priority), homes.into_owned())
+                let home_regions = allowed_regions(&route.home_regions, &team.home_regions)?;
+                (
+                    team.priority.unwrap_or(route.priority),
+                    home_regions.into_owned(),
+                )
             }
         };
         Some(Self {
             team,
             priority,
-            homes,
+            home_regions,
         })
     }
 
     /// Whether an entry in the region `from` may pass the request to one in `to`: its body
-    /// stays in its homes.
-    pub(crate) fn may_pass(&self, from: &str, to: &str) -> bool {
-        let is_home = self.homes.is_empty() || self.homes.iter().any(|home| home == to);
+    /// stays in its home_regions.
+    pub(crate) fn may_forward(&self, from: &str, to: &str) -> bool {
+        let is_home =
+            self.home_regions.is_empty() || self.home_regions.iter().any(|home| home == to);
         from == to || is_home
     }
 
@@ -61,40 +65,40 @@
     }
 }
 
-/// The terms on which a request with `claim` enters on `route`.
+/// The terms on which a request with `key_claim` enters on `route`.
 ///
 /// # Errors
 /// The answer, where it doesn't.
 pub(crate) fn admit(
     state: &InstanceState,
     route: &RouteSpec,
-    claim: KeyClaim,
-) -> Result<RequestTerms, Problem> {
+    key_claim: KeyClaim,
+) -> Result<RequestPolicy, Problem> {
     let teams = Rc::clone(&state.teams.borrow());
     let access = state.config.access;
-    let team = match access.decide(&teams, claim, route.is_public, state.knowledge_age()) {
+    let team = match access.decide(&teams, key_claim, route.is_public, state.knowledge_age()) {
         Access::Open => None,
         Access::Team(team) => Some(team),
-        Access::Denied => return Err(denied(claim)),
-        Access::Unsure => return Err(unheard("key-unheard")),
-        Access::Stale => return Err(unheard("keys-stale")),
+        Access::Denied => return Err(unauthorized(key_claim)),
+        Access::Unsure => return Err(stale_keys("key-unheard")),
+        Access::Stale => return Err(stale_keys("keys-stale")),
     };
-    let mut terms = RequestTerms::new(route, team).ok_or_else(no_home)?;
-    if let Some(team) = terms.team_name() {
-        admit_team(state, team)?;
-        let steps = state.shares.borrow_mut().on_request(Instant::now(), team);
-        terms.priority += steps;
+    let mut policy = RequestPolicy::new(route, team).ok_or_else(no_common_region)?;
+    if let Some(team) = policy.team_name() {
+        charge_quota(state, team)?;
+        let penalty = state.shares.borrow_mut().on_request(Instant::now(), team);
+        policy.priority += penalty;
     }
-    Ok(terms)
+    Ok(policy)
 }
 
 /// Lets a request of `team` in, if that doesn't ask for too much.
-fn admit_team(state: &InstanceState, team: &str) -> Result<(), Problem> {
+fn charge_quota(state: &InstanceState, team: &str) -> Result<(), Problem> {
     let now = Instant::now();
     let mut quota = state.quota.borrow_mut();
-    let was_used = quota.has_changes();
+    let had_changes = quota.has_changes();
     let admitted = quota.admit(now, team);
-    if !was_used && !state.fleet.is_listed() {
+    if !had_changes && !state.fleet.is_listed() {
         state.words.wake.notify_one();
     }
     state.metrics.on_limit("quota", admitted.is_ok());
@@ -104,8 +108,8 @@
     })
 }
 
-fn denied(claim: KeyClaim) -> Problem {
-    let (kind, detail) = match claim {
+fn unauthorized(key_claim: KeyClaim) -> Problem {
+    let (kind, detail) = match key_claim {
         KeyClaim::None => ("key-missing", "this service asks for a key"),
         KeyClaim::Malformed => ("key-malformed", "the key can't be read"),
         KeyClaim::Key(_) => ("key-unknown", "no team holds this key"),
@@ -113,31 +117,32 @@
     Problem::new(StatusCode::UNAUTHORIZED, kind, detail)
 }
 
-fn unheard(kind: &'static str) -> Problem {
+fn stale_keys(kind: &'static str) -> Problem {
     let detail = "this entry hasn't heard lately which keys hold; ask another, or come back";
-    Problem::new(StatusCode::SERVICE_UNAVAILABLE, kind, detail).with_return(UNHEARD_RETURN)
+    Problem::new(StatusCode::SERVICE_UNAVAILABLE, kind, detail).with_return(STALE_KEYS_RETRY_AFTER)
 }
 
-fn no_home() -> Problem {
+fn no_common_region() -> Problem {
     let detail = "no region may serve both the team and the service";
-    Problem::new(StatusCode::SERVICE_UNAVAILABLE, "no-home", detail).with_return(NO_HOME_RETURN)
+    Problem::new(StatusCode::SERVICE_UNAVAILABLE, "no-home", detail)
+        .with_return(NO_REGION_RETRY_AFTER)
 }
 
 /// Tells operators which teams and routes of `desired` no region may serve together, unless
-/// `told` says that they were told; returns what to know as told from now on.
-pub(crate) fn check_homes(desired: &DesiredState, told: &str) -> String {
-    let mut apart = Vec::new();
+/// `last_logged` says that they were told; returns what to know as told from now on.
+pub(crate) fn log_region_conflicts(desired: &DesiredState, last_logged: &str) -> String {
+    let mut conflicts = Vec::new();
     for team in &desired.teams {
         for route in &desired.routes {
             if allowed_regions(&route.home_regions, &team.home_regions).is_none() {
-                apart.push(format!("{} on {}", team.name, route.name));
+                conflicts.push(format!("{} on {}", team.name, route.name));
             }
         }
     }
-    let count = apart.len();
-    apart.truncate(APART_SHOWN);
-    let pairs = apart.join(", ");
-    if count > 0 && pairs != told {
+    let count = conflicts.len();
+    conflicts.truncate(MAX_LOGGED_CONFLICTS);
+    let pairs = conflicts.join(", ");
+    if count > 0 && pairs != last_logged {
         log::error!(version = desired.version, count, pairs = pairs.as_str(); "teams and routes without a common home region; their requests are refused");
     }
     pairs
--- a/bin/lh-entry/src/handler.rs
+++ b/bin/lh-entry/src/handler.rs
@@ -15,7 +15,7 @@
 use place::routes::RouteTable;
 use platform::headers;
 
-use crate::admission::{self, RequestTerms};
+use crate::admission::{self, RequestPolicy};
 use crate::body::{AnswerBody, CountGuard};
 use crate::body_reader::{JobBody, read_body};
 use crate::caller::{Caller, Interface, TicketHeaders};
@@ -78,14 +78,14 @@
         }
         caller.request_name().clone_into(&mut record.id);
     }
-    let terms = match admission::admit(&state, &route, headers::parse_key(&parts.headers)) {
-        Ok(terms) => terms,
+    let policy = match admission::admit(&state, &route, headers::parse_key(&parts.headers)) {
+        Ok(policy) => policy,
         Err(problem) => {
             record.finish_with(&problem);
             return problem.into_response(&caller);
         }
     };
-    record.team.clone_from(&terms.team);
+    record.team.clone_from(&policy.team);
     let limit = state.limits.get().body_bytes;
     if body.size_hint().lower() > limit as u64 {
         return reject(&mut record, &caller, StatusCode::PAYLOAD_TOO_LARGE);
@@ -100,14 +100,14 @@
         return ticket_forward::pass_on(
             &state,
             record,
-            (&caller, &terms),
+            (&caller, &policy),
             head,
             (parts, body),
             deadline_at,
         )
         .await;
     }
-    let mut job = new_job(state, record, caller, (parts, terms), &route, deadline_at);
+    let mut job = new_job(state, record, caller, (parts, policy), &route, deadline_at);
     let body = match read_body(&job.state, deadline_at, body, limit).await {
         Ok(body) => body,
         Err(status) => return reject(&mut job.record, &job.caller, status),
@@ -147,7 +147,7 @@
     state: Rc<InstanceState>,
     mut record: RequestRecord,
     caller: Caller,
-    (mut parts, terms): (Parts, RequestTerms),
+    (mut parts, policy): (Parts, RequestPolicy),
     route: &RouteSpec,
     deadline_at: Instant,
 ) -> RequestJob {
@@ -169,7 +169,7 @@
         method: parts.method,
         target: parts.uri,
         headers: parts.headers,
-        terms,
+        policy,
         deadline_at,
         part,
         progress: JobProgress::default(),
@@ -190,7 +190,7 @@
     let now = Instant::now();
     let print = fingerprint(&job.method, &job.target, &job.headers, body.buffered());
     let owner = job
-        .terms
+        .policy
         .team_name()
         .map_or(0, |team| stable_hash(team.as_bytes()));
     let begun = state
--- a/bin/lh-entry/src/job.rs
+++ b/bin/lh-entry/src/job.rs
@@ -17,7 +17,7 @@
 use platform::headers::{self, ServerHeaders};
 use tokio::time::timeout_at;
 
-use crate::admission::RequestTerms;
+use crate::admission::RequestPolicy;
 use crate::attempt::AttemptGuard;
 use crate::body::{AnswerBody, RequestBody};
 use crate::body_reader::JobBody;
@@ -43,7 +43,7 @@
     pub(crate) target: hyper::Uri,
     pub(crate) headers: HeaderMap,
     /// Whose it is, and where it may be served.
-    pub(crate) terms: RequestTerms,
+    pub(crate) policy: RequestPolicy,
     /// When the caller gets its answer at the latest.
     pub(crate) deadline_at: Instant,
     /// The part of the route that the request belongs to.
@@ -183,8 +183,8 @@
     fn place(&mut self, route: &Rc<RouteSpec>, body: &JobBody) -> Result<AttemptGuard, Refusal> {
         let now = Instant::now();
         let request = PlacementRequest {
-            priority: self.terms.priority,
-            homes: &self.terms.homes,
+            priority: self.policy.priority,
+            homes: &self.policy.home_regions,
             returning: self.record.returning,
             body_bytes: body.size(),
             tried: &self.progress.tried,
@@ -403,7 +403,7 @@
         strip_hop_headers(headers);
         let left = self.deadline_at.saturating_duration_since(Instant::now());
         headers::write_attempt(headers, left, &placement.id);
-        headers::write_team(headers, self.terms.team_name());
+        headers::write_team(headers, self.policy.team_name());
         if self.caller.interface == Interface::Own {
             self.caller.write_platform_headers(headers);
         }
--- a/bin/lh-entry/src/job_quarantine.rs
+++ b/bin/lh-entry/src/job_quarantine.rs
@@ -35,7 +35,7 @@
     /// The request's print; of a body that is passed on in pieces, its beginning counts.
     pub(crate) fn print(&mut self, body: &JobBody) -> RequestFingerprint {
         let (method, target, headers) = (&self.method, &self.target, &self.headers);
-        let team = self.terms.team_name().unwrap_or_default();
+        let team = self.policy.team_name().unwrap_or_default();
         let print = || request_print(method, target, headers, team, body.prefix());
         *self.progress.print.get_or_insert_with(print)
     }
--- a/bin/lh-entry/src/state.rs
+++ b/bin/lh-entry/src/state.rs
@@ -453,7 +453,7 @@
         for key in teams.shared_keys() {
             log::error!(key:%, version = desired.version; "key of two teams; it names neither");
         }
-        let apart = admission::check_homes(desired, &self.apart.borrow());
+        let apart = admission::log_region_conflicts(desired, &self.apart.borrow());
         *self.apart.borrow_mut() = apart;
         let mut quota = self.quota.borrow_mut();
         quota.set_teams(Instant::now(), &desired.teams);
--- a/bin/lh-entry/src/ticket_forward.rs
+++ b/bin/lh-entry/src/ticket_forward.rs
@@ -12,7 +12,7 @@
 use hyper::{Request, Response};
 use tokio::time::timeout_at;
 
-use crate::admission::RequestTerms;
+use crate::admission::RequestPolicy;
 use crate::body::{AnswerBody, RequestBody};
 use crate::caller::{Caller, TicketHeaders};
 use crate::handler::outcome_of;
@@ -26,12 +26,12 @@
 pub(crate) async fn pass_on(
     state: &Rc<InstanceState>,
     mut record: RequestRecord,
-    (caller, terms): (&Caller, &RequestTerms),
+    (caller, policy): (&Caller, &RequestPolicy),
     head: &TicketHeaders,
     request: (Parts, Incoming),
     deadline_at: Instant,
 ) -> Response<AnswerBody> {
-    match exchange(state, &mut record, (head, terms), request, deadline_at).await {
+    match exchange(state, &mut record, (head, policy), request, deadline_at).await {
         Ok(response) => {
             record.finish_passed(outcome_of(&response), response.status().as_u16());
             response
@@ -46,7 +46,7 @@
 async fn exchange(
     state: &Rc<InstanceState>,
     record: &mut RequestRecord,
-    (head, terms): (&TicketHeaders, &RequestTerms),
+    (head, policy): (&TicketHeaders, &RequestPolicy),
     (parts, body): (Parts, Incoming),
     deadline_at: Instant,
 ) -> Result<Response<AnswerBody>, Problem> {
@@ -57,7 +57,7 @@
         let run = listed.find(|(_, entry)| {
             entry.node == node.instance.as_str() && entry.incarnation == node.incarnation.0
         });
-        run.filter(|(region, _)| terms.may_pass(&state.config.region, region))
+        run.filter(|(region, _)| policy.may_forward(&state.config.region, region))
             .map(|(_, entry)| entry.caller_address)
     });
     let address = run.ok_or_else(stale)?;
