--- a/bin/lh-entry/src/admission.rs
+++ b/bin/lh-entry/src/admission.rs
@@ -104,7 +104,7 @@
     state.metrics.on_limit("quota", admitted.is_ok());
     admitted.map_err(|after| {
         let detail = "the team asks for more than its quota";
-        Problem::new(StatusCode::TOO_MANY_REQUESTS, "quota", detail).with_return(after)
+        Problem::new(StatusCode::TOO_MANY_REQUESTS, "quota", detail).with_retry_after(after)
     })
 }
 
@@ -119,13 +119,14 @@
 
 fn stale_keys(kind: &'static str) -> Problem {
     let detail = "this entry hasn't heard lately which keys hold; ask another, or come back";
-    Problem::new(StatusCode::SERVICE_UNAVAILABLE, kind, detail).with_return(STALE_KEYS_RETRY_AFTER)
+    Problem::new(StatusCode::SERVICE_UNAVAILABLE, kind, detail)
+        .with_retry_after(STALE_KEYS_RETRY_AFTER)
 }
 
 fn no_common_region() -> Problem {
     let detail = "no region may serve both the team and the service";
     Problem::new(StatusCode::SERVICE_UNAVAILABLE, "no-home", detail)
-        .with_return(NO_REGION_RETRY_AFTER)
+        .with_retry_after(NO_REGION_RETRY_AFTER)
 }
 
 /// Tells operators which teams and routes of `desired` no region may serve together, unless
--- a/bin/lh-entry/src/body.rs
+++ b/bin/lh-entry/src/body.rs
@@ -38,14 +38,14 @@
 
 /// The body of an answer to a caller.
 #[derive(Debug)]
-pub(crate) struct AnswerBody {
-    content: AnswerContent,
+pub(crate) struct ResponseBody {
+    content: ResponseContent,
     guards: Vec<CountGuard>,
 }
 
 #[derive(Debug)]
-enum AnswerContent {
-    Whole(Option<Bytes>),
+enum ResponseContent {
+    Buffered(Option<Bytes>),
     Streamed {
         first: Option<Bytes>,
         rest: Incoming,
@@ -53,11 +53,11 @@
     },
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// A body that is there as a whole.
-    pub(crate) fn whole(bytes: Bytes) -> Self {
+    pub(crate) fn buffered(bytes: Bytes) -> Self {
         Self {
-            content: AnswerContent::Whole(Some(bytes).filter(|bytes| !bytes.is_empty())),
+            content: ResponseContent::Buffered(Some(bytes).filter(|bytes| !bytes.is_empty())),
             guards: Vec::new(),
         }
     }
@@ -65,7 +65,7 @@
     /// A body whose rest is still at the server; `lease` keeps its connection.
     pub(crate) fn streamed(first: Bytes, rest: Incoming, lease: Lease) -> Self {
         Self {
-            content: AnswerContent::Streamed {
+            content: ResponseContent::Streamed {
                 first: Some(first).filter(|bytes| !bytes.is_empty()),
                 rest,
                 _lease: Some(lease),
@@ -77,8 +77,8 @@
     /// All bytes, where they are there as a whole.
     pub(crate) fn bytes(&self) -> Option<Bytes> {
         match &self.content {
-            AnswerContent::Whole(bytes) => Some(bytes.clone().unwrap_or_default()),
-            AnswerContent::Streamed { .. } => None,
+            ResponseContent::Buffered(bytes) => Some(bytes.clone().unwrap_or_default()),
+            ResponseContent::Streamed { .. } => None,
         }
     }
 
@@ -89,7 +89,7 @@
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
@@ -98,8 +98,10 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
         match &mut self.content {
-            AnswerContent::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
-            AnswerContent::Streamed { first, rest, .. } => {
+            ResponseContent::Buffered(bytes) => {
+                Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b))))
+            }
+            ResponseContent::Streamed { first, rest, .. } => {
                 if let Some(bytes) = first.take() {
                     return Poll::Ready(Some(Ok(Frame::data(bytes))));
                 }
@@ -110,20 +112,22 @@
 
     fn is_end_stream(&self) -> bool {
         match &self.content {
-            AnswerContent::Whole(bytes) => bytes.is_none(),
-            AnswerContent::Streamed { first, rest, .. } => first.is_none() && rest.is_end_stream(),
+            ResponseContent::Buffered(bytes) => bytes.is_none(),
+            ResponseContent::Streamed { first, rest, .. } => {
+                first.is_none() && rest.is_end_stream()
+            }
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.content {
-            AnswerContent::Whole(bytes) => {
+            ResponseContent::Buffered(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            AnswerContent::Streamed { first, rest, .. } => {
-                let before = first.as_ref().map_or(0, |bytes| bytes.len() as u64);
+            ResponseContent::Streamed { first, rest, .. } => {
+                let prefix_bytes = first.as_ref().map_or(0, |bytes| bytes.len() as u64);
                 match rest.size_hint().exact() {
-                    Some(length) => SizeHint::with_exact(length + before),
+                    Some(length) => SizeHint::with_exact(length + prefix_bytes),
                     None => SizeHint::default(),
                 }
             }
@@ -155,25 +159,25 @@
     first: Option<Bytes>,
     rest: Option<Incoming>,
     /// Bytes that may still come from the caller.
-    left: usize,
+    remaining: usize,
 }
 
 impl RequestBody {
     /// A body that is there as a whole.
-    pub(crate) fn whole(bytes: Bytes) -> Self {
+    pub(crate) fn buffered(bytes: Bytes) -> Self {
         Self {
             first: Some(bytes).filter(|bytes| !bytes.is_empty()),
             rest: None,
-            left: 0,
+            remaining: 0,
         }
     }
 
-    /// A body whose rest, `left` bytes at most, still comes from the caller.
-    pub(crate) fn streamed(first: Bytes, rest: Incoming, left: usize) -> Self {
+    /// A body whose rest, `remaining` bytes at most, still comes from the caller.
+    pub(crate) fn streamed(first: Bytes, rest: Incoming, remaining: usize) -> Self {
         Self {
             first: Some(first).filter(|bytes| !bytes.is_empty()),
             rest: Some(rest),
-            left,
+            remaining,
         }
     }
 }
@@ -197,8 +201,8 @@
         };
         let frame = frame?;
         let length = frame.data_ref().map_or(0, Bytes::len);
-        match self.left.checked_sub(length) {
-            Some(left) => self.left = left,
+        match self.remaining.checked_sub(length) {
+            Some(remaining) => self.remaining = remaining,
             None => return Poll::Ready(Some(Err(BodyError::TooLong))),
         }
         Poll::Ready(Some(Ok(frame)))
@@ -209,11 +213,11 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        let before = self.first.as_ref().map_or(0, |bytes| bytes.len() as u64);
+        let prefix_bytes = self.first.as_ref().map_or(0, |bytes| bytes.len() as u64);
         match &self.rest {
-            None => SizeHint::with_exact(before),
+            None => SizeHint::with_exact(prefix_bytes),
             Some(rest) => match rest.size_hint().exact() {
-                Some(length) => SizeHint::with_exact(length + before),
+                Some(length) => SizeHint::with_exact(length + prefix_bytes),
                 None => SizeHint::default(),
             },
         }
--- a/bin/lh-entry/src/fingerprint.rs
+++ b/bin/lh-entry/src/fingerprint.rs
@@ -8,7 +8,7 @@
 use sha2::{Digest, Sha256};
 
 use crate::caller;
-use crate::reply::is_hop_header;
+use crate::reply::is_hop_by_hop;
 
 /// Headers of tracing and clocks, which differ from one attempt to the next.
 const TRACE_HEADERS: [HeaderName; 4] = [
@@ -66,6 +66,6 @@
 fn is_excluded(name: &HeaderName) -> bool {
     headers::is_per_attempt(name)
         || caller::is_per_attempt(name)
-        || is_hop_header(name)
+        || is_hop_by_hop(name)
         || TRACE_HEADERS.contains(name)
 }
--- a/bin/lh-entry/src/handler.rs
+++ b/bin/lh-entry/src/handler.rs
@@ -16,13 +16,13 @@
 use platform::headers;
 
 use crate::admission::{self, RequestPolicy};
-use crate::body::{AnswerBody, CountGuard};
+use crate::body::{CountGuard, ResponseBody};
 use crate::body_reader::{JobBody, read_body};
 use crate::caller::{Caller, Interface, TicketHeaders};
 use crate::job::{JobProgress, RequestJob};
 use crate::problem::Problem;
 use crate::record::RequestRecord;
-use crate::reply::{refuse, reject};
+use crate::reply::{respond_rejected, respond_unavailable};
 use crate::state::InstanceState;
 use crate::stop::StopPhase;
 use crate::ticket::{fingerprint, ticket_needed, unknown};
@@ -39,7 +39,7 @@
 pub(crate) async fn serve(
     state: Rc<InstanceState>,
     request: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Infallible> {
+) -> Result<Response<ResponseBody>, Infallible> {
     let guard = CountGuard::new(&state.in_flight, 1);
     let stop = Rc::clone(&state);
     let mut answer = answer(state, request).await;
@@ -50,21 +50,21 @@
     Ok(answer.map(|body| body.with_guard(guard)))
 }
 
-async fn answer(state: Rc<InstanceState>, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn answer(state: Rc<InstanceState>, request: Request<Incoming>) -> Response<ResponseBody> {
     let (parts, body) = request.into_parts();
     let mut caller = Caller::from_platform_headers(&parts.headers);
     let mut record = RequestRecord::new(&state, caller.request_name());
     state.meter.borrow_mut().on_request();
     if state.stop.get() == StopPhase::Refusing {
-        return refuse(&mut record, &caller, "stopping", STOPPING_RETURN);
+        return respond_unavailable(&mut record, &caller, "stopping", STOPPING_RETURN);
     }
     let routes = Rc::clone(&state.routes.borrow());
     if routes.version() == 0 {
-        return refuse(&mut record, &caller, "starting", UNKNOWN_RETURN);
+        return respond_unavailable(&mut record, &caller, "starting", UNKNOWN_RETURN);
     }
     let route = match find_route(&routes, &parts) {
         Ok(route) => route,
-        Err(status) => return reject(&mut record, &caller, status),
+        Err(status) => return respond_rejected(&mut record, &caller, status),
     };
     let mut ticket = None;
     if Interface::of(&route, &parts.headers) == Interface::Own {
@@ -88,7 +88,7 @@
     record.team.clone_from(&policy.team);
     let limit = state.limits.get().body_bytes;
     if body.size_hint().lower() > limit as u64 {
-        return reject(&mut record, &caller, StatusCode::PAYLOAD_TOO_LARGE);
+        return respond_rejected(&mut record, &caller, StatusCode::PAYLOAD_TOO_LARGE);
     }
     let bound = [caller.deadline, route.timeout].into_iter().flatten().min();
     let deadline_at = record.begun + bound.unwrap_or(DEFAULT_TIME);
@@ -110,7 +110,7 @@
     let mut job = new_job(state, record, caller, (parts, policy), &route, deadline_at);
     let body = match read_body(&job.state, deadline_at, body, limit).await {
         Ok(body) => body,
-        Err(status) => return reject(&mut job.record, &job.caller, status),
+        Err(status) => return respond_rejected(&mut job.record, &job.caller, status),
     };
     match ticket {
         None => job.run(&route, body).await,
@@ -184,7 +184,7 @@
     route: Rc<RouteSpec>,
     body: JobBody,
     head: &TicketHeaders,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let state = Rc::clone(&job.state);
     let caller = job.caller.clone();
     let now = Instant::now();
--- a/bin/lh-entry/src/job.rs
+++ b/bin/lh-entry/src/job.rs
@@ -19,13 +19,16 @@
 
 use crate::admission::RequestPolicy;
 use crate::attempt::AttemptGuard;
-use crate::body::{AnswerBody, RequestBody};
+use crate::body::{RequestBody, ResponseBody};
 use crate::body_reader::JobBody;
 use crate::caller::{Caller, Interface};
 use crate::pool::Lease;
-use crate::problem::{Problem, state_outcome};
+use crate::problem::{Problem, set_outcome};
 use crate::record::{RequestOutcome, RequestRecord};
-use crate::reply::{broken, fail, is_sound, read_answer, refuse, strip_hop_headers};
+use crate::reply::{
+    describe_error, is_valid_response, read_response, respond_unavailable, respond_unknown,
+    strip_hop_by_hop_headers,
+};
 use crate::rollout;
 use crate::state::InstanceState;
 
@@ -64,11 +67,11 @@
 
 /// What came of an attempt.
 enum AttemptEnd {
-    Answer(Response<AnswerBody>),
+    Answer(Response<ResponseBody>),
     NotRun,
     /// Nothing was sent: no connection could be had, or not in time.
     Unsent,
-    Failed(Response<AnswerBody>),
+    Failed(Response<ResponseBody>),
     Broken,
     OutOfTime,
 }
@@ -79,8 +82,8 @@
         mut self,
         route: &Rc<RouteSpec>,
         mut body: JobBody,
-    ) -> Response<AnswerBody> {
-        let mut last: Option<Response<AnswerBody>> = None;
+    ) -> Response<ResponseBody> {
+        let mut last: Option<Response<ResponseBody>> = None;
         loop {
             if let Some(refusal) = self.quarantine(&body) {
                 return self.give_up(last, refusal);
@@ -97,7 +100,11 @@
                     return self.pass_back(answer);
                 }
                 AttemptEnd::OutOfTime => {
-                    return fail(&mut self.record, &self.caller, StatusCode::GATEWAY_TIMEOUT);
+                    return respond_unknown(
+                        &mut self.record,
+                        &self.caller,
+                        StatusCode::GATEWAY_TIMEOUT,
+                    );
                 }
                 AttemptEnd::Unsent => {
                     self.progress.unsent += 1;
@@ -147,35 +154,35 @@
 
     fn give_up(
         mut self,
-        last: Option<Response<AnswerBody>>,
+        last: Option<Response<ResponseBody>>,
         refusal: Refusal,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         if let Some(answer) = last {
             return self.pass_back(answer);
         }
         if self.progress.may_have_run {
-            return fail(&mut self.record, &self.caller, StatusCode::BAD_GATEWAY);
+            return respond_unknown(&mut self.record, &self.caller, StatusCode::BAD_GATEWAY);
         }
         self.record.on_refused(refusal);
         if matches!(refusal.reason, RefusalReason::Full | RefusalReason::Late) {
             self.state.shares.borrow_mut().on_refused(Instant::now());
         }
         let reason = refusal.reason.as_str();
-        refuse(&mut self.record, &self.caller, reason, refusal.retry_after)
+        respond_unavailable(&mut self.record, &self.caller, reason, refusal.retry_after)
     }
 
     /// Gives the caller a server's answer.
-    fn pass_back(&mut self, mut answer: Response<AnswerBody>) -> Response<AnswerBody> {
+    fn pass_back(&mut self, mut answer: Response<ResponseBody>) -> Response<ResponseBody> {
         let status = answer.status().as_u16();
         self.record.finish(RequestOutcome::Answered, status);
         if self.caller.interface == Interface::Own {
-            state_outcome(&mut answer, Outcome::Done);
+            set_outcome(&mut answer, Outcome::Done);
         }
         answer
     }
 
     /// Ends the request with an answer of the entry's own.
-    pub(crate) fn end_with(mut self, problem: Problem) -> Response<AnswerBody> {
+    pub(crate) fn end_with(mut self, problem: Problem) -> Response<ResponseBody> {
         self.record.finish_with(&problem);
         problem.into_response(&self.caller)
     }
@@ -252,7 +259,7 @@
                 } else {
                     ServerOutcome::Broken
                 };
-                self.record.on_result(&broken(error.error()));
+                self.record.on_result(&describe_error(error.error()));
                 guard.finish(outcome, None);
                 if unsent {
                     return AttemptEnd::Unsent;
@@ -300,13 +307,13 @@
             self.record.on_answer(parts.status, head.report.as_ref());
             return AttemptEnd::NotRun;
         }
-        if !is_sound(parts.status, &parts.headers, &head) {
+        if !is_valid_response(parts.status, &parts.headers, &head) {
             guard.finish(ServerOutcome::Broken, None);
             self.record
                 .on_result(&format!("unsound answer ({})", parts.status.as_u16()));
             return AttemptEnd::Broken;
         }
-        let (bytes, rest) = match timeout_at(self.deadline_at.into(), read_answer(body)).await {
+        let (bytes, rest) = match timeout_at(self.deadline_at.into(), read_response(body)).await {
             Err(_) => {
                 guard.finish(ServerOutcome::OutOfTime, None);
                 self.record.on_result("answer not whole in time");
@@ -314,7 +321,7 @@
             }
             Ok(Err(error)) => {
                 guard.finish(ServerOutcome::Broken, None);
-                self.record.on_result(&broken(&error));
+                self.record.on_result(&describe_error(&error));
                 self.on_broken_off(route, &guard.placement, sent);
                 return AttemptEnd::Broken;
             }
@@ -325,19 +332,19 @@
         guard.finish(ServerOutcome::Answered { good }, head.report.as_ref());
         self.record.on_answer(parts.status, head.report.as_ref());
         let body = match rest {
-            Some(rest) => AnswerBody::streamed(bytes, rest, lease),
+            Some(rest) => ResponseBody::streamed(bytes, rest, lease),
             None => {
                 // A server that answers an upload early may still wait for the rest of it.
                 if parts.status.is_success() {
                     self.state.pool.give_back(lease, &parts.headers);
                 }
-                AnswerBody::whole(bytes)
+                ResponseBody::buffered(bytes)
             }
         };
         let mut response = Response::new(body);
         *response.status_mut() = parts.status;
         *response.headers_mut() = parts.headers;
-        strip_hop_headers(response.headers_mut());
+        strip_hop_by_hop_headers(response.headers_mut());
         if good {
             AttemptEnd::Answer(response)
         } else {
@@ -383,7 +390,7 @@
 
     fn request(&self, placement: &Placement, body: &mut JobBody) -> Option<Request<RequestBody>> {
         let body = match body {
-            JobBody::Buffered { bytes, .. } => RequestBody::whole(bytes.clone()),
+            JobBody::Buffered { bytes, .. } => RequestBody::buffered(bytes.clone()),
             JobBody::Streamed(stream) => {
                 let (first, rest, left) = stream.take()?;
                 RequestBody::streamed(first, rest, left)
@@ -400,7 +407,7 @@
             .ok()?;
         let headers = request.headers_mut();
         *headers = self.headers.clone();
-        strip_hop_headers(headers);
+        strip_hop_by_hop_headers(headers);
         let left = self.deadline_at.saturating_duration_since(Instant::now());
         headers::write_attempt(headers, left, &placement.id);
         headers::write_team(headers, self.policy.team_name());
--- a/bin/lh-entry/src/problem.rs
+++ b/bin/lh-entry/src/problem.rs
@@ -9,7 +9,7 @@
 use once::StoredAnswer;
 use platform::headers;
 
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 use crate::caller::{Caller, Interface};
 
 /// Header with the time to come back in milliseconds, finer than `Retry-After`.
@@ -56,22 +56,22 @@
 
     /// States when to come back.
     #[must_use]
-    pub(crate) fn with_return(mut self, after: Duration) -> Self {
-        self.retry_after = Some(after);
+    pub(crate) fn with_retry_after(mut self, retry_after: Duration) -> Self {
+        self.retry_after = Some(retry_after);
         self
     }
 
     /// The answer to `caller`.
-    pub(crate) fn into_response(self, caller: &Caller) -> Response<AnswerBody> {
+    pub(crate) fn into_response(self, caller: &Caller) -> Response<ResponseBody> {
         let mut response = match (self.replay, caller.interface) {
-            (Some(answer), _) => replayed(*answer),
+            (Some(answer), _) => replay_response(*answer),
             (None, Interface::Own) => {
                 problem_document(self.status, self.kind, &self.detail, self.outcome)
             }
-            (None, Interface::Platform) => Response::new(AnswerBody::whole(Bytes::new())),
+            (None, Interface::Platform) => Response::new(ResponseBody::buffered(Bytes::new())),
         };
         *response.status_mut() = self.status;
-        state_outcome(&mut response, self.outcome);
+        set_outcome(&mut response, self.outcome);
         let headers = response.headers_mut();
         if let Some(id) = &caller.request_id {
             headers::write_request_id(headers, id);
@@ -86,8 +86,8 @@
             (Some(after), Interface::Platform) => headers::write_retry_after(headers, after),
             (Some(after), Interface::Own) => {
                 let seconds = after.as_millis().div_ceil(1000).max(1);
-                headers.insert(RETRY_AFTER, number(seconds));
-                headers.insert(RETRY_AFTER_MS, number(after.as_millis()));
+                headers.insert(RETRY_AFTER, header_number(seconds));
+                headers.insert(RETRY_AFTER_MS, header_number(after.as_millis()));
             }
             (None, _) => {}
         }
@@ -96,7 +96,7 @@
 }
 
 /// States what became of the request that `response` answers.
-pub(crate) fn state_outcome(response: &mut Response<AnswerBody>, outcome: Outcome) {
+pub(crate) fn set_outcome(response: &mut Response<ResponseBody>, outcome: Outcome) {
     let value = HeaderValue::from_static(outcome.as_str());
     let name = HeaderName::from_static(OUTCOME_HEADER);
     response.headers_mut().insert(name, value);
@@ -107,7 +107,7 @@
     kind: &str,
     detail: &str,
     outcome: Outcome,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let body = serde_json::json!({
         "type": format!("urn:laurelhill:{kind}"),
         "title": status.canonical_reason().unwrap_or("Problem"),
@@ -115,20 +115,20 @@
         "detail": detail,
         "outcome": outcome.as_str(),
     });
-    let mut response = Response::new(AnswerBody::whole(Bytes::from(body.to_string())));
+    let mut response = Response::new(ResponseBody::buffered(Bytes::from(body.to_string())));
     let document = HeaderValue::from_static("application/problem+json");
     response.headers_mut().insert(CONTENT_TYPE, document);
     response
 }
 
-fn replayed(answer: StoredAnswer) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(answer.body));
+fn replay_response(answer: StoredAnswer) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::buffered(answer.body));
     if let Some(Ok(value)) = answer.content_type.map(HeaderValue::try_from) {
         response.headers_mut().insert(CONTENT_TYPE, value);
     }
     response
 }
 
-fn number(value: u128) -> HeaderValue {
+fn header_number(value: u128) -> HeaderValue {
     HeaderValue::from(u64::try_from(value).unwrap_or(u64::MAX))
 }
--- a/bin/lh-entry/src/reply.rs
+++ b/bin/lh-entry/src/reply.rs
@@ -10,16 +10,16 @@
 use hyper::{HeaderMap, Response, StatusCode};
 use platform::headers::ServerHeaders;
 
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 use crate::caller::Caller;
 use crate::problem::Problem;
 use crate::record::RequestRecord;
 
 /// Answers up to this size are read before they are passed on, so that one
 /// that breaks off can be asked for again, in bytes.
-const WHOLE_ANSWER: usize = 256 << 10;
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 256 << 10;
 /// Headers that concern one connection only.
-const HOP_HEADERS: [HeaderName; 9] = [
+const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
     HeaderName::from_static("proxy-connection"),
@@ -32,7 +32,7 @@
 ];
 
 /// Reads an answer whole, or its beginning if it is long.
-pub(crate) async fn read_answer(
+pub(crate) async fn read_response(
     mut body: Incoming,
 ) -> Result<(Bytes, Option<Incoming>), hyper::Error> {
     let mut bytes = BytesMut::new();
@@ -40,7 +40,7 @@
         if let Some(data) = frame?.data_ref() {
             bytes.extend_from_slice(data);
         }
-        if bytes.len() >= WHOLE_ANSWER {
+        if bytes.len() >= MAX_BUFFERED_RESPONSE_BYTES {
             return Ok((bytes.freeze(), Some(body)));
         }
     }
@@ -49,7 +49,11 @@
 
 /// Whether the answer may be passed on as the server's own. A refusal without
 /// the server's word that nothing ran would be a false promise.
-pub(crate) fn is_sound(status: StatusCode, headers: &HeaderMap, head: &ServerHeaders) -> bool {
+pub(crate) fn is_valid_response(
+    status: StatusCode,
+    headers: &HeaderMap,
+    head: &ServerHeaders,
+) -> bool {
     if status.is_success() {
         return head.has_server_stamp && !headers.contains_key(header::CONTENT_ENCODING);
     }
@@ -62,75 +66,79 @@
 }
 
 /// Whether the header concerns one connection only.
-pub(crate) fn is_hop_header(name: &HeaderName) -> bool {
-    HOP_HEADERS.contains(name)
+pub(crate) fn is_hop_by_hop(name: &HeaderName) -> bool {
+    HOP_BY_HOP_HEADERS.contains(name)
 }
 
 /// Drops the headers that concern one connection only.
-pub(crate) fn strip_hop_headers(headers: &mut HeaderMap) {
-    let listed: Vec<HeaderName> = headers
+pub(crate) fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
+    let named_headers: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in listed {
+    for name in named_headers {
         headers.remove(name);
     }
-    for name in &HOP_HEADERS {
+    for name in &HOP_BY_HOP_HEADERS {
         headers.remove(name);
     }
 }
 
 /// The answer to a request that has not run and never will; come back later.
-pub(crate) fn refuse(
+pub(crate) fn respond_unavailable(
     record: &mut RequestRecord,
     caller: &Caller,
     reason: &'static str,
-    after: Duration,
-) -> Response<AnswerBody> {
+    retry_after: Duration,
+) -> Response<ResponseBody> {
     let detail = "no backend server can take the request now; come back later";
-    end(
+    respond(
         record,
         caller,
-        Problem::new(StatusCode::SERVICE_UNAVAILABLE, reason, detail).with_return(after),
+        Problem::new(StatusCode::SERVICE_UNAVAILABLE, reason, detail).with_retry_after(retry_after),
     )
 }
 
 /// The answer to a request that is not proper or not allowed.
-pub(crate) fn reject(
+pub(crate) fn respond_rejected(
     record: &mut RequestRecord,
     caller: &Caller,
     status: StatusCode,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let (kind, detail) = match status {
         StatusCode::NOT_FOUND => ("unknown-service", "no service has this host and path"),
         StatusCode::PAYLOAD_TOO_LARGE => ("body-too-large", "the body is longer than allowed"),
         StatusCode::REQUEST_TIMEOUT => ("body-late", "the body did not come in time"),
         _ => ("bad-request", "the request can't be read"),
     };
-    end(record, caller, Problem::new(status, kind, detail))
+    respond(record, caller, Problem::new(status, kind, detail))
 }
 
 /// The answer to a request that may have run.
-pub(crate) fn fail(
+pub(crate) fn respond_unknown(
     record: &mut RequestRecord,
     caller: &Caller,
     status: StatusCode,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let detail = "no whole answer came from the backend server; the request may have run";
     let problem = Problem::new(status, "outcome-unknown", detail);
-    end(record, caller, problem.with_outcome(Outcome::Unknown))
+    respond(record, caller, problem.with_outcome(Outcome::Unknown))
 }
 
-fn end(record: &mut RequestRecord, caller: &Caller, problem: Problem) -> Response<AnswerBody> {
+fn respond(
+    record: &mut RequestRecord,
+    caller: &Caller,
+    problem: Problem,
+) -> Response<ResponseBody> {
     record.finish_with(&problem);
     problem.into_response(caller)
 }
 
 /// What broke, with the cause below it.
-pub(crate) fn broken(error: &hyper::Error) -> String {
+pub(crate) fn describe_error(error: &hyper::Error) -> String {
     match std::error::Error::source(error) {
         Some(cause) => format!("broke: {error}: {cause}"),
         None => format!("broke: {error}"),
--- a/bin/lh-entry/src/ticket.rs
+++ b/bin/lh-entry/src/ticket.rs
@@ -10,7 +10,7 @@
 use hyper::{HeaderMap, Method, Response, StatusCode};
 use once::{OnceKey, OnceState, OnceTable, OnceVerdict, StampKey, StoredAnswer, TicketVerdict};
 
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 use crate::caller::TicketHeaders;
 use crate::problem::Problem;
 
@@ -116,12 +116,17 @@
                 "too-many-records",
                 "too many requests are remembered here; look up again",
             )
-            .with_return(LATER)),
+            .with_retry_after(LATER)),
         }
     }
 
     /// Records what became of a request that was begun.
-    pub(crate) fn finish(&self, key: &OnceKey, outcome: Outcome, response: &Response<AnswerBody>) {
+    pub(crate) fn finish(
+        &self,
+        key: &OnceKey,
+        outcome: Outcome,
+        response: &Response<ResponseBody>,
+    ) {
         let state = match outcome {
             Outcome::NotRun => OnceState::Refused,
             Outcome::Unknown => OnceState::Unknown,
@@ -167,7 +172,7 @@
 fn repeat_problem(state: OnceState) -> Problem {
     match state {
         OnceState::Running => {
-            unknown("the request is still being worked on; ask again").with_return(LATER)
+            unknown("the request is still being worked on; ask again").with_retry_after(LATER)
         }
         OnceState::Refused => Problem::new(
             StatusCode::CONFLICT,
@@ -202,7 +207,7 @@
     hasher.finish()
 }
 
-fn kept_answer(response: &Response<AnswerBody>) -> Option<StoredAnswer> {
+fn kept_answer(response: &Response<ResponseBody>) -> Option<StoredAnswer> {
     let content_type = response.headers().get(CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok());
     Some(StoredAnswer {
--- a/bin/lh-entry/src/ticket_forward.rs
+++ b/bin/lh-entry/src/ticket_forward.rs
@@ -13,12 +13,12 @@
 use tokio::time::timeout_at;
 
 use crate::admission::RequestPolicy;
-use crate::body::{AnswerBody, RequestBody};
+use crate::body::{RequestBody, ResponseBody};
 use crate::caller::{Caller, TicketHeaders};
 use crate::handler::outcome_of;
 use crate::problem::Problem;
 use crate::record::RequestRecord;
-use crate::reply::{broken, strip_hop_headers};
+use crate::reply::{describe_error, strip_hop_by_hop_headers};
 use crate::state::InstanceState;
 use crate::ticket::{stale_ticket, unknown};
 
@@ -30,7 +30,7 @@
     head: &TicketHeaders,
     request: (Parts, Incoming),
     deadline_at: Instant,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     match exchange(state, &mut record, (head, policy), request, deadline_at).await {
         Ok(response) => {
             record.finish_passed(outcome_of(&response), response.status().as_u16());
@@ -49,7 +49,7 @@
     (head, policy): (&TicketHeaders, &RequestPolicy),
     (parts, body): (Parts, Incoming),
     deadline_at: Instant,
-) -> Result<Response<AnswerBody>, Problem> {
+) -> Result<Response<ResponseBody>, Problem> {
     let node = &head.ticket.node;
     let stale = || stale_ticket(head.first_attempt);
     let run = state.fleet.with_regions(|now, regions| {
@@ -72,21 +72,21 @@
     *request.method_mut() = parts.method;
     *request.uri_mut() = parts.uri;
     *request.headers_mut() = parts.headers;
-    strip_hop_headers(request.headers_mut());
+    strip_hop_by_hop_headers(request.headers_mut());
     let sender = lease.sender().ok_or_else(stale)?;
     let answer = match timeout_at(deadline_at.into(), sender.try_send_request(request)).await {
         Err(_) => return Err(unknown("the instance of the ticket did not answer in time")),
         Ok(Err(error)) if error.message().is_some() => return Err(stale()),
         Ok(Err(error)) => {
-            record.on_result(&broken(error.error()));
+            record.on_result(&describe_error(error.error()));
             return Err(unknown("the instance of the ticket broke off"));
         }
         Ok(Ok(answer)) => answer,
     };
     let (parts, body) = answer.into_parts();
-    let mut response = Response::new(AnswerBody::streamed(Bytes::new(), body, lease));
+    let mut response = Response::new(ResponseBody::streamed(Bytes::new(), body, lease));
     *response.status_mut() = parts.status;
     *response.headers_mut() = parts.headers;
-    strip_hop_headers(response.headers_mut());
+    strip_hop_by_hop_headers(response.headers_mut());
     Ok(response)
 }
