--- a/bin/lh-entry/src/attempt.rs
+++ b/bin/lh-entry/src/attempt.rs
@@ -19,7 +19,7 @@
     pub(crate) placement: Placement,
     /// Names the request where a rollout of its service runs.
     token: Option<SendToken>,
-    done: bool,
+    finished: bool,
 }
 
 impl AttemptGuard {
@@ -47,16 +47,16 @@
             object,
             placement,
             token: sent.map(|(token, _)| token),
-            done: false,
+            finished: false,
         }
     }
 
     /// Takes in what became of it; the first call counts.
     pub(crate) fn finish(&mut self, outcome: ServerOutcome, report: Option<&ServerReport>) {
-        if self.done {
+        if self.finished {
             return;
         }
-        self.done = true;
+        self.finished = true;
         let request = PlacementRequest::new(&self.route, self.part).with_object(self.object);
         if let Some(part) = self.route.parts.get(self.part) {
             self.state
--- a/bin/lh-entry/src/handler.rs
+++ b/bin/lh-entry/src/handler.rs
@@ -72,7 +72,7 @@
             Ok((own, head)) => (caller, ticket) = (own, head),
             Err(problem) => {
                 caller.interface = Interface::Own;
-                record.finish_with(&problem);
+                record.finish_with_problem(&problem);
                 return problem.into_response(&caller);
             }
         }
@@ -81,7 +81,7 @@
     let policy = match admission::admit(&state, &route, headers::parse_key(&parts.headers)) {
         Ok(policy) => policy,
         Err(problem) => {
-            record.finish_with(&problem);
+            record.finish_with_problem(&problem);
             return problem.into_response(&caller);
         }
     };
@@ -91,7 +91,7 @@
         return respond_rejected(&mut record, &caller, StatusCode::PAYLOAD_TOO_LARGE);
     }
     let bound = [caller.deadline, route.timeout].into_iter().flatten().min();
-    let deadline_at = record.begun + bound.unwrap_or(DEFAULT_TIME);
+    let deadline_at = record.started_at + bound.unwrap_or(DEFAULT_TIME);
     record.route = Some(Rc::clone(&route));
     let elsewhere = ticket
         .as_ref()
@@ -161,7 +161,7 @@
         state
             .placer
             .borrow_mut()
-            .on_request(record.begun, route, object, caller.deadline);
+            .on_request(record.started_at, route, object, caller.deadline);
     record.returning = returning;
     RequestJob {
         record,
@@ -202,7 +202,7 @@
         });
     let key = match begun {
         Ok(key) => key,
-        Err(problem) => return job.end_with(problem),
+        Err(problem) => return job.respond_with_problem(problem),
     };
     // The run goes on when the caller goes away, so that a repeat finds its answer.
     let run = tokio::task::spawn_local(async move {
--- a/bin/lh-entry/src/job.rs
+++ b/bin/lh-entry/src/job.rs
@@ -33,7 +33,7 @@
 use crate::state::InstanceState;
 
 /// Servers to which a request can't be sent are passed over this many times.
-const UNSENT_MOST: u32 = 4;
+const MAX_UNSENT_ATTEMPTS: u32 = 4;
 
 /// A request on its way.
 pub(crate) struct RequestJob {
@@ -58,16 +58,16 @@
 #[derive(Debug, Default)]
 pub(crate) struct JobProgress {
     tried: Vec<ServerHandle>,
-    runs: u32,
-    unsent: u32,
+    failed_attempts: u32,
+    unsent_attempts: u32,
     may_have_run: bool,
     /// The request's print, once it was needed.
     pub(crate) print: Option<RequestFingerprint>,
 }
 
 /// What came of an attempt.
-enum AttemptEnd {
-    Answer(Response<ResponseBody>),
+enum AttemptResult {
+    Responded(Response<ResponseBody>),
     NotRun,
     /// Nothing was sent: no connection could be had, or not in time.
     Unsent,
@@ -86,58 +86,58 @@
         let mut last: Option<Response<ResponseBody>> = None;
         loop {
             if let Some(refusal) = self.quarantine(&body) {
-                return self.give_up(last, refusal);
+                return self.finish_unserved(last, refusal);
             }
             let guard = match self.place(route, &body) {
                 Ok(guard) => guard,
-                Err(refusal) => return self.give_up(last, refusal),
+                Err(refusal) => return self.finish_unserved(last, refusal),
             };
             self.record.on_placed(&guard.placement);
             let end = self.attempt(route, guard, &mut body).await;
             match end {
-                AttemptEnd::Answer(answer) => {
+                AttemptResult::Responded(response) => {
                     self.clear(&body);
-                    return self.pass_back(answer);
+                    return self.relay_response(response);
                 }
-                AttemptEnd::OutOfTime => {
+                AttemptResult::OutOfTime => {
                     return respond_unknown(
                         &mut self.record,
                         &self.caller,
                         StatusCode::GATEWAY_TIMEOUT,
                     );
                 }
-                AttemptEnd::Unsent => {
-                    self.progress.unsent += 1;
-                    if self.progress.unsent < UNSENT_MOST {
+                AttemptResult::Unsent => {
+                    self.progress.unsent_attempts += 1;
+                    if self.progress.unsent_attempts < MAX_UNSENT_ATTEMPTS {
                         continue;
                     }
                 }
-                AttemptEnd::Failed(answer) => {
-                    last = Some(answer);
-                    self.progress.runs += 1;
+                AttemptResult::Failed(response) => {
+                    last = Some(response);
+                    self.progress.failed_attempts += 1;
                     self.progress.may_have_run = true;
                 }
-                AttemptEnd::Broken => {
-                    self.progress.runs += 1;
+                AttemptResult::Broken => {
+                    self.progress.failed_attempts += 1;
                     self.progress.may_have_run = true;
                 }
-                AttemptEnd::NotRun => {}
+                AttemptResult::NotRun => {}
             }
-            if !self.may_try_again(route, &body) {
+            if !self.may_retry(route, &body) {
                 let refusal = self.state.placer.borrow_mut().rejection();
-                return self.give_up(last, refusal);
+                return self.finish_unserved(last, refusal);
             }
         }
     }
 
-    fn may_try_again(&mut self, route: &RouteSpec, body: &JobBody) -> bool {
+    fn may_retry(&mut self, route: &RouteSpec, body: &JobBody) -> bool {
         if self.progress.may_have_run && !route.kind.may_repeat() {
             return false;
         }
         if matches!(body, JobBody::Streamed(None)) {
             return false;
         }
-        if self.progress.runs >= route.max_attempts
+        if self.progress.failed_attempts >= route.max_attempts
             || self.progress.tried.len() as u32 > route.max_attempts
         {
             return false;
@@ -152,13 +152,13 @@
         allowed
     }
 
-    fn give_up(
+    fn finish_unserved(
         mut self,
         last: Option<Response<ResponseBody>>,
         refusal: Refusal,
     ) -> Response<ResponseBody> {
-        if let Some(answer) = last {
-            return self.pass_back(answer);
+        if let Some(response) = last {
+            return self.relay_response(response);
         }
         if self.progress.may_have_run {
             return respond_unknown(&mut self.record, &self.caller, StatusCode::BAD_GATEWAY);
@@ -172,18 +172,18 @@
     }
 
     /// Gives the caller a server's answer.
-    fn pass_back(&mut self, mut answer: Response<ResponseBody>) -> Response<ResponseBody> {
-        let status = answer.status().as_u16();
+    fn relay_response(&mut self, mut response: Response<ResponseBody>) -> Response<ResponseBody> {
+        let status = response.status().as_u16();
         self.record.finish(RequestOutcome::Answered, status);
         if self.caller.interface == Interface::Own {
-            set_outcome(&mut answer, Outcome::Done);
+            set_outcome(&mut response, Outcome::Done);
         }
-        answer
+        response
     }
 
     /// Ends the request with an answer of the entry's own.
-    pub(crate) fn end_with(mut self, problem: Problem) -> Response<ResponseBody> {
-        self.record.finish_with(&problem);
+    pub(crate) fn respond_with_problem(mut self, problem: Problem) -> Response<ResponseBody> {
+        self.record.finish_with_problem(&problem);
         problem.into_response(&self.caller)
     }
 
@@ -216,41 +216,41 @@
         route: &RouteSpec,
         mut guard: AttemptGuard,
         body: &mut JobBody,
-    ) -> AttemptEnd {
-        let careful = !route.kind.may_repeat();
+    ) -> AttemptResult {
+        let avoid_stale = !route.kind.may_repeat();
         let placed = Instant::now();
-        let mut lease = match self.connection(&guard.placement, careful).await {
+        let mut lease = match self.acquire_connection(&guard.placement, avoid_stale).await {
             Ok(lease) => lease,
             Err(reason) => {
                 guard.finish(ServerOutcome::Unreachable, None);
-                self.record.on_result(&reason);
-                return AttemptEnd::Unsent;
+                self.record.on_attempt_result(&reason);
+                return AttemptResult::Unsent;
             }
         };
         if !self.may_send(&guard.placement, body) {
             guard.finish(ServerOutcome::Withdrawn, None);
-            self.record.on_result("not sent, closed meanwhile");
-            return AttemptEnd::Unsent;
+            self.record.on_attempt_result("not sent, closed meanwhile");
+            return AttemptResult::Unsent;
         }
         if matches!(body, JobBody::Streamed(_)) {
             // Its beginning is gone once it is sent.
             self.print(body);
         }
-        let Some(request) = self.request(&guard.placement, body) else {
+        let Some(request) = self.build_request(&guard.placement, body) else {
             guard.finish(ServerOutcome::Abandoned, None);
-            return AttemptEnd::Broken;
+            return AttemptResult::Broken;
         };
         let Some(sender) = lease.sender() else {
             guard.finish(ServerOutcome::Unreachable, None);
-            return AttemptEnd::Unsent;
+            return AttemptResult::Unsent;
         };
         self.record.on_sent(placed.elapsed());
         let sending = sender.try_send_request(request);
-        let answer = match timeout_at(self.deadline_at.into(), sending).await {
+        let response = match timeout_at(self.deadline_at.into(), sending).await {
             Err(_) => {
                 guard.finish(ServerOutcome::OutOfTime, None);
-                self.record.on_result("no answer in time");
-                return AttemptEnd::OutOfTime;
+                self.record.on_attempt_result("no answer in time");
+                return AttemptResult::OutOfTime;
             }
             Ok(Err(error)) => {
                 let unsent = error.message().is_some();
@@ -259,43 +259,45 @@
                 } else {
                     ServerOutcome::Broken
                 };
-                self.record.on_result(&describe_error(error.error()));
+                self.record
+                    .on_attempt_result(&describe_error(error.error()));
                 guard.finish(outcome, None);
                 if unsent {
-                    return AttemptEnd::Unsent;
+                    return AttemptResult::Unsent;
                 }
                 self.on_broken_off(route, &guard.placement, body);
-                return AttemptEnd::Broken;
+                return AttemptResult::Broken;
             }
             Ok(Ok(answer)) => answer,
         };
-        self.take_answer(route, guard, lease, (answer, body)).await
+        self.handle_response(route, guard, lease, (response, body))
+            .await
     }
 
     /// Whether the choice still stands once a connection is there.
     fn may_send(&mut self, placement: &Placement, body: &JobBody) -> bool {
-        let stands = self
+        let is_current = self
             .state
             .placer
             .borrow()
             .catalog
             .may_send(placement.handle);
-        stands && self.quarantine(body).is_none()
+        is_current && self.quarantine(body).is_none()
     }
 
-    async fn take_answer(
+    async fn handle_response(
         &mut self,
         route: &RouteSpec,
         mut guard: AttemptGuard,
         lease: Lease,
-        (answer, sent): (Response<Incoming>, &JobBody),
-    ) -> AttemptEnd {
-        let (parts, body) = answer.into_parts();
+        (response, sent): (Response<Incoming>, &JobBody),
+    ) -> AttemptResult {
+        let (parts, body) = response.into_parts();
         let head = headers::parse_server(parts.status, &parts.headers);
-        if !self.answers_this(&head, &lease) {
+        if !self.matches_request(&head, &lease) {
             guard.finish(ServerOutcome::Broken, None);
-            self.record.on_result("answer to another request");
-            return AttemptEnd::Broken;
+            self.record.on_attempt_result("answer to another request");
+            return AttemptResult::Broken;
         }
         if head.not_executed {
             let outcome = if parts.status == StatusCode::MISDIRECTED_REQUEST {
@@ -304,33 +306,33 @@
                 ServerOutcome::Full
             };
             guard.finish(outcome, head.report.as_ref());
-            self.record.on_answer(parts.status, head.report.as_ref());
-            return AttemptEnd::NotRun;
+            self.record.on_response(parts.status, head.report.as_ref());
+            return AttemptResult::NotRun;
         }
         if !is_valid_response(parts.status, &parts.headers, &head) {
             guard.finish(ServerOutcome::Broken, None);
             self.record
-                .on_result(&format!("unsound answer ({})", parts.status.as_u16()));
-            return AttemptEnd::Broken;
+                .on_attempt_result(&format!("unsound answer ({})", parts.status.as_u16()));
+            return AttemptResult::Broken;
         }
         let (bytes, rest) = match timeout_at(self.deadline_at.into(), read_response(body)).await {
             Err(_) => {
                 guard.finish(ServerOutcome::OutOfTime, None);
-                self.record.on_result("answer not whole in time");
-                return AttemptEnd::OutOfTime;
+                self.record.on_attempt_result("answer not whole in time");
+                return AttemptResult::OutOfTime;
             }
             Ok(Err(error)) => {
                 guard.finish(ServerOutcome::Broken, None);
-                self.record.on_result(&describe_error(&error));
+                self.record.on_attempt_result(&describe_error(&error));
                 self.on_broken_off(route, &guard.placement, sent);
-                return AttemptEnd::Broken;
+                return AttemptResult::Broken;
             }
             Ok(Ok(read)) => read,
         };
-        self.note_size(&parts.headers, bytes.len());
+        self.record_response_size(&parts.headers, bytes.len());
         let good = !parts.status.is_server_error();
         guard.finish(ServerOutcome::Answered { good }, head.report.as_ref());
-        self.record.on_answer(parts.status, head.report.as_ref());
+        self.record.on_response(parts.status, head.report.as_ref());
         let body = match rest {
             Some(rest) => ResponseBody::streamed(bytes, rest, lease),
             None => {
@@ -346,14 +348,14 @@
         *response.headers_mut() = parts.headers;
         strip_hop_by_hop_headers(response.headers_mut());
         if good {
-            AttemptEnd::Answer(response)
+            AttemptResult::Responded(response)
         } else {
-            AttemptEnd::Failed(response)
+            AttemptResult::Failed(response)
         }
     }
 
     /// Takes in the size of an answer of which `read` bytes are here.
-    fn note_size(&self, headers: &HeaderMap, read: usize) {
+    fn record_response_size(&self, headers: &HeaderMap, read: usize) {
         let stated = headers.get(header::CONTENT_LENGTH);
         let stated = stated.and_then(|length| length.to_str().ok()?.parse().ok());
         if let Some(route) = &self.record.route {
@@ -364,36 +366,44 @@
 
     /// Whether the answer is to this request. One without an id can only be so
     /// on a connection that carried no other request.
-    fn answers_this(&self, head: &ServerHeaders, lease: &Lease) -> bool {
+    fn matches_request(&self, head: &ServerHeaders, lease: &Lease) -> bool {
         match &head.request_id {
             Some(id) => self.caller.request_id.as_ref() == Some(id),
             None => !lease.reused,
         }
     }
 
-    async fn connection(&self, placement: &Placement, careful: bool) -> Result<Lease, String> {
-        if let Some(lease) = self.state.pool.take(&placement.id, careful) {
+    async fn acquire_connection(
+        &self,
+        placement: &Placement,
+        avoid_stale: bool,
+    ) -> Result<Lease, String> {
+        if let Some(lease) = self.state.pool.take(&placement.id, avoid_stale) {
             return Ok(lease);
         }
-        let begun = Instant::now();
-        let patience = self.deadline_at.saturating_duration_since(begun);
+        let started_at = Instant::now();
+        let time_left = self.deadline_at.saturating_duration_since(started_at);
         let opening = self
             .state
             .pool
-            .open(&placement.id, placement.address, patience);
+            .open(&placement.id, placement.address, time_left);
         let lease = opening.await?;
         let mut placer = self.state.placer.borrow_mut();
-        let took = millis(begun.elapsed());
-        placer.catalog.on_connected(placement.handle, took);
+        let elapsed_ms = millis(started_at.elapsed());
+        placer.catalog.on_connected(placement.handle, elapsed_ms);
         Ok(lease)
     }
 
-    fn request(&self, placement: &Placement, body: &mut JobBody) -> Option<Request<RequestBody>> {
+    fn build_request(
+        &self,
+        placement: &Placement,
+        body: &mut JobBody,
+    ) -> Option<Request<RequestBody>> {
         let body = match body {
             JobBody::Buffered { bytes, .. } => RequestBody::buffered(bytes.clone()),
             JobBody::Streamed(stream) => {
-                let (first, rest, left) = stream.take()?;
-                RequestBody::streamed(first, rest, left)
+                let (first, rest, remaining) = stream.take()?;
+                RequestBody::streamed(first, rest, remaining)
             }
         };
         let target = self
@@ -408,8 +418,8 @@
         let headers = request.headers_mut();
         *headers = self.headers.clone();
         strip_hop_by_hop_headers(headers);
-        let left = self.deadline_at.saturating_duration_since(Instant::now());
-        headers::write_attempt(headers, left, &placement.id);
+        let time_left = self.deadline_at.saturating_duration_since(Instant::now());
+        headers::write_attempt(headers, time_left, &placement.id);
         headers::write_team(headers, self.policy.team_name());
         if self.caller.interface == Interface::Own {
             self.caller.write_platform_headers(headers);
--- a/bin/lh-entry/src/pool.rs
+++ b/bin/lh-entry/src/pool.rs
@@ -62,14 +62,14 @@
         }
     }
 
-    /// An idle connection to `server`, the one used last. `careful` leaves out
+    /// An idle connection to `server`, the one used last. `avoid_stale` leaves out
     /// those that the server might be closing at this moment.
-    pub(crate) fn take(&self, server: &str, careful: bool) -> Option<Lease> {
+    pub(crate) fn take(&self, server: &str, avoid_stale: bool) -> Option<Lease> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(server)?;
         while let Some(connection) = connections.pop() {
             let age = connection.since.elapsed();
-            let keep = if careful {
+            let keep = if avoid_stale {
                 connection.keep / 2
             } else {
                 connection.keep
@@ -94,10 +94,10 @@
         &self,
         server: &str,
         address: SocketAddr,
-        patience: Duration,
+        time_left: Duration,
     ) -> Result<Lease, String> {
         let opening = TcpStream::connect(address);
-        let stream = match timeout(patience.min(self.connect), opening).await {
+        let stream = match timeout(time_left.min(self.connect), opening).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => return Err(error.to_string()),
             Err(_) => return Err("no connection in time".to_owned()),
--- a/bin/lh-entry/src/record.rs
+++ b/bin/lh-entry/src/record.rs
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 pub(crate) struct RequestRecord {
     state: Rc<InstanceState>,
-    pub(crate) begun: Instant,
+    pub(crate) started_at: Instant,
     pub(crate) id: String,
     pub(crate) route: Option<Rc<RouteSpec>>,
     /// The team whose request it is.
@@ -28,13 +28,13 @@
     /// The request's print, where it was needed.
     pub(crate) print: Option<RequestFingerprint>,
     attempts: String,
-    count: u32,
+    attempt_count: u32,
     refusal: Option<Refusal>,
     /// When the caller is asked to come back.
-    back_in: Duration,
+    retry_after: Duration,
     /// Why the entry answered itself, where no server refused.
     reason: &'static str,
-    done: bool,
+    finished: bool,
 }
 
 /// How a request ended, as callers see it.
@@ -69,24 +69,24 @@
     pub(crate) fn new(state: &Rc<InstanceState>, id: &str) -> Self {
         Self {
             state: Rc::clone(state),
-            begun: Instant::now(),
+            started_at: Instant::now(),
             id: id.to_owned(),
             route: None,
             team: None,
             returning: false,
             print: None,
             attempts: String::new(),
-            count: 0,
+            attempt_count: 0,
             refusal: None,
-            back_in: Duration::ZERO,
+            retry_after: Duration::ZERO,
             reason: "",
-            done: false,
+            finished: false,
         }
     }
 
     /// Notes where the request is sent, and why there.
     pub(crate) fn on_placed(&mut self, placement: &Placement) {
-        self.count += 1;
+        self.attempt_count += 1;
         let reason = &placement.reason;
         if reason.cold {
             self.state.metrics.on_limit("cold", true);
@@ -95,11 +95,11 @@
             self.state.metrics.on_limit("shift-cap", true);
         }
         let age = self.registry_age();
-        let at = self.begun.elapsed().as_millis();
+        let at = self.started_at.elapsed().as_millis();
         let _ = write!(
             self.attempts,
             "{}{}(expected {:.0}ms occupancy {:.1} warmth {:.2} rank {}{}{} at {at}ms by registry of {age}ms)",
-            if self.count > 1 { "; " } else { "" },
+            if self.attempt_count > 1 { "; " } else { "" },
             placement.id,
             reason.expected,
             reason.occupancy,
@@ -111,10 +111,10 @@
     }
 
     /// Notes that the newest attempt leaves for its server, where it was held up.
-    pub(crate) fn on_sent(&mut self, waited: Duration) {
-        let waited = waited.as_millis();
-        if waited > 0 {
-            let _ = write!(self.attempts, " sent after {waited}ms");
+    pub(crate) fn on_sent(&mut self, wait_time: Duration) {
+        let wait_time = wait_time.as_millis();
+        if wait_time > 0 {
+            let _ = write!(self.attempts, " sent after {wait_time}ms");
         }
     }
 
@@ -125,33 +125,33 @@
     }
 
     /// Notes what came of the newest attempt.
-    pub(crate) fn on_result(&mut self, result: &str) {
-        let at = self.begun.elapsed().as_millis();
+    pub(crate) fn on_attempt_result(&mut self, result: &str) {
+        let at = self.started_at.elapsed().as_millis();
         let _ = write!(self.attempts, " -> {result} at {at}ms");
     }
 
     /// Notes the server's answer and the load that it reported with it.
-    pub(crate) fn on_answer(&mut self, status: StatusCode, report: Option<&ServerReport>) {
+    pub(crate) fn on_response(&mut self, status: StatusCode, report: Option<&ServerReport>) {
         let load = report.map_or(String::new(), |report| {
             format!(
                 " (load {}+{}/{})",
                 report.running, report.waiting, report.slots
             )
         });
-        self.on_result(&format!("status {}{load}", status.as_u16()));
+        self.on_attempt_result(&format!("status {}{load}", status.as_u16()));
     }
 
     /// Notes that no server should get the request.
     pub(crate) fn on_refused(&mut self, refusal: Refusal) {
         self.refusal = Some(refusal);
-        self.back_in = refusal.retry_after;
+        self.retry_after = refusal.retry_after;
     }
 
     /// Ends the record with an answer of the entry's own.
-    pub(crate) fn finish_with(&mut self, problem: &Problem) {
+    pub(crate) fn finish_with_problem(&mut self, problem: &Problem) {
         if self.refusal.is_none() {
             self.reason = problem.kind;
-            self.back_in = problem.retry_after.unwrap_or_default();
+            self.retry_after = problem.retry_after.unwrap_or_default();
         }
         let outcome = match problem.outcome {
             Outcome::Done => RequestOutcome::Answered,
@@ -163,7 +163,7 @@
     }
 
     /// Ends the record with the answer of the entry that its ticket names.
-    pub(crate) fn finish_passed(&mut self, outcome: Outcome, status: u16) {
+    pub(crate) fn finish_forwarded(&mut self, outcome: Outcome, status: u16) {
         self.reason = "passed-on";
         let outcome = match outcome {
             Outcome::Done => RequestOutcome::Answered,
@@ -175,16 +175,18 @@
 
     /// Ends the record with `outcome` and the `status` that the caller gets.
     pub(crate) fn finish(&mut self, outcome: RequestOutcome, status: u16) {
-        if self.done {
+        if self.finished {
             return;
         }
-        self.done = true;
-        let took = self.begun.elapsed();
+        self.finished = true;
+        let took = self.started_at.elapsed();
         let route = self.route.as_ref().map_or("none", |route| &route.name);
         let metrics = &self.state.metrics;
         metrics.on_request(route, outcome.as_str(), took.as_secs_f64());
         let objective = self.route.as_ref().map(|route| route.objective);
-        if outcome == RequestOutcome::Answered && objective.is_some_and(|most| took <= most) {
+        if outcome == RequestOutcome::Answered
+            && objective.is_some_and(|objective| took <= objective)
+        {
             metrics.on_good(route);
         }
         let servers_age_ms = self.registry_age();
@@ -193,7 +195,7 @@
         let refused = self
             .refusal
             .map_or(self.reason, |refusal| refusal.reason.as_str());
-        let back_in_ms = self.back_in.as_millis() as u64;
+        let back_in_ms = self.retry_after.as_millis() as u64;
         if matches!(outcome, RequestOutcome::NotRun | RequestOutcome::Rejected) {
             metrics.on_refusal(refused);
         }
@@ -201,7 +203,7 @@
         if team.is_some() || !self.state.teams.borrow().is_empty() {
             metrics.teams.on_request(team, outcome.as_str());
         }
-        self.give_back(outcome);
+        self.refund_quota(outcome);
         if outcome == RequestOutcome::Rejected && !self.state.denials.take(Instant::now()) {
             return;
         }
@@ -243,8 +245,8 @@
 
 impl RequestRecord {
     /// What a team asked for that hasn't run here doesn't count against it.
-    fn give_back(&self, outcome: RequestOutcome) {
-        let has_run = outcome != RequestOutcome::NotRun && self.count > 0;
+    fn refund_quota(&self, outcome: RequestOutcome) {
+        let has_run = outcome != RequestOutcome::NotRun && self.attempt_count > 0;
         if let Some(team) = self.team.as_ref().filter(|_| !has_run) {
             let mut quota = self.state.quota.borrow_mut();
             quota.refund(Instant::now(), &team.name);
--- a/bin/lh-entry/src/reply.rs
+++ b/bin/lh-entry/src/reply.rs
@@ -133,7 +133,7 @@
     caller: &Caller,
     problem: Problem,
 ) -> Response<ResponseBody> {
-    record.finish_with(&problem);
+    record.finish_with_problem(&problem);
     problem.into_response(caller)
 }
 
--- a/bin/lh-entry/src/ticket_forward.rs
+++ b/bin/lh-entry/src/ticket_forward.rs
@@ -33,11 +33,11 @@
 ) -> Response<ResponseBody> {
     match exchange(state, &mut record, (head, policy), request, deadline_at).await {
         Ok(response) => {
-            record.finish_passed(outcome_of(&response), response.status().as_u16());
+            record.finish_forwarded(outcome_of(&response), response.status().as_u16());
             response
         }
         Err(problem) => {
-            record.finish_with(&problem);
+            record.finish_with_problem(&problem);
             problem.into_response(caller)
         }
     }
@@ -61,10 +61,10 @@
             .map(|(_, entry)| entry.caller_address)
     });
     let address = run.ok_or_else(stale)?;
-    let patience = deadline_at.saturating_duration_since(Instant::now());
-    let opening = state.pool.open(node.instance.as_str(), address, patience);
+    let time_left = deadline_at.saturating_duration_since(Instant::now());
+    let opening = state.pool.open(node.instance.as_str(), address, time_left);
     let mut lease = opening.await.map_err(|reason| {
-        record.on_result(&format!("ticket's entry not reached: {reason}"));
+        record.on_attempt_result(&format!("ticket's entry not reached: {reason}"));
         stale()
     })?;
     let limit = state.limits.get().body_bytes;
@@ -78,7 +78,7 @@
         Err(_) => return Err(unknown("the instance of the ticket did not answer in time")),
         Ok(Err(error)) if error.message().is_some() => return Err(stale()),
         Ok(Err(error)) => {
-            record.on_result(&describe_error(error.error()));
+            record.on_attempt_result(&describe_error(error.error()));
             return Err(unknown("the instance of the ticket broke off"));
         }
         Ok(Ok(answer)) => answer,
