--- a/bin/lh-entry/src/handler.rs
+++ b/bin/lh-entry/src/handler.rs
@@ -25,15 +25,15 @@
 use crate::reply::{respond_rejected, respond_unavailable};
 use crate::state::InstanceState;
 use crate::stop::StopPhase;
-use crate::ticket::{fingerprint, ticket_needed, unknown};
+use crate::ticket::{ticket_fingerprint, ticket_required, unknown};
 use crate::ticket_forward;
 
 /// How long a request without a deadline or a bound of its route may take.
-const DEFAULT_TIME: Duration = Duration::from_secs(30);
+const DEFAULT_TIME_LIMIT: Duration = Duration::from_secs(30);
 /// When a caller comes back to an entry that knows no desired state yet.
-const UNKNOWN_RETURN: Duration = Duration::from_millis(400);
+const STARTING_RETRY_AFTER: Duration = Duration::from_millis(400);
 /// When a caller that is refused by a stopping entry comes back, to another.
-const STOPPING_RETURN: Duration = Duration::from_millis(50);
+const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// Answers `request`.
 pub(crate) async fn serve(
@@ -42,25 +42,25 @@
 ) -> Result<Response<ResponseBody>, Infallible> {
     let guard = CountGuard::new(&state.in_flight, 1);
     let stop = Rc::clone(&state);
-    let mut answer = answer(state, request).await;
+    let mut response = handle(state, request).await;
     if stop.stop.get() != StopPhase::Serving {
         let close = HeaderValue::from_static("close");
-        answer.headers_mut().insert(header::CONNECTION, close);
+        response.headers_mut().insert(header::CONNECTION, close);
     }
-    Ok(answer.map(|body| body.with_guard(guard)))
+    Ok(response.map(|body| body.with_guard(guard)))
 }
 
-async fn answer(state: Rc<InstanceState>, request: Request<Incoming>) -> Response<ResponseBody> {
+async fn handle(state: Rc<InstanceState>, request: Request<Incoming>) -> Response<ResponseBody> {
     let (parts, body) = request.into_parts();
     let mut caller = Caller::from_platform_headers(&parts.headers);
     let mut record = RequestRecord::new(&state, caller.request_name());
     state.meter.borrow_mut().on_request();
     if state.stop.get() == StopPhase::Refusing {
-        return respond_unavailable(&mut record, &caller, "stopping", STOPPING_RETURN);
+        return respond_unavailable(&mut record, &caller, "stopping", STOPPING_RETRY_AFTER);
     }
     let routes = Rc::clone(&state.routes.borrow());
     if routes.version() == 0 {
-        return respond_unavailable(&mut record, &caller, "starting", UNKNOWN_RETURN);
+        return respond_unavailable(&mut record, &caller, "starting", STARTING_RETRY_AFTER);
     }
     let route = match find_route(&routes, &parts) {
         Ok(route) => route,
@@ -68,7 +68,7 @@
     };
     let mut ticket = None;
     if Interface::of(&route, &parts.headers) == Interface::Own {
-        match read_own(&route, &parts) {
+        match parse_own(&route, &parts) {
             Ok((own, head)) => (caller, ticket) = (own, head),
             Err(problem) => {
                 caller.interface = Interface::Own;
@@ -90,14 +90,14 @@
     if body.size_hint().lower() > limit as u64 {
         return respond_rejected(&mut record, &caller, StatusCode::PAYLOAD_TOO_LARGE);
     }
-    let bound = [caller.deadline, route.timeout].into_iter().flatten().min();
-    let deadline_at = record.started_at + bound.unwrap_or(DEFAULT_TIME);
+    let time_limit = [caller.deadline, route.timeout].into_iter().flatten().min();
+    let deadline_at = record.started_at + time_limit.unwrap_or(DEFAULT_TIME_LIMIT);
     record.route = Some(Rc::clone(&route));
-    let elsewhere = ticket
+    let other_holder = ticket
         .as_ref()
         .filter(|head| head.ticket.node != state.node);
-    if let Some(head) = elsewhere {
-        return ticket_forward::pass_on(
+    if let Some(head) = other_holder {
+        return ticket_forward::forward(
             &state,
             record,
             (&caller, &policy),
@@ -107,7 +107,7 @@
         )
         .await;
     }
-    let mut job = new_job(state, record, caller, (parts, policy), &route, deadline_at);
+    let mut job = create_job(state, record, caller, (parts, policy), &route, deadline_at);
     let body = match read_body(&job.state, deadline_at, body, limit).await {
         Ok(body) => body,
         Err(status) => return respond_rejected(&mut job.record, &job.caller, status),
@@ -134,16 +134,16 @@
 
 /// The caller of a request on the own interface, and its ticket where the route asks
 /// for one.
-fn read_own(route: &RouteSpec, parts: &Parts) -> Result<(Caller, Option<TicketHeaders>), Problem> {
+fn parse_own(route: &RouteSpec, parts: &Parts) -> Result<(Caller, Option<TicketHeaders>), Problem> {
     let caller = Caller::from_own_headers(&parts.headers)?;
     if route.kind.may_repeat() {
         return Ok((caller, None));
     }
-    let head = TicketHeaders::parse(&parts.headers)?.ok_or_else(ticket_needed)?;
+    let head = TicketHeaders::parse(&parts.headers)?.ok_or_else(ticket_required)?;
     Ok((caller, Some(head)))
 }
 
-fn new_job(
+fn create_job(
     state: Rc<InstanceState>,
     mut record: RequestRecord,
     caller: Caller,
@@ -188,7 +188,7 @@
     let state = Rc::clone(&job.state);
     let caller = job.caller.clone();
     let now = Instant::now();
-    let print = fingerprint(&job.method, &job.target, &job.headers, body.buffered());
+    let fingerprint = ticket_fingerprint(&job.method, &job.target, &job.headers, body.buffered());
     let owner = job
         .policy
         .team_name()
@@ -197,7 +197,7 @@
         .tickets
         .check(now, head, owner)
         .and_then(|(key, end)| {
-            state.tickets.begin(now, &key, print, end)?;
+            state.tickets.begin(now, &key, fingerprint, end)?;
             Ok(key)
         });
     let key = match begun {
--- a/bin/lh-entry/src/job.rs
+++ b/bin/lh-entry/src/job.rs
@@ -338,7 +338,7 @@
             None => {
                 // A server that answers an upload early may still wait for the rest of it.
                 if parts.status.is_success() {
-                    self.state.pool.give_back(lease, &parts.headers);
+                    self.state.pool.release(lease, &parts.headers);
                 }
                 ResponseBody::buffered(bytes)
             }
@@ -383,11 +383,11 @@
         }
         let started_at = Instant::now();
         let time_left = self.deadline_at.saturating_duration_since(started_at);
-        let opening = self
+        let connecting = self
             .state
             .pool
             .open(&placement.id, placement.address, time_left);
-        let lease = opening.await?;
+        let lease = connecting.await?;
         let mut placer = self.state.placer.borrow_mut();
         let elapsed_ms = millis(started_at.elapsed());
         placer.catalog.on_connected(placement.handle, elapsed_ms);
--- a/bin/lh-entry/src/pool.rs
+++ b/bin/lh-entry/src/pool.rs
@@ -19,16 +19,16 @@
 
 /// Bytes that stay unacknowledged for this long break the connection: a server
 /// that lost power is noticed before most deadlines.
-const SILENCE: Duration = Duration::from_millis(1200);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1200);
 /// How long a connection is kept where the server doesn't say: servers whose
 /// time-out is under a second don't.
-const UNSTATED_KEEP: Duration = Duration::from_millis(400);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(400);
 /// Kept between the last use and the time at which the server closes.
-const CLOSE_MARGIN: Duration = Duration::from_millis(800);
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(800);
 /// Idle connections kept to one server.
-const IDLE_MOST: usize = 16;
+const MAX_IDLE_PER_SERVER: usize = 16;
 
-/// A connection in use. Dropped without [`Lease::give_back`], it is closed.
+/// A connection in use. Dropped without [`Lease::release`], it is closed.
 #[derive(Debug)]
 pub(crate) struct Lease {
     server: String,
@@ -41,23 +41,23 @@
 #[derive(Debug)]
 struct IdleConnection {
     lease: Lease,
-    since: Instant,
-    keep: Duration,
+    idle_since: Instant,
+    keep_alive: Duration,
 }
 
 /// Idle connections by server.
 #[derive(Debug)]
-pub(crate) struct ServerPool {
+pub(crate) struct ConnectionPool {
     /// Longest time in which a server accepts a connection.
-    connect: Duration,
+    connect_timeout: Duration,
     idle: RefCell<HashMap<String, Vec<IdleConnection>>>,
 }
 
-impl ServerPool {
-    /// A pool without connections; each may take `connect` to be made.
-    pub(crate) fn new(connect: Duration) -> Self {
+impl ConnectionPool {
+    /// A pool without connections; each may take `connect_timeout` to be made.
+    pub(crate) fn new(connect_timeout: Duration) -> Self {
         Self {
-            connect,
+            connect_timeout,
             idle: RefCell::default(),
         }
     }
@@ -68,16 +68,16 @@
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(server)?;
         while let Some(connection) = connections.pop() {
-            let age = connection.since.elapsed();
-            let keep = if avoid_stale {
-                connection.keep / 2
+            let age = connection.idle_since.elapsed();
+            let keep_alive = if avoid_stale {
+                connection.keep_alive / 2
             } else {
-                connection.keep
+                connection.keep_alive
             };
-            if age >= connection.keep || !connection.lease.is_usable() {
+            if age >= connection.keep_alive || !connection.lease.is_usable() {
                 continue;
             }
-            if age >= keep {
+            if age >= keep_alive {
                 connections.push(connection);
                 return None;
             }
@@ -96,14 +96,16 @@
         address: SocketAddr,
         time_left: Duration,
     ) -> Result<Lease, String> {
-        let opening = TcpStream::connect(address);
-        let stream = match timeout(time_left.min(self.connect), opening).await {
+        let connecting = TcpStream::connect(address);
+        let stream = match timeout(time_left.min(self.connect_timeout), connecting).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => return Err(error.to_string()),
             Err(_) => return Err("no connection in time".to_owned()),
         };
         let _ = stream.set_nodelay(true);
-        if let Err(error) = SockRef::from(&stream).set_tcp_user_timeout(Some(SILENCE)) {
+        if let Err(error) =
+            SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
+        {
             log::debug!(error:%; "no bound on unacknowledged bytes");
         }
         let (sender, connection) = Builder::new()
@@ -124,25 +126,25 @@
     }
 
     /// Keeps `lease` for later, for as long as its answer's `headers` allow.
-    pub(crate) fn give_back(&self, mut lease: Lease, headers: &HeaderMap) {
-        let Some(keep) = keep_time(headers) else {
+    pub(crate) fn release(&self, mut lease: Lease, headers: &HeaderMap) {
+        let Some(keep_alive) = parse_keep_alive(headers) else {
             return;
         };
         lease.reused = true;
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(lease.server.clone()).or_default();
-        if connections.len() >= IDLE_MOST {
+        if connections.len() >= MAX_IDLE_PER_SERVER {
             return;
         }
         connections.push(IdleConnection {
             lease,
-            since: Instant::now(),
-            keep,
+            idle_since: Instant::now(),
+            keep_alive,
         });
     }
 
     /// Closes the idle connections to `server`.
-    pub(crate) fn forget(&self, server: &str) {
+    pub(crate) fn close_idle(&self, server: &str) {
         self.idle.borrow_mut().remove(server);
     }
 
@@ -151,7 +153,8 @@
         let mut idle = self.idle.borrow_mut();
         for connections in idle.values_mut() {
             connections.retain(|connection| {
-                connection.lease.is_usable() && connection.since.elapsed() < connection.keep
+                connection.lease.is_usable()
+                    && connection.idle_since.elapsed() < connection.keep_alive
             });
         }
         idle.retain(|_, connections| !connections.is_empty());
@@ -180,7 +183,7 @@
 
 /// How long a connection stays usable after an answer with `headers`; `None`
 /// where the server closes it.
-fn keep_time(headers: &HeaderMap) -> Option<Duration> {
+fn parse_keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let closing = headers
         .get_all(CONNECTION)
         .iter()
@@ -199,9 +202,9 @@
                 .find_map(|part| part.trim().strip_prefix("timeout="))
         })
         .and_then(|seconds| seconds.trim().parse::<u64>().ok());
-    let keep = match stated {
-        Some(seconds) => Duration::from_secs(seconds).saturating_sub(CLOSE_MARGIN),
-        None => UNSTATED_KEEP,
+    let keep_alive = match stated {
+        Some(seconds) => Duration::from_secs(seconds).saturating_sub(KEEP_ALIVE_MARGIN),
+        None => DEFAULT_KEEP_ALIVE,
     };
-    (!keep.is_zero()).then_some(keep)
+    (!keep_alive.is_zero()).then_some(keep_alive)
 }
--- a/bin/lh-entry/src/state.rs
+++ b/bin/lh-entry/src/state.rs
@@ -32,11 +32,11 @@
 use crate::homes::HomeBook;
 use crate::logs::LineLimit;
 use crate::metrics::EntryMetrics;
-use crate::pool::ServerPool;
+use crate::pool::ConnectionPool;
 use crate::rollout::RolloutDesk;
 use crate::stop::StopPhase;
 use crate::suspension::SuspensionMeter;
-use crate::ticket::TicketDesk;
+use crate::ticket::TicketTable;
 use crate::view::EncodedChanges;
 use crate::watch::Dependency;
 use crate::words::WordDesk;
@@ -47,7 +47,7 @@
     pub(crate) config: EntryConfig,
     /// This run of the instance.
     pub(crate) node: NodeId,
-    pub(crate) tickets: TicketDesk,
+    pub(crate) tickets: TicketTable,
     pub(crate) placer: RefCell<RequestPlacer>,
     pub(crate) routes: RefCell<Rc<RouteTable>>,
     pub(crate) desired: RefCell<Option<Rc<DesiredState>>>,
@@ -85,7 +85,7 @@
     pub(crate) told_rate: Cell<u32>,
     /// Home regions of client addresses.
     pub(crate) homes: RefCell<HomeBook>,
-    pub(crate) pool: ServerPool,
+    pub(crate) pool: ConnectionPool,
     /// Servers that broke off requests.
     pub(crate) crashes: CrashDesk,
     pub(crate) metrics: EntryMetrics,
@@ -112,7 +112,7 @@
         let (stopping, _) = tokio::sync::watch::channel(StopPhase::Serving);
         let node = NodeId::new(&InstanceId::new(&config.instance), Incarnation(incarnation));
         Self {
-            tickets: TicketDesk::new(&node, config.once_records),
+            tickets: TicketTable::new(&node, config.once_records),
             node,
             placer: RefCell::new(placer),
             routes: RefCell::default(),
@@ -136,7 +136,7 @@
             meter: RefCell::default(),
             told_rate: Cell::new(0),
             homes: RefCell::default(),
-            pool: ServerPool::new(config.connect),
+            pool: ConnectionPool::new(config.connect),
             crashes: CrashDesk::default(),
             metrics,
             stop: Cell::new(StopPhase::Serving),
@@ -397,7 +397,7 @@
         for change in changes {
             if let CatalogChange::Restarted(id) = change {
                 // Its connections ended with the former run.
-                self.pool.forget(id);
+                self.pool.close_idle(id);
             }
             log_change(change, source);
         }
--- a/bin/lh-entry/src/ticket.rs
+++ b/bin/lh-entry/src/ticket.rs
@@ -16,27 +16,27 @@
 
 /// How long a stamp is good beyond the life of the look-ups' answers that carry it: a
 /// caller may go on using a ticket for about as long.
-const STAMP_TIME: Duration = Duration::from_secs(60);
+const STAMP_LIFETIME: Duration = Duration::from_secs(60);
 /// Time between two stamps: well within their life.
-const STAMP_EVERY: Duration = Duration::from_secs(5);
+const STAMP_REFRESH_INTERVAL: Duration = Duration::from_secs(5);
 /// When a caller comes back to a request that is still running, or to an entry that
 /// remembers too many.
-const LATER: Duration = Duration::from_secs(1);
+const REPEAT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The records of this run of the entry.
 #[derive(Debug)]
-pub(crate) struct TicketDesk {
+pub(crate) struct TicketTable {
     table: RefCell<OnceTable>,
-    stamps: StampKey,
+    stamp_key: StampKey,
     stamp: RefCell<Option<(Instant, String)>>,
 }
 
-impl TicketDesk {
-    /// A desk of the run `node` that remembers `most` requests.
-    pub(crate) fn new(node: &NodeId, most: usize) -> Self {
+impl TicketTable {
+    /// A desk of the run `node` that remembers `capacity` requests.
+    pub(crate) fn new(node: &NodeId, capacity: usize) -> Self {
         Self {
-            table: RefCell::new(OnceTable::new(most)),
-            stamps: StampKey::new(node, rand::random(), Instant::now()),
+            table: RefCell::new(OnceTable::new(capacity)),
+            stamp_key: StampKey::new(node, rand::random(), Instant::now()),
             stamp: RefCell::default(),
         }
     }
@@ -46,9 +46,9 @@
         let mut stamp = self.stamp.borrow_mut();
         let fresh = stamp
             .as_ref()
-            .is_some_and(|(at, _)| now.saturating_duration_since(*at) < STAMP_EVERY);
+            .is_some_and(|(at, _)| now.saturating_duration_since(*at) < STAMP_REFRESH_INTERVAL);
         if !fresh {
-            *stamp = Some((now, self.stamps.stamp(now + STAMP_TIME)));
+            *stamp = Some((now, self.stamp_key.stamp(now + STAMP_LIFETIME)));
         }
         stamp
             .as_ref()
@@ -71,7 +71,7 @@
             nonce: head.ticket.nonce,
             number: head.number,
         };
-        match self.stamps.check(now, &head.ticket) {
+        match self.stamp_key.check(now, &head.ticket) {
             TicketVerdict::Valid(end) => Ok((key, end)),
             TicketVerdict::Forged => Err(Problem::new(
                 StatusCode::FORBIDDEN,
@@ -79,8 +79,8 @@
                 "the ticket was not issued by this instance; look up again",
             )),
             TicketVerdict::Expired(end) if now < end + OnceTable::retention() => {
-                let known = self.table.borrow().find(&key).cloned();
-                Err(known.map_or_else(expired, repeat_problem))
+                let record = self.table.borrow().find(&key).cloned();
+                Err(record.map_or_else(ticket_expired, repeat_problem))
             }
             TicketVerdict::Expired(_) => Err(unknown(
                 "the ticket expired so long ago that an earlier copy may have been forgotten",
@@ -116,7 +116,7 @@
                 "too-many-records",
                 "too many requests are remembered here; look up again",
             )
-            .with_retry_after(LATER)),
+            .with_retry_after(REPEAT_RETRY_AFTER)),
         }
     }
 
@@ -130,14 +130,14 @@
         let state = match outcome {
             Outcome::NotRun => OnceState::Refused,
             Outcome::Unknown => OnceState::Unknown,
-            Outcome::Done => OnceState::Done(kept_answer(response)),
+            Outcome::Done => OnceState::Done(to_stored_answer(response)),
         };
         self.table.borrow_mut().finish(key, state);
     }
 }
 
 /// A request without a ticket where one is needed.
-pub(crate) fn ticket_needed() -> Problem {
+pub(crate) fn ticket_required() -> Problem {
     Problem::new(
         StatusCode::PRECONDITION_REQUIRED,
         "ticket-required",
@@ -163,7 +163,7 @@
     Problem::new(StatusCode::CONFLICT, "outcome-unknown", detail).with_outcome(Outcome::Unknown)
 }
 
-fn expired() -> Problem {
+fn ticket_expired() -> Problem {
     let detail = "the ticket has expired; look up again";
     Problem::new(StatusCode::GONE, "ticket-expired", detail)
 }
@@ -171,9 +171,8 @@
 /// The answer to a repeated request, from the record of the first one.
 fn repeat_problem(state: OnceState) -> Problem {
     match state {
-        OnceState::Running => {
-            unknown("the request is still being worked on; ask again").with_retry_after(LATER)
-        }
+        OnceState::Running => unknown("the request is still being worked on; ask again")
+            .with_retry_after(REPEAT_RETRY_AFTER),
         OnceState::Refused => Problem::new(
             StatusCode::CONFLICT,
             "refused-before",
@@ -191,7 +190,7 @@
 }
 
 /// Tells one request from another that comes under the same number.
-pub(crate) fn fingerprint(
+pub(crate) fn ticket_fingerprint(
     method: &Method,
     target: &hyper::Uri,
     headers: &HeaderMap,
@@ -207,7 +206,7 @@
     hasher.finish()
 }
 
-fn kept_answer(response: &Response<ResponseBody>) -> Option<StoredAnswer> {
+fn to_stored_answer(response: &Response<ResponseBody>) -> Option<StoredAnswer> {
     let content_type = response.headers().get(CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok());
     Some(StoredAnswer {
--- a/bin/lh-entry/src/ticket_forward.rs
+++ b/bin/lh-entry/src/ticket_forward.rs
@@ -23,15 +23,23 @@
 use crate::ticket::{stale_ticket, unknown};
 
 /// Passes the request on, until `deadline_at`.
-pub(crate) async fn pass_on(
+pub(crate) async fn forward(
     state: &Rc<InstanceState>,
     mut record: RequestRecord,
     (caller, policy): (&Caller, &RequestPolicy),
-    head: &TicketHeaders,
+    ticket_headers: &TicketHeaders,
     request: (Parts, Incoming),
     deadline_at: Instant,
 ) -> Response<ResponseBody> {
-    match exchange(state, &mut record, (head, policy), request, deadline_at).await {
+    match exchange(
+        state,
+        &mut record,
+        (ticket_headers, policy),
+        request,
+        deadline_at,
+    )
+    .await
+    {
         Ok(response) => {
             record.finish_forwarded(outcome_of(&response), response.status().as_u16());
             response
@@ -46,12 +54,12 @@
 async fn exchange(
     state: &Rc<InstanceState>,
     record: &mut RequestRecord,
-    (head, policy): (&TicketHeaders, &RequestPolicy),
+    (ticket_headers, policy): (&TicketHeaders, &RequestPolicy),
     (parts, body): (Parts, Incoming),
     deadline_at: Instant,
 ) -> Result<Response<ResponseBody>, Problem> {
-    let node = &head.ticket.node;
-    let stale = || stale_ticket(head.first_attempt);
+    let node = &ticket_headers.ticket.node;
+    let stale_ticket_problem = || stale_ticket(ticket_headers.first_attempt);
     let run = state.fleet.with_regions(|now, regions| {
         let mut listed = regions.listed(now);
         let run = listed.find(|(_, entry)| {
@@ -60,12 +68,12 @@
         run.filter(|(region, _)| policy.may_forward(&state.config.region, region))
             .map(|(_, entry)| entry.caller_address)
     });
-    let address = run.ok_or_else(stale)?;
+    let address = run.ok_or_else(stale_ticket_problem)?;
     let time_left = deadline_at.saturating_duration_since(Instant::now());
-    let opening = state.pool.open(node.instance.as_str(), address, time_left);
-    let mut lease = opening.await.map_err(|reason| {
+    let connecting = state.pool.open(node.instance.as_str(), address, time_left);
+    let mut lease = connecting.await.map_err(|reason| {
         record.on_attempt_result(&format!("ticket's entry not reached: {reason}"));
-        stale()
+        stale_ticket_problem()
     })?;
     let limit = state.limits.get().body_bytes;
     let mut request = Request::new(RequestBody::streamed(Bytes::new(), body, limit));
@@ -73,17 +81,17 @@
     *request.uri_mut() = parts.uri;
     *request.headers_mut() = parts.headers;
     strip_hop_by_hop_headers(request.headers_mut());
-    let sender = lease.sender().ok_or_else(stale)?;
-    let answer = match timeout_at(deadline_at.into(), sender.try_send_request(request)).await {
+    let sender = lease.sender().ok_or_else(stale_ticket_problem)?;
+    let response = match timeout_at(deadline_at.into(), sender.try_send_request(request)).await {
         Err(_) => return Err(unknown("the instance of the ticket did not answer in time")),
-        Ok(Err(error)) if error.message().is_some() => return Err(stale()),
+        Ok(Err(error)) if error.message().is_some() => return Err(stale_ticket_problem()),
         Ok(Err(error)) => {
             record.on_attempt_result(&describe_error(error.error()));
             return Err(unknown("the instance of the ticket broke off"));
         }
         Ok(Ok(answer)) => answer,
     };
-    let (parts, body) = answer.into_parts();
+    let (parts, body) = response.into_parts();
     let mut response = Response::new(ResponseBody::streamed(Bytes::new(), body, lease));
     *response.status_mut() = parts.status;
     *response.headers_mut() = parts.headers;
