--- a/bin/lh-entry/src/attempt.rs
+++ b/bin/lh-entry/src/attempt.rs
@@ -18,7 +18,7 @@
     object: Option<u64>,
     pub(crate) placement: Placement,
     /// Names the request where a rollout of its service runs.
-    token: Option<SendToken>,
+    rollout_token: Option<SendToken>,
     finished: bool,
 }
 
@@ -46,7 +46,7 @@
             part,
             object,
             placement,
-            token: sent.map(|(token, _)| token),
+            rollout_token: sent.map(|(rollout_token, _)| rollout_token),
             finished: false,
         }
     }
@@ -66,8 +66,8 @@
         let mut placer = self.state.placer.borrow_mut();
         placer.on_outcome(Instant::now(), &self.placement, &request, outcome, report);
         drop(placer);
-        if let Some(token) = self.token.take() {
-            self.state.rollouts.on_outcome(token, outcome);
+        if let Some(rollout_token) = self.rollout_token.take() {
+            self.state.rollouts.on_outcome(rollout_token, outcome);
         }
     }
 }
--- a/bin/lh-entry/src/body.rs
+++ b/bin/lh-entry/src/body.rs
@@ -9,7 +9,7 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use quick_error::quick_error;
 
-use crate::pool::Lease;
+use crate::pool::ConnectionLease;
 
 /// Counts something for as long as it lives.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
     Streamed {
         first: Option<Bytes>,
         rest: Incoming,
-        _lease: Option<Lease>,
+        _lease: Option<ConnectionLease>,
     },
 }
 
@@ -63,7 +63,7 @@
     }
 
     /// A body whose rest is still at the server; `lease` keeps its connection.
-    pub(crate) fn streamed(first: Bytes, rest: Incoming, lease: Lease) -> Self {
+    pub(crate) fn streamed(first: Bytes, rest: Incoming, lease: ConnectionLease) -> Self {
         Self {
             content: ResponseContent::Streamed {
                 first: Some(first).filter(|bytes| !bytes.is_empty()),
--- a/bin/lh-entry/src/fingerprint.rs
+++ b/bin/lh-entry/src/fingerprint.rs
@@ -19,11 +19,11 @@
 ];
 
 /// Bytes of a body that count: how many of a longer one are at hand differs each time.
-const PRINTED_BODY: usize = 64 << 10;
+const MAX_HASHED_BODY_BYTES: usize = 64 << 10;
 
 /// The print of a request with the beginning of its body. A cryptographic hash,
 /// so that no caller can make a request that is taken for another's.
-pub(crate) fn request_print(
+pub(crate) fn request_fingerprint(
     method: &Method,
     target: &Uri,
     headers: &HeaderMap,
@@ -32,33 +32,33 @@
 ) -> RequestFingerprint {
     let mut hasher = Sha256::new();
     // What one team sends is held against no other.
-    add(&mut hasher, team.as_bytes());
-    add(&mut hasher, method.as_str().as_bytes());
+    update_prefixed(&mut hasher, team.as_bytes());
+    update_prefixed(&mut hasher, method.as_str().as_bytes());
     let target = target.path_and_query();
-    add(
+    update_prefixed(
         &mut hasher,
         target.map_or("/", |target| target.as_str()).as_bytes(),
     );
-    let mut kept: Vec<(&str, &[u8])> = headers
+    let mut hashed_headers: Vec<(&str, &[u8])> = headers
         .iter()
         .filter(|(name, _)| !is_excluded(name))
         .map(|(name, value)| (name.as_str(), value.as_bytes()))
         .collect();
     // A proxy on the way may send them in another order.
-    kept.sort_unstable();
-    for (name, value) in kept {
-        add(&mut hasher, name.as_bytes());
-        add(&mut hasher, value);
+    hashed_headers.sort_unstable();
+    for (name, value) in hashed_headers {
+        update_prefixed(&mut hasher, name.as_bytes());
+        update_prefixed(&mut hasher, value);
     }
-    add(&mut hasher, &body[..body.len().min(PRINTED_BODY)]);
+    update_prefixed(&mut hasher, &body[..body.len().min(MAX_HASHED_BODY_BYTES)]);
     let digest = hasher.finalize();
-    let mut half = [0; 16];
-    half.copy_from_slice(&digest[..16]);
-    RequestFingerprint(u128::from_be_bytes(half))
+    let mut truncated = [0; 16];
+    truncated.copy_from_slice(&digest[..16]);
+    RequestFingerprint(u128::from_be_bytes(truncated))
 }
 
 /// Adds a part with its length, so that no two lists of parts read alike.
-fn add(hasher: &mut Sha256, part: &[u8]) {
+fn update_prefixed(hasher: &mut Sha256, part: &[u8]) {
     hasher.update((part.len() as u64).to_be_bytes());
     hasher.update(part);
 }
--- a/bin/lh-entry/src/fleet.rs
+++ b/bin/lh-entry/src/fleet.rs
@@ -287,10 +287,10 @@
                     tokio::task::spawn_local(store_watch::write_row(Rc::clone(state), leads));
                 }
                 FleetAction::WriteQuarantineRows(quarantines) => {
-                    tokio::task::spawn_local(quarantine::keep(Rc::clone(state), quarantines));
+                    tokio::task::spawn_local(quarantine::write_rows(Rc::clone(state), quarantines));
                 }
                 FleetAction::DeleteQuarantineRows(prints) => {
-                    tokio::task::spawn_local(quarantine::drop_rows(Rc::clone(state), prints));
+                    tokio::task::spawn_local(quarantine::delete_rows(Rc::clone(state), prints));
                 }
                 FleetAction::ConfirmRegistry(at) => state.placer.borrow_mut().catalog.confirm(at),
                 FleetAction::ListsChanged => state.refresh_entries(),
--- a/bin/lh-entry/src/job.rs
+++ b/bin/lh-entry/src/job.rs
@@ -22,7 +22,7 @@
 use crate::body::{RequestBody, ResponseBody};
 use crate::body_reader::JobBody;
 use crate::caller::{Caller, Interface};
-use crate::pool::Lease;
+use crate::pool::ConnectionLease;
 use crate::problem::{Problem, set_outcome};
 use crate::record::{RequestOutcome, RequestRecord};
 use crate::reply::{
@@ -62,7 +62,7 @@
     unsent_attempts: u32,
     may_have_run: bool,
     /// The request's print, once it was needed.
-    pub(crate) print: Option<RequestFingerprint>,
+    pub(crate) fingerprint: Option<RequestFingerprint>,
 }
 
 /// What came of an attempt.
@@ -85,7 +85,7 @@
     ) -> Response<ResponseBody> {
         let mut last: Option<Response<ResponseBody>> = None;
         loop {
-            if let Some(refusal) = self.quarantine(&body) {
+            if let Some(refusal) = self.quarantine_refusal(&body) {
                 return self.finish_unserved(last, refusal);
             }
             let guard = match self.place(route, &body) {
@@ -96,7 +96,7 @@
             let end = self.attempt(route, guard, &mut body).await;
             match end {
                 AttemptResult::Responded(response) => {
-                    self.clear(&body);
+                    self.clear_suspicion(&body);
                     return self.relay_response(response);
                 }
                 AttemptResult::OutOfTime => {
@@ -234,7 +234,7 @@
         }
         if matches!(body, JobBody::Streamed(_)) {
             // Its beginning is gone once it is sent.
-            self.print(body);
+            self.fingerprint(body);
         }
         let Some(request) = self.build_request(&guard.placement, body) else {
             guard.finish(ServerOutcome::Abandoned, None);
@@ -265,7 +265,7 @@
                 if unsent {
                     return AttemptResult::Unsent;
                 }
-                self.on_broken_off(route, &guard.placement, body);
+                self.on_connection_lost(route, &guard.placement, body);
                 return AttemptResult::Broken;
             }
             Ok(Ok(answer)) => answer,
@@ -282,14 +282,14 @@
             .borrow()
             .catalog
             .may_send(placement.handle);
-        is_current && self.quarantine(body).is_none()
+        is_current && self.quarantine_refusal(body).is_none()
     }
 
     async fn handle_response(
         &mut self,
         route: &RouteSpec,
         mut guard: AttemptGuard,
-        lease: Lease,
+        lease: ConnectionLease,
         (response, sent): (Response<Incoming>, &JobBody),
     ) -> AttemptResult {
         let (parts, body) = response.into_parts();
@@ -324,7 +324,7 @@
             Ok(Err(error)) => {
                 guard.finish(ServerOutcome::Broken, None);
                 self.record.on_attempt_result(&describe_error(&error));
-                self.on_broken_off(route, &guard.placement, sent);
+                self.on_connection_lost(route, &guard.placement, sent);
                 return AttemptResult::Broken;
             }
             Ok(Ok(read)) => read,
@@ -366,7 +366,7 @@
 
     /// Whether the answer is to this request. One without an id can only be so
     /// on a connection that carried no other request.
-    fn matches_request(&self, head: &ServerHeaders, lease: &Lease) -> bool {
+    fn matches_request(&self, head: &ServerHeaders, lease: &ConnectionLease) -> bool {
         match &head.request_id {
             Some(id) => self.caller.request_id.as_ref() == Some(id),
             None => !lease.reused,
@@ -377,7 +377,7 @@
         &self,
         placement: &Placement,
         avoid_stale: bool,
-    ) -> Result<Lease, String> {
+    ) -> Result<ConnectionLease, String> {
         if let Some(lease) = self.state.pool.take(&placement.id, avoid_stale) {
             return Ok(lease);
         }
--- a/bin/lh-entry/src/pool.rs
+++ b/bin/lh-entry/src/pool.rs
@@ -28,9 +28,9 @@
 /// Idle connections kept to one server.
 const MAX_IDLE_PER_SERVER: usize = 16;
 
-/// A connection in use. Dropped without [`Lease::release`], it is closed.
+/// A connection in use. Dropped without [`ConnectionLease::release`], it is closed.
 #[derive(Debug)]
-pub(crate) struct Lease {
+pub(crate) struct ConnectionLease {
     server: String,
     sender: Option<SendRequest<RequestBody>>,
     task: AbortHandle,
@@ -40,7 +40,7 @@
 
 #[derive(Debug)]
 struct IdleConnection {
-    lease: Lease,
+    lease: ConnectionLease,
     idle_since: Instant,
     keep_alive: Duration,
 }
@@ -64,7 +64,7 @@
 
     /// An idle connection to `server`, the one used last. `avoid_stale` leaves out
     /// those that the server might be closing at this moment.
-    pub(crate) fn take(&self, server: &str, avoid_stale: bool) -> Option<Lease> {
+    pub(crate) fn take(&self, server: &str, avoid_stale: bool) -> Option<ConnectionLease> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(server)?;
         while let Some(connection) = connections.pop() {
@@ -95,7 +95,7 @@
         server: &str,
         address: SocketAddr,
         time_left: Duration,
-    ) -> Result<Lease, String> {
+    ) -> Result<ConnectionLease, String> {
         let connecting = TcpStream::connect(address);
         let stream = match timeout(time_left.min(self.connect_timeout), connecting).await {
             Ok(Ok(stream)) => stream,
@@ -117,7 +117,7 @@
                 log::debug!(error:%; "server connection ended");
             }
         });
-        Ok(Lease {
+        Ok(ConnectionLease {
             server: server.to_owned(),
             sender: Some(sender),
             task: task.abort_handle(),
@@ -126,7 +126,7 @@
     }
 
     /// Keeps `lease` for later, for as long as its answer's `headers` allow.
-    pub(crate) fn release(&self, mut lease: Lease, headers: &HeaderMap) {
+    pub(crate) fn release(&self, mut lease: ConnectionLease, headers: &HeaderMap) {
         let Some(keep_alive) = parse_keep_alive(headers) else {
             return;
         };
@@ -161,7 +161,7 @@
     }
 }
 
-impl Lease {
+impl ConnectionLease {
     /// The sending half.
     pub(crate) fn sender(&mut self) -> Option<&mut SendRequest<RequestBody>> {
         self.sender.as_mut()
@@ -174,7 +174,7 @@
     }
 }
 
-impl Drop for Lease {
+impl Drop for ConnectionLease {
     fn drop(&mut self) {
         // Ends the connection at once, so that the server stops its work.
         self.task.abort();
--- a/bin/lh-entry/src/quarantine.rs
+++ b/bin/lh-entry/src/quarantine.rs
@@ -12,38 +12,44 @@
 use crate::watch::PATIENCE;
 
 /// What `rows` say of requests in quarantine.
-pub(crate) fn read(rows: &[&Row]) -> Vec<StoredQuarantine> {
-    let mut kept = Vec::new();
+pub(crate) fn parse_rows(rows: &[&Row]) -> Vec<StoredQuarantine> {
+    let mut quarantines = Vec::new();
     for row in rows {
         if !QuarantineRow::is_quarantine_key(row) {
             continue;
         }
-        let read = QuarantineRow::read(row)
-            .and_then(|row| RequestFingerprint::parse(&row.print).map(|print| (print, row)));
-        let Some((print, QuarantineRow { age, lifted, .. })) = read else {
+        let parsed = QuarantineRow::read(row).and_then(|row| {
+            RequestFingerprint::parse(&row.print).map(|fingerprint| (fingerprint, row))
+        });
+        let Some((fingerprint, QuarantineRow { age, lifted, .. })) = parsed else {
             log::warn!(key = row.key.as_str(); "row of a request in quarantine left out");
             continue;
         };
-        kept.push(StoredQuarantine { print, age, lifted });
+        quarantines.push(StoredQuarantine {
+            print: fingerprint,
+            age,
+            lifted,
+        });
     }
-    kept
+    quarantines
 }
 
 /// Writes a row for each of `quarantines`, which began so long ago.
-pub(crate) async fn keep(
+pub(crate) async fn write_rows(
     state: Rc<InstanceState>,
     quarantines: Vec<(RequestFingerprint, Duration)>,
 ) {
     let writes = quarantines.iter();
-    let writes = writes.map(|(print, age)| QuarantineRow::begin_write(&print.key(), *age));
+    let writes =
+        writes.map(|(fingerprint, age)| QuarantineRow::begin_write(&fingerprint.key(), *age));
     commit(&state, &writes.collect::<Vec<_>>()).await;
 }
 
-/// Deletes the rows of `prints`.
-pub(crate) async fn drop_rows(state: Rc<InstanceState>, prints: Vec<RequestFingerprint>) {
-    let writes = prints
+/// Deletes the rows of `fingerprints`.
+pub(crate) async fn delete_rows(state: Rc<InstanceState>, fingerprints: Vec<RequestFingerprint>) {
+    let writes = fingerprints
         .iter()
-        .map(|print| QuarantineRow::delete_write(&print.key()));
+        .map(|fingerprint| QuarantineRow::delete_write(&fingerprint.key()));
     commit(&state, &writes.collect::<Vec<_>>()).await;
 }
 
--- a/bin/lh-entry/src/record.rs
+++ b/bin/lh-entry/src/record.rs
@@ -26,7 +26,7 @@
     pub(crate) team: Option<Rc<TeamSpec>>,
     pub(crate) returning: bool,
     /// The request's print, where it was needed.
-    pub(crate) print: Option<RequestFingerprint>,
+    pub(crate) fingerprint: Option<RequestFingerprint>,
     attempts: String,
     attempt_count: u32,
     refusal: Option<Refusal>,
@@ -74,7 +74,7 @@
             route: None,
             team: None,
             returning: false,
-            print: None,
+            fingerprint: None,
             attempts: String::new(),
             attempt_count: 0,
             refusal: None,
@@ -215,7 +215,7 @@
             .as_ref()
             .is_none_or(|route| route.kind.may_repeat());
         let lost = outcome == RequestOutcome::Unknown && !may_repeat;
-        let print = self.print.map(|print| print.to_string());
+        let print = self.fingerprint.map(|fingerprint| fingerprint.to_string());
         let team = team.unwrap_or_default();
         let level = if lost {
             log::Level::Warn
--- a/bin/lh-entry/src/state.rs
+++ b/bin/lh-entry/src/state.rs
@@ -27,7 +27,7 @@
 
 use crate::admission;
 use crate::config::EntryConfig;
-use crate::crash::CrashDesk;
+use crate::crash::CrashProbes;
 use crate::fleet::FleetDesk;
 use crate::homes::HomeBook;
 use crate::logs::LineLimit;
@@ -35,7 +35,7 @@
 use crate::pool::ConnectionPool;
 use crate::rollout::RolloutDesk;
 use crate::stop::StopPhase;
-use crate::suspension::SuspensionMeter;
+use crate::suspension::SuspensionDetector;
 use crate::ticket::TicketTable;
 use crate::view::EncodedChanges;
 use crate::watch::Dependency;
@@ -70,7 +70,7 @@
     /// The part in the fleet.
     pub(crate) fleet: FleetDesk,
     /// Times at which the machine stood still.
-    suspensions: RefCell<SuspensionMeter>,
+    suspensions: RefCell<SuspensionDetector>,
     /// Which versions of services get requests.
     pub(crate) rollouts: RolloutDesk,
     /// What each team asks for.
@@ -87,7 +87,7 @@
     pub(crate) homes: RefCell<HomeBook>,
     pub(crate) pool: ConnectionPool,
     /// Servers that broke off requests.
-    pub(crate) crashes: CrashDesk,
+    pub(crate) crashes: CrashProbes,
     pub(crate) metrics: EntryMetrics,
     pub(crate) stop: Cell<StopPhase>,
     pub(crate) stopping: tokio::sync::watch::Sender<StopPhase>,
@@ -137,7 +137,7 @@
             told_rate: Cell::new(0),
             homes: RefCell::default(),
             pool: ConnectionPool::new(config.connect),
-            crashes: CrashDesk::default(),
+            crashes: CrashProbes::default(),
             metrics,
             stop: Cell::new(StopPhase::Serving),
             stopping,
@@ -184,7 +184,7 @@
 
     /// Finds out whether the machine stood still.
     fn notice_suspension(&self) {
-        let Some(span) = self.suspensions.borrow_mut().take() else {
+        let Some(span) = self.suspensions.borrow_mut().detect() else {
             return;
         };
         log::warn!(span_ms = span.as_millis() as u64; "the machine stood still");
--- a/bin/lh-entry/src/watch.rs
+++ b/bin/lh-entry/src/watch.rs
@@ -229,7 +229,7 @@
         .iter()
         .partition(|row| row.key.starts_with(BLOCK_PREFIX));
     state.homes.borrow_mut().on_rows(&blocks);
-    let kept = quarantine::read(&others);
+    let kept = quarantine::parse_rows(&others);
     state.fleet.on_event(FleetEvent::QuarantineRows(kept));
     let mut leads = Vec::new();
     for row in others {
