--- a/bin/lh-entry/src/handler.rs
+++ b/bin/lh-entry/src/handler.rs
@@ -41,9 +41,9 @@
     request: Request<Incoming>,
 ) -> Result<Response<ResponseBody>, Infallible> {
     let guard = CountGuard::new(&state.in_flight, 1);
-    let stop = Rc::clone(&state);
+    let instance = Rc::clone(&state);
     let mut response = handle(state, request).await;
-    if stop.stop.get() != StopPhase::Serving {
+    if instance.stop.get() != StopPhase::Serving {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
@@ -69,7 +69,7 @@
     let mut ticket = None;
     if Interface::of(&route, &parts.headers) == Interface::Own {
         match parse_own(&route, &parts) {
-            Ok((own, head)) => (caller, ticket) = (own, head),
+            Ok((own, ticket_headers)) => (caller, ticket) = (own, ticket_headers),
             Err(problem) => {
                 caller.interface = Interface::Own;
                 record.finish_with_problem(&problem);
@@ -95,13 +95,13 @@
     record.route = Some(Rc::clone(&route));
     let other_holder = ticket
         .as_ref()
-        .filter(|head| head.ticket.node != state.node);
-    if let Some(head) = other_holder {
+        .filter(|ticket_headers| ticket_headers.ticket.node != state.node);
+    if let Some(ticket_headers) = other_holder {
         return ticket_forward::forward(
             &state,
             record,
             (&caller, &policy),
-            head,
+            ticket_headers,
             (parts, body),
             deadline_at,
         )
@@ -114,7 +114,7 @@
     };
     match ticket {
         None => job.run(&route, body).await,
-        Some(head) => run_once(job, route, body, &head).await,
+        Some(ticket_headers) => run_once(job, route, body, &ticket_headers).await,
     }
 }
 
@@ -139,8 +139,8 @@
     if route.kind.may_repeat() {
         return Ok((caller, None));
     }
-    let head = TicketHeaders::parse(&parts.headers)?.ok_or_else(ticket_required)?;
-    Ok((caller, Some(head)))
+    let ticket_headers = TicketHeaders::parse(&parts.headers)?.ok_or_else(ticket_required)?;
+    Ok((caller, Some(ticket_headers)))
 }
 
 fn create_job(
@@ -183,7 +183,7 @@
     job: RequestJob,
     route: Rc<RouteSpec>,
     body: JobBody,
-    head: &TicketHeaders,
+    ticket_headers: &TicketHeaders,
 ) -> Response<ResponseBody> {
     let state = Rc::clone(&job.state);
     let caller = job.caller.clone();
@@ -193,14 +193,14 @@
         .policy
         .team_name()
         .map_or(0, |team| stable_hash(team.as_bytes()));
-    let begun = state
+    let record_key = state
         .tickets
-        .check(now, head, owner)
+        .check(now, ticket_headers, owner)
         .and_then(|(key, end)| {
             state.tickets.begin(now, &key, fingerprint, end)?;
             Ok(key)
         });
-    let key = match begun {
+    let key = match record_key {
         Ok(key) => key,
         Err(problem) => return job.respond_with_problem(problem),
     };
--- a/bin/lh-entry/src/ticket.rs
+++ b/bin/lh-entry/src/ticket.rs
@@ -63,15 +63,15 @@
     pub(crate) fn check(
         &self,
         now: Instant,
-        head: &TicketHeaders,
+        ticket_headers: &TicketHeaders,
         owner: u64,
     ) -> Result<(OnceKey, Instant), Problem> {
         let key = OnceKey {
             owner,
-            nonce: head.ticket.nonce,
-            number: head.number,
+            nonce: ticket_headers.ticket.nonce,
+            number: ticket_headers.number,
         };
-        match self.stamp_key.check(now, &head.ticket) {
+        match self.stamp_key.check(now, &ticket_headers.ticket) {
             TicketVerdict::Valid(end) => Ok((key, end)),
             TicketVerdict::Forged => Err(Problem::new(
                 StatusCode::FORBIDDEN,
