--- a/bin/lh-entry/tests/crashes.rs
+++ b/bin/lh-entry/tests/crashes.rs
@@ -24,38 +24,38 @@
 /// Path of the request that ends the servers that run it.
 const FATAL: &str = "/board/fatal";
 /// In the path of each request that ends servers.
-const FATAL_WORD: &str = "/fatal";
+const FATAL_PREFIX: &str = "/fatal";
 /// Servers that it may end before it must be known everywhere.
-const FREE_ENDS: usize = 3;
+const ALLOWED_CRASHES: usize = 3;
 /// Time from the third end until all entries must know of it, in which the request comes on.
-const SPREAD_TIME: Duration = Duration::from_secs(4);
+const PROPAGATION_TIME: Duration = Duration::from_secs(4);
 /// Sends allowed after that, over all entries.
-const LATE_SENDS: usize = 3;
+const MAX_LATE_SENDS: usize = 3;
 /// Pause between two arrivals of the request.
-const PAUSE: Duration = Duration::from_millis(150);
+const ARRIVAL_INTERVAL: Duration = Duration::from_millis(150);
 
 /// A service whose servers come back with a new name after they have ended.
-struct FragileService {
+struct CrashingService {
     world: World,
     started: usize,
 }
 
-impl FragileService {
+impl CrashingService {
     async fn new() -> Self {
         let mut service = Self {
             world: World::new(0).await,
             started: 0,
         };
-        service.refill().await;
+        service.replace_crashed().await;
         service
     }
 
     /// Starts a new server for each one that has ended.
-    async fn refill(&mut self) {
+    async fn replace_crashed(&mut self) {
         let running = |backend: &&FakeBackend| !backend.has_ended();
         for _ in self.world.backends.iter().filter(running).count()..8 {
             let backend = FakeBackend::start(&format!("i-{}", self.started)).await;
-            backend.set_fatal(FATAL_WORD);
+            backend.set_fatal(FATAL_PREFIX);
             backend.set_behavior(Behavior::Run(Duration::from_millis(20)));
             let mut entry = server_entry(BOARD.service, backend.address(), "ready", 1);
             let zone = if self.started.is_multiple_of(2) {
@@ -75,29 +75,29 @@
         }
     }
 
-    fn ended(&self) -> usize {
-        let ended = |backend: &&FakeBackend| backend.has_ended();
-        self.world.backends.iter().filter(ended).count()
+    fn crashed(&self) -> usize {
+        let crashed = |backend: &&FakeBackend| backend.has_ended();
+        self.world.backends.iter().filter(crashed).count()
     }
 
     /// How often the request reached a server.
-    fn sends(&self) -> usize {
+    fn forwarded_count(&self) -> usize {
         let seen = self.world.backends.iter().flat_map(FakeBackend::seen);
         seen.filter(|request| request.line.contains(FATAL)).count()
     }
 }
 
 /// Lets the request end servers until `entry` refuses it.
-async fn until_refused(service: &mut FragileService, entry: &EntryProcess) {
+async fn crash_until_quarantined(service: &mut CrashingService, entry: &EntryProcess) {
     for arrival in 0.. {
-        if ask(entry, "fatal", FATAL, &format!("f{arrival}")).await == 503
+        if send(entry, "fatal", FATAL, &format!("f{arrival}")).await == 503
             && !quarantined(entry).await.is_empty()
         {
             return;
         }
         assert!(arrival < 100, "it is never refused");
-        service.refill().await;
-        tokio::time::sleep(PAUSE).await;
+        service.replace_crashed().await;
+        tokio::time::sleep(ARRIVAL_INTERVAL).await;
     }
 }
 
@@ -110,7 +110,7 @@
     prints.collect::<Vec<_>>().join(" ")
 }
 
-async fn ask(entry: &EntryProcess, object: &str, path: &str, id: &str) -> u16 {
+async fn send(entry: &EntryProcess, object: &str, path: &str, id: &str) -> u16 {
     let mut sender = entry.connect().await;
     let answer = exchange(&mut sender, request_for(object, "GET", path, id, b"")).await;
     answer.expect("an answer").status
@@ -119,8 +119,8 @@
 /// Promise: a request that has ended three servers reaches hardly any more, at whichever
 /// entry it comes again, and nobody else is refused for it.
 #[tokio::test]
-async fn a_request_that_ends_servers_stops_at_three() {
-    let mut service = FragileService::new().await;
+async fn a_request_that_crashes_servers_is_quarantined_after_three() {
+    let mut service = CrashingService::new().await;
     let store = service.world.store.address();
     let first = EntryProcess::start_in("zone-a", "north", store, "n0", &[]);
     let seeds = [first.ip];
@@ -143,40 +143,40 @@
         entry.wait_ready().await;
     }
     let mut arrivals = 0;
-    let mut third_at = None;
-    while third_at.is_none_or(|at: tokio::time::Instant| at.elapsed() < SPREAD_TIME) {
+    let mut third_crash_at = None;
+    while third_crash_at.is_none_or(|at: tokio::time::Instant| at.elapsed() < PROPAGATION_TIME) {
         let entry = &entries[arrivals % entries.len()];
         let (fatal_id, other_id) = (format!("f{arrivals}"), format!("o{arrivals}"));
         let path = format!("/board/{}", arrivals % 5);
         tokio::join!(
-            ask(entry, "fatal", FATAL, &fatal_id),
-            ask(entry, "other", &path, &other_id),
+            send(entry, "fatal", FATAL, &fatal_id),
+            send(entry, "other", &path, &other_id),
         );
         arrivals += 1;
-        if service.ended() >= FREE_ENDS && third_at.is_none() {
-            third_at = Some(tokio::time::Instant::now());
+        if service.crashed() >= ALLOWED_CRASHES && third_crash_at.is_none() {
+            third_crash_at = Some(tokio::time::Instant::now());
         }
-        service.refill().await;
-        tokio::time::sleep(PAUSE).await;
+        service.replace_crashed().await;
+        tokio::time::sleep(ARRIVAL_INTERVAL).await;
     }
-    let before = service.sends();
+    let before = service.forwarded_count();
     for round in 0..3 {
         for (index, entry) in entries.iter().enumerate() {
-            ask(entry, "fatal", FATAL, &format!("late-{round}-{index}")).await;
+            send(entry, "fatal", FATAL, &format!("late-{round}-{index}")).await;
         }
-        service.refill().await;
+        service.replace_crashed().await;
     }
-    let late = service.sends() - before;
+    let late = service.forwarded_count() - before;
     assert!(
-        late <= LATE_SENDS,
+        late <= MAX_LATE_SENDS,
         "{late} sends after {before}, {} ended",
-        service.ended()
+        service.crashed()
     );
     for (index, entry) in entries.iter().enumerate() {
         for object in 0..5 {
             let path = format!("/board/{object}");
             until("everybody else is served", async || {
-                ask(entry, "other", &path, &format!("after-{index}-{object}")).await == 200
+                send(entry, "other", &path, &format!("after-{index}-{object}")).await == 200
             })
             .await;
         }
@@ -186,12 +186,12 @@
 /// Promise: the refusal says that it has not run and when to come back, and shows in the
 /// entry's line, its metrics and its status.
 #[tokio::test]
-async fn a_refused_request_is_told_why() {
-    let mut service = FragileService::new().await;
+async fn a_quarantined_request_gets_a_reason_and_a_retry_time() {
+    let mut service = CrashingService::new().await;
     let entry = EntryProcess::ready(&service.world, "n1").await;
-    until_refused(&mut service, &entry).await;
-    let sends = service.sends();
-    let other = ask(&entry, "other", FATAL, "other").await;
+    crash_until_quarantined(&mut service, &entry).await;
+    let forwarded_count = service.forwarded_count();
+    let other = send(&entry, "other", FATAL, "other").await;
     assert_eq!(other, 502, "another object is another request");
     let mut sender = entry.connect().await;
     let request = request_for("fatal", "GET", FATAL, "refused", b"");
@@ -199,7 +199,10 @@
     assert_eq!(answer.status, 503);
     let seconds: f64 = answer.header("retry-after").parse().unwrap();
     assert!(seconds > 60.0, "{seconds}");
-    assert!(service.sends() > sends, "only the other one was sent");
+    assert!(
+        service.forwarded_count() > forwarded_count,
+        "only the other one was sent"
+    );
     until("it is logged", async || {
         let lines = entry.logged("\"refused\"");
         lines.iter().any(|line| line.contains("\"quarantined\""))
@@ -238,8 +241,8 @@
 /// Promise: a body that is passed on in pieces, which differ each time, makes no other
 /// request of it.
 #[tokio::test]
-async fn a_large_upload_that_ends_servers_is_refused() {
-    let mut service = FragileService::new().await;
+async fn a_streamed_upload_that_crashes_servers_is_quarantined() {
+    let mut service = CrashingService::new().await;
     let desired = with_body_limit(desired_state(9, &[BOARD, DESK]), 8 << 20);
     service.world.store.put("op", "config", &desired);
     let entry = EntryProcess::ready(&service.world, "n1").await;
@@ -252,31 +255,31 @@
         if status.contains("503") && !quarantined(&entry).await.is_empty() {
             return;
         }
-        service.refill().await;
-        tokio::time::sleep(PAUSE).await;
+        service.replace_crashed().await;
+        tokio::time::sleep(ARRIVAL_INTERVAL).await;
     }
     panic!("it is never refused");
 }
 
 /// Promise: a request that ends servers is still refused after all entries were lost.
 #[tokio::test]
-async fn a_quarantine_outlives_all_entries() {
-    let mut service = FragileService::new().await;
+async fn a_quarantine_survives_the_loss_of_all_entries() {
+    let mut service = CrashingService::new().await;
     let entry = EntryProcess::ready(&service.world, "n1").await;
-    until_refused(&mut service, &entry).await;
+    crash_until_quarantined(&mut service, &entry).await;
     until("the store keeps it", async || {
         let rows = service.world.store.row_versions("laurelhill-entries");
         rows.keys().any(|key| key.starts_with("quarantine/"))
     })
     .await;
     drop(entry);
-    service.refill().await;
-    let sends = service.sends();
+    service.replace_crashed().await;
+    let forwarded_count = service.forwarded_count();
     let entry = EntryProcess::ready(&service.world, "n2").await;
     until("it is known again", async || {
         !quarantined(&entry).await.is_empty()
     })
     .await;
-    assert_eq!(ask(&entry, "fatal", FATAL, "later").await, 503);
-    assert_eq!(service.sends(), sends);
+    assert_eq!(send(&entry, "fatal", FATAL, "later").await, 503);
+    assert_eq!(service.forwarded_count(), forwarded_count);
 }
--- a/bin/lh-entry/tests/leaving.rs
+++ b/bin/lh-entry/tests/leaving.rs
@@ -12,12 +12,12 @@
 
 /// A server that accepts no further connection until it is asked to: the queue of its
 /// connections is full.
-struct BusyListener {
+struct FullBacklogServer {
     listener: TcpListener,
-    _waiting: TcpStream,
+    _backlog_filler: TcpStream,
 }
 
-impl BusyListener {
+impl FullBacklogServer {
     async fn start() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         let address: SocketAddr = "127.0.0.1:0".parse().unwrap();
@@ -29,7 +29,7 @@
         let waiting = TcpStream::connect(address).await.unwrap();
         Self {
             listener,
-            _waiting: waiting,
+            _backlog_filler: waiting,
         }
     }
 
@@ -39,7 +39,7 @@
 
     /// Accepts the connection that waits, then the next one; what that one brings until it
     /// ends or something came.
-    async fn next(self) -> usize {
+    async fn accept_next(self) -> usize {
         drop(self.listener.accept().await.unwrap());
         let (mut stream, _) = self.listener.accept().await.unwrap();
         let mut bytes = [0; 64];
@@ -50,9 +50,9 @@
 /// Promise: a request whose server begins to leave while the connection to it is made goes to
 /// another server.
 #[tokio::test]
-async fn a_server_that_leaves_while_it_is_connected_to_gets_nothing() {
+async fn a_server_that_drains_during_connect_gets_no_request() {
     let world = World::new(0).await;
-    let busy = BusyListener::start().await;
+    let busy = FullBacklogServer::start().await;
     let entry = |state| server_entry("board", busy.address(), state, 1);
     world.store.put("servers", "i-busy", &entry("ready"));
     let process = EntryProcess::start_within(world.store.address(), "n1", "connect = 30s\n");
@@ -78,7 +78,7 @@
     })
     .await;
     assert_eq!(
-        busy.next().await,
+        busy.accept_next().await,
         0,
         "the leaving server was sent something"
     );
@@ -90,7 +90,7 @@
 /// Promise: a server whose row is dropped gets nothing more, though the store performs an older
 /// heartbeat of it before the entry reads again.
 #[tokio::test]
-async fn an_older_heartbeat_right_after_the_drop_brings_no_server_back() {
+async fn an_older_heartbeat_after_deletion_does_not_restore_a_server() {
     let world = World::new(1).await;
     let address = "127.0.0.1:9".parse().unwrap();
     let word = server_entry("board", address, "ready", 3);
--- a/bin/lh-entry/tests/pipelines.rs
+++ b/bin/lh-entry/tests/pipelines.rs
@@ -11,7 +11,7 @@
 
 /// Memory that ten thousand waiting requests may take, in KiB: their bytes wait in the caller's
 /// and the system's buffers, not here.
-const MEMORY_MOST: u64 = 24 << 10;
+const MAX_MEMORY_KIB: u64 = 24 << 10;
 
 fn text(path: &str, id: &str) -> String {
     format!(
@@ -21,14 +21,14 @@
 }
 
 /// The answers on `stream` until it ends or there are `count`: status and id.
-async fn answers(stream: &mut TcpStream, count: usize) -> Vec<(u16, String)> {
-    let mut found = Vec::new();
+async fn read_responses(stream: &mut TcpStream, count: usize) -> Vec<(u16, String)> {
+    let mut responses = Vec::new();
     let mut buffer = Vec::new();
     let mut chunk = vec![0; 64 << 10];
-    while found.len() < count {
-        if let Some((answer, length)) = first_answer(&buffer) {
+    while responses.len() < count {
+        if let Some((answer, length)) = parse_first_response(&buffer) {
             buffer.drain(..length);
-            found.push(answer);
+            responses.push(answer);
             continue;
         }
         let read = tokio::time::timeout(PATIENCE, stream.read(&mut chunk));
@@ -37,11 +37,11 @@
             Ok(length) => buffer.extend_from_slice(&chunk[..length]),
         }
     }
-    found
+    responses
 }
 
 /// The first whole answer in `buffer` and its length.
-fn first_answer(buffer: &[u8]) -> Option<((u16, String), usize)> {
+fn parse_first_response(buffer: &[u8]) -> Option<((u16, String), usize)> {
     let end = buffer.windows(4).position(|bytes| bytes == b"\r\n\r\n")? + 4;
     let head = String::from_utf8_lossy(&buffer[..end]).to_lowercase();
     let field = |name: &str| {
@@ -57,20 +57,20 @@
     Some(((status, id), end + length))
 }
 
-async fn open(entry: &EntryProcess) -> TcpStream {
+async fn open_connection(entry: &EntryProcess) -> TcpStream {
     TcpStream::connect(entry.callers()).await.unwrap()
 }
 
 /// Promise: answers come in the order of the requests, though the first takes longest and one
 /// in the middle is turned away.
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_come_in_order() {
+async fn pipelined_responses_come_in_order() {
     let world = World::new(3).await;
     for backend in &world.backends {
         backend.set_behavior(Behavior::Run(Duration::from_millis(300)));
     }
     let entry = EntryProcess::ready(&world, "n1").await;
-    let mut stream = open(&entry).await;
+    let mut stream = open_connection(&entry).await;
     let mut bytes = String::new();
     for number in 0..12 {
         let path = if number == 5 {
@@ -85,11 +85,11 @@
     for backend in &world.backends {
         backend.set_behavior(Behavior::Run(Duration::ZERO));
     }
-    let found = answers(&mut stream, 12).await;
+    let responses = read_responses(&mut stream, 12).await;
     let expected: Vec<(u16, String)> = (0..12)
         .map(|number| (if number == 5 { 404 } else { 200 }, format!("p{number}")))
         .collect();
-    assert_eq!(found, expected);
+    assert_eq!(responses, expected);
     for number in (0..12).filter(|number| *number != 5) {
         assert_eq!(world.runs(&format!("p{number}")), 1);
     }
@@ -98,25 +98,25 @@
 /// Promise: requests behind an answer that closes the connection weren't read: no server ran
 /// them, and the caller can tell from the closed connection.
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_behind_a_close_are_not_run() {
+async fn pipelined_requests_after_a_close_do_not_run() {
     let world = World::new(2).await;
     for backend in &world.backends {
         backend.set_behavior(Behavior::Run(Duration::from_millis(400)));
     }
     let entry = EntryProcess::ready(&world, "n1").await;
-    let mut stream = open(&entry).await;
+    let mut stream = open_connection(&entry).await;
     let bytes: String = (0..6)
         .map(|number| text("/board/x", &format!("s{number}")))
         .collect();
     stream.write_all(bytes.as_bytes()).await.unwrap();
     until("the first is at work", async || world.runs("s0") == 1).await;
     entry.signal("TERM");
-    let found = answers(&mut stream, 6).await;
-    assert!(!found.is_empty(), "the one at work is answered");
-    for (number, (status, id)) in found.iter().enumerate() {
+    let responses = read_responses(&mut stream, 6).await;
+    assert!(!responses.is_empty(), "the one at work is answered");
+    for (number, (status, id)) in responses.iter().enumerate() {
         assert_eq!((*status, id.as_str()), (200, format!("s{number}").as_str()));
     }
-    for number in found.len()..6 {
+    for number in responses.len()..6 {
         assert_eq!(
             world.runs(&format!("s{number}")),
             0,
@@ -128,13 +128,13 @@
 /// Promise: ten thousand requests on one connection take no more memory than a few, and each
 /// is answered once.
 #[tokio::test(flavor = "multi_thread")]
-async fn many_waiting_requests_take_no_memory() {
+async fn many_pipelined_requests_use_constant_memory() {
     const COUNT: usize = 10_000;
     let world = World::new(1).await;
     world.backends[0].set_behavior(Behavior::Run(Duration::from_millis(500)));
     let entry = EntryProcess::ready(&world, "n1").await;
     let before = entry.peak_memory();
-    let stream = open(&entry).await;
+    let stream = open_connection(&entry).await;
     let (mut reader, mut writer) = stream.into_split();
     let sending = tokio::spawn(async move {
         for number in 0..COUNT {
@@ -147,8 +147,11 @@
     });
     until("the first is at work", async || world.runs("m0") == 1).await;
     tokio::time::sleep(Duration::from_millis(200)).await;
-    let held = entry.peak_memory() - before;
-    assert!(held <= MEMORY_MOST, "{held} KiB while the first is at work");
+    let used_kib = entry.peak_memory() - before;
+    assert!(
+        used_kib <= MAX_MEMORY_KIB,
+        "{used_kib} KiB while the first is at work"
+    );
     world.backends[0].set_behavior(Behavior::Run(Duration::ZERO));
     let mut ids = 0;
     let mut buffer: Vec<u8> = Vec::new();
@@ -157,13 +160,13 @@
         let length = reader.read(&mut chunk).await.unwrap();
         assert!(length > 0, "closed after {ids} answers");
         buffer.extend_from_slice(&chunk[..length]);
-        while let Some(((status, id), length)) = first_answer(&buffer) {
+        while let Some(((status, id), length)) = parse_first_response(&buffer) {
             assert_eq!((status, id), (200, format!("m{ids}")));
             buffer.drain(..length);
             ids += 1;
         }
     }
     sending.abort();
-    let held = entry.peak_memory() - before;
-    assert!(held <= MEMORY_MOST, "{held} KiB");
+    let used_kib = entry.peak_memory() - before;
+    assert!(used_kib <= MAX_MEMORY_KIB, "{used_kib} KiB");
 }
--- a/bin/lh-entry/tests/requests.rs
+++ b/bin/lh-entry/tests/requests.rs
@@ -12,7 +12,7 @@
 /// Promise: a request reaches a server unchanged, with the time that is left and
 /// the run of the server that is meant; its answer comes back whole.
 #[tokio::test]
-async fn a_request_comes_through_unchanged() {
+async fn a_request_is_forwarded_unchanged() {
     let world = World::new(1).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     let mut sender = entry.connect().await;
@@ -33,7 +33,7 @@
 
 /// Promise: what no route allows is answered 404 and reaches no server.
 #[tokio::test]
-async fn what_no_route_allows_is_not_found() {
+async fn a_request_without_a_route_gets_404() {
     let world = World::new(1).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     assert_eq!(entry.send("GET", "/other/", "r1").await.status, 404);
@@ -43,8 +43,8 @@
 /// Promise: a request that must not repeat runs at most once, however its server
 /// fails after it has read it, and is never said not to have run.
 #[tokio::test]
-async fn at_most_once_holds_whatever_a_server_does() {
-    let bad = [
+async fn a_request_that_must_not_repeat_runs_at_most_once() {
+    let faults = [
         Behavior::Break,
         Behavior::WrongId,
         Behavior::Truncate,
@@ -52,7 +52,7 @@
         Behavior::BareRefusal,
         Behavior::Status(500),
     ];
-    for behavior in bad {
+    for behavior in faults {
         let world = World::new(3).await;
         let entry = EntryProcess::ready(&world, "n1").await;
         for backend in &world.backends {
@@ -72,8 +72,8 @@
 /// Promise: a request that may repeat is sent to a second server when the first
 /// one fails, and never answered with what isn't its own whole answer.
 #[tokio::test]
-async fn what_may_repeat_is_tried_elsewhere() {
-    let bad = [
+async fn a_repeatable_request_is_retried_on_another_server() {
+    let faults = [
         Behavior::Break,
         Behavior::WrongId,
         Behavior::Truncate,
@@ -82,7 +82,7 @@
         Behavior::Status(500),
         Behavior::Full,
     ];
-    for behavior in bad {
+    for behavior in faults {
         let world = World::new(2).await;
         let entry = EntryProcess::ready(&world, "n1").await;
         world.backends[0].set_behavior(behavior.clone());
@@ -97,7 +97,7 @@
 /// Promise: a request that every server rejects is refused with a time to come
 /// back, and has not run.
 #[tokio::test]
-async fn what_every_server_rejects_is_refused() {
+async fn a_request_that_all_servers_reject_gets_503() {
     let world = World::new(2).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     for backend in &world.backends {
@@ -113,7 +113,7 @@
 
 /// Promise: bytes after an answer belong to no request, and reach no caller.
 #[tokio::test]
-async fn a_second_answer_reaches_nobody() {
+async fn surplus_response_bytes_reach_no_caller() {
     let world = World::new(1).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     world.backends[0].set_behavior(Behavior::Extra);
@@ -130,7 +130,7 @@
 
 /// Promise: the route's bound ends the wait, and the server's work with it.
 #[tokio::test]
-async fn the_routes_bound_ends_the_wait() {
+async fn the_route_timeout_cancels_the_request() {
     let world = World::new(1).await;
     let short = RouteText {
         timeout: "300ms",
@@ -150,7 +150,7 @@
 
 /// Promise: when a caller leaves, the server's work ends at once.
 #[tokio::test]
-async fn a_caller_that_leaves_ends_the_work() {
+async fn a_caller_disconnect_cancels_the_request() {
     let world = World::new(1).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     world.backends[0].set_behavior(Behavior::Run(Duration::from_secs(20)));
@@ -172,7 +172,7 @@
 
 /// Promise: a request with two ideas of its length smuggles nothing in.
 #[tokio::test]
-async fn nothing_is_smuggled() {
+async fn ambiguous_lengths_smuggle_no_request() {
     let world = World::new(1).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     let hidden = "GET /board/hidden HTTP/1.1\r\nHost: board.example\r\nRequest-Id: h\r\n\r\n";
@@ -210,7 +210,7 @@
 /// Promise: bodies beyond the limit are refused, and a head that doesn't end
 /// closes its connection.
 #[tokio::test]
-async fn limits_bind_callers() {
+async fn body_and_header_limits_are_enforced() {
     let world = World::new(1).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     let mut sender = entry.connect().await;
@@ -229,7 +229,7 @@
 
 /// Promise: a body that is too long to keep reaches the server whole, byte by byte.
 #[tokio::test]
-async fn a_long_body_comes_through() {
+async fn a_streamed_body_is_forwarded_unchanged() {
     let world = World::new(1).await;
     let state = with_body_limit(desired_state(6, &[BOARD, DESK]), 64 << 20);
     world.store.put("op", "config", &state);
@@ -245,7 +245,7 @@
 
 /// Promise: a body without a stated length is bounded as well.
 #[tokio::test]
-async fn a_body_without_a_length_is_bounded() {
+async fn a_chunked_body_is_limited() {
     let world = World::new(1).await;
     let state = with_body_limit(desired_state(6, &[BOARD, DESK]), 1_500_000);
     world.store.put("op", "config", &state);
@@ -272,14 +272,14 @@
 /// Promise: a long answer comes through whole, and one that breaks off never looks
 /// complete.
 #[tokio::test]
-async fn a_long_answer_is_whole_or_broken() {
-    const BYTES: usize = 2_000_000;
+async fn a_streamed_response_is_complete_or_visibly_broken() {
+    const RESPONSE_BYTES: usize = 2_000_000;
     let world = World::new(1).await;
     let entry = EntryProcess::ready(&world, "n1").await;
-    world.backends[0].set_behavior(Behavior::Large(BYTES));
+    world.backends[0].set_behavior(Behavior::Large(RESPONSE_BYTES));
     let answer = entry.send("GET", "/board/x", "whole").await;
-    assert_eq!(answer.body.len(), BYTES);
-    world.backends[0].set_behavior(Behavior::LargeTruncated(BYTES));
+    assert_eq!(answer.body.len(), RESPONSE_BYTES);
+    world.backends[0].set_behavior(Behavior::LargeTruncated(RESPONSE_BYTES));
     let mut sender = entry.connect().await;
     let broken = exchange(&mut sender, request("GET", "/board/x", "broken")).await;
     assert!(broken.is_none(), "half an answer looked whole");
@@ -287,7 +287,7 @@
 
 /// Promise: bytes that are no requests, beats or questions end nothing.
 #[tokio::test]
-async fn garbage_ends_nothing() {
+async fn malformed_input_does_not_stop_the_entry() {
     let world = World::new(1).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     let garbage: Vec<u8> = (0..4000u32)
@@ -310,7 +310,7 @@
 /// Promise: each request leaves a line with its id, where it went and why, and
 /// counters that add up.
 #[tokio::test]
-async fn each_request_leaves_a_line() {
+async fn each_request_is_logged_and_counted() {
     let world = World::new(1).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     entry.send("GET", "/board/x", "trace-me").await;
--- a/bin/lh-entry/tests/streams.rs
+++ b/bin/lh-entry/tests/streams.rs
@@ -21,7 +21,7 @@
 
 /// Promise: oversized heads and cut bodies don't hurt the process.
 #[tokio::test]
-async fn oversized_heads_and_cut_bodies_are_survived() {
+async fn oversized_heads_and_truncated_bodies_are_tolerated() {
     let world = OwnWorld::new(1, 3, SERVICE_TIME).await;
     let entry = world.entry("a", &[]).await;
     let mut stream = TcpStream::connect(entry.callers()).await.unwrap();
@@ -46,12 +46,12 @@
     assert_eq!(world.runs("cut"), 0);
 }
 
-/// Sends an upload of `chunks` times 64 KiB; each chunk waits for `pace`.
+/// Sends an upload of `chunks` times 64 KiB; each chunk waits for `chunk_permits`.
 async fn upload(
     address: std::net::SocketAddr,
     id: &str,
     chunks: usize,
-    mut pace: mpsc::Receiver<()>,
+    mut chunk_permits: mpsc::Receiver<()>,
 ) -> Option<Bytes> {
     let (sender, receiver) = mpsc::channel::<Bytes>(1);
     let body = StreamBody::new(frames(receiver));
@@ -66,7 +66,7 @@
         .unwrap();
     let feeding = async move {
         for _ in 0..chunks {
-            pace.recv().await;
+            chunk_permits.recv().await;
             let _ = sender.send(Bytes::from_static(&[b'x'; 1 << 16])).await;
         }
     };
@@ -92,14 +92,16 @@
 
 /// Promise: bodies are streamed; a large upload leaves the entry's memory flat.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_large_upload_leaves_memory_flat() {
+async fn a_large_upload_uses_constant_memory() {
     const CHUNKS: usize = 4096;
     let world = OwnWorld::new(1, 3, SERVICE_TIME).await;
     let entry = world.entry("a", &[]).await;
     let before = entry.peak_memory();
-    let (sender, pace) = mpsc::channel(1);
+    let (sender, chunk_permits) = mpsc::channel(1);
     drop(sender);
-    let answer = upload(entry.callers(), "up", CHUNKS, pace).await.unwrap();
+    let answer = upload(entry.callers(), "up", CHUNKS, chunk_permits)
+        .await
+        .unwrap();
     assert_eq!(answer, expected("up", CHUNKS));
     let grown = entry.peak_memory() - before;
     assert!(grown < 16 << 10, "256 MiB grew the entry by {grown} KiB");
@@ -107,12 +109,12 @@
 
 /// Promise: a planned stop cuts nothing, large uploads included, and then ends.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_finishes_an_upload() {
+async fn a_planned_stop_waits_for_an_upload() {
     const CHUNKS: usize = 64;
     let world = OwnWorld::new(1, 3, SERVICE_TIME).await;
     let mut entry = world.entry("a", &[]).await;
-    let (sender, pace) = mpsc::channel(1);
-    let running = tokio::spawn(upload(entry.callers(), "up", CHUNKS, pace));
+    let (sender, chunk_permits) = mpsc::channel(1);
+    let running = tokio::spawn(upload(entry.callers(), "up", CHUNKS, chunk_permits));
     // Enough for the entry to begin sending it on.
     for _ in 0..40 {
         sender.send(()).await.unwrap();
@@ -136,7 +138,7 @@
 
 /// Promise: metrics, readiness and status answer, and tell what was served.
 #[tokio::test]
-async fn metrics_and_status_answer() {
+async fn metrics_and_status_report_served_requests() {
     let world = OwnWorld::new(2, 3, SERVICE_TIME).await;
     let entry = world.entry("a", &[]).await;
     let headers = [(REQUEST_ID_HEADER, "r1")];
--- a/bin/lh-entry/tests/teams.rs
+++ b/bin/lh-entry/tests/teams.rs
@@ -48,7 +48,7 @@
     world
 }
 
-fn keyed(path: &str, id: &str, key: &str) -> Request<Full<Bytes>> {
+fn request_with_key(path: &str, id: &str, key: &str) -> Request<Full<Bytes>> {
     let mut request = request("GET", path, id);
     let value = HeaderValue::from_str(&format!("Token {key}")).unwrap();
     request.headers_mut().insert(AUTHORIZATION, value);
@@ -60,7 +60,7 @@
     exchange(&mut sender, request).await.expect("an answer")
 }
 
-fn ran(backends: &[FakeBackend], id: &str) -> Option<SeenRequest> {
+fn find_run(backends: &[FakeBackend], id: &str) -> Option<SeenRequest> {
     let seen = backends.iter().flat_map(FakeBackend::seen);
     seen.filter(|request| {
         request
@@ -74,20 +74,20 @@
 /// Promise: servers are told whose request it is, whatever the caller says itself, and never
 /// see its key; neither do logs, metrics or operators.
 #[tokio::test]
-async fn a_key_ends_at_the_door() {
+async fn keys_are_not_forwarded_or_shown() {
     let world = world(1, &[RED, BLUE]).await;
     let entry = EntryProcess::ready(&world, "n1").await;
-    let mut forged = keyed("/board/x", "a", RED_KEY);
+    let mut forged = request_with_key("/board/x", "a", RED_KEY);
     let stated = HeaderValue::from_static("blue");
     forged
         .headers_mut()
         .insert(HeaderName::from_static("tenant"), stated);
     assert_eq!(send(&entry, forged).await.status, 200);
-    let seen = ran(&world.backends, "a").unwrap();
+    let seen = find_run(&world.backends, "a").unwrap();
     assert_eq!(seen.headers.get("tenant").map(String::as_str), Some("red"));
     assert_eq!(seen.headers.get("authorization"), None);
     assert_eq!(
-        send(&entry, keyed("/board/x", "b", "wrong-key-5512"))
+        send(&entry, request_with_key("/board/x", "b", "wrong-key-5512"))
             .await
             .status,
         401
@@ -106,11 +106,11 @@
 
 /// Promise: without a key of a team's nothing runs, but on public routes.
 #[tokio::test]
-async fn nobody_enters_without_a_key() {
+async fn requests_without_a_valid_key_get_401() {
     let world = world(1, &[RED, BLUE]).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     let two = {
-        let mut two = keyed("/board/x", "two", RED_KEY);
+        let mut two = request_with_key("/board/x", "two", RED_KEY);
         let other = HeaderValue::from_static("Token other");
         two.headers_mut().append(AUTHORIZATION, other);
         two
@@ -123,9 +123,15 @@
     };
     let refused = [
         ("none", request("GET", "/board/x", "none")),
-        ("unknown", keyed("/board/x", "unknown", "nobodys")),
-        ("empty", keyed("/board/x", "empty", "")),
-        ("long", keyed("/board/x", "long", &"k".repeat(9000))),
+        (
+            "unknown",
+            request_with_key("/board/x", "unknown", "nobodys"),
+        ),
+        ("empty", request_with_key("/board/x", "empty", "")),
+        (
+            "long",
+            request_with_key("/board/x", "long", &"k".repeat(9000)),
+        ),
         ("two", two),
         ("raw", raw),
     ];
@@ -133,54 +139,56 @@
         let answer = send(&entry, request).await;
         assert_eq!(answer.status, 401, "{id}");
         assert_eq!(answer.header("www-authenticate"), "Token", "{id}");
-        assert!(ran(&world.backends, id).is_none(), "{id} ran");
+        assert!(find_run(&world.backends, id).is_none(), "{id} ran");
     }
     assert_eq!(
         send(&entry, request("GET", "/open/x", "open")).await.status,
         200
     );
-    let seen = ran(&world.backends, "open").unwrap();
+    let seen = find_run(&world.backends, "open").unwrap();
     assert_eq!(seen.headers.get("tenant"), None);
     assert_eq!(
-        send(&entry, keyed("/open/x", "both", BLUE_KEY))
+        send(&entry, request_with_key("/open/x", "both", BLUE_KEY))
             .await
             .status,
         200
     );
-    let seen = ran(&world.backends, "both").unwrap();
+    let seen = find_run(&world.backends, "both").unwrap();
     assert_eq!(seen.headers.get("tenant").map(String::as_str), Some("blue"));
     assert_eq!(seen.headers.get("authorization"), None);
 }
 
 /// Promise: a key that is taken away stops to count, also on connections that are open.
 #[tokio::test]
-async fn a_key_taken_away_stops() {
+async fn a_revoked_key_is_refused_on_open_connections() {
     let world = world(1, &[RED, BLUE]).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     let mut kept = entry.connect().await;
-    let answer = exchange(&mut kept, keyed("/board/x", "a", RED_KEY)).await;
+    let answer = exchange(&mut kept, request_with_key("/board/x", "a", RED_KEY)).await;
     assert_eq!(answer.unwrap().status, 200);
     let keyless = TeamText { keys: &[], ..RED };
     world.store.put("op", "config", &state(9, &[keyless, BLUE]));
     until("the key is refused", async || {
-        let answer = exchange(&mut kept, keyed("/board/x", "b", RED_KEY)).await;
+        let answer = exchange(&mut kept, request_with_key("/board/x", "b", RED_KEY)).await;
         answer.is_some_and(|answer| answer.status == 401)
     })
     .await;
     assert_eq!(
-        send(&entry, keyed("/board/x", "c", BLUE_KEY)).await.status,
+        send(&entry, request_with_key("/board/x", "c", BLUE_KEY))
+            .await
+            .status,
         200
     );
 }
 
 /// Promise: a team's home regions bind, with those of nobody else.
 #[tokio::test]
-async fn a_teams_homes_bind() {
-    let at_home = TeamText {
+async fn a_teams_home_regions_are_enforced() {
+    let southern = TeamText {
         regions: &["south"],
         ..RED
     };
-    let world = world(2, &[at_home, BLUE]).await;
+    let world = world(2, &[southern, BLUE]).await;
     let south = &world.backends[1];
     let row = server_entry_in("zone-b", "board", south.address(), "ready", 1);
     world.store.put("servers", south.id(), &row);
@@ -188,21 +196,25 @@
     for turn in 0..8 {
         let id = format!("r{turn}");
         assert_eq!(
-            send(&entry, keyed("/board/x", &id, RED_KEY)).await.status,
+            send(&entry, request_with_key("/board/x", &id, RED_KEY))
+                .await
+                .status,
             200
         );
         assert_eq!(south.runs(&id), 1, "{id} ran elsewhere");
     }
     world.store.drop_row("servers", south.id());
     until("no server of its home is left", async || {
-        send(&entry, keyed("/board/x", "gone", RED_KEY))
+        send(&entry, request_with_key("/board/x", "gone", RED_KEY))
             .await
             .status
             == 503
     })
     .await;
     assert_eq!(
-        send(&entry, keyed("/board/x", "b", BLUE_KEY)).await.status,
+        send(&entry, request_with_key("/board/x", "b", BLUE_KEY))
+            .await
+            .status,
         200
     );
 }
@@ -211,33 +223,35 @@
 /// bound, says so at once and truly, is told to no caller, and goes on with public routes; it
 /// serves again once it has heard.
 #[tokio::test]
-async fn in_the_dark_no_key_counts() {
+async fn a_cut_off_entry_stops_accepting_keys() {
     let world = world(1, &[RED, BLUE]).await;
-    let bounds = "revoke = 2s\nrevoke_cut_off = true\nconfig_apply = 1500ms\n";
-    let entry = EntryProcess::start_within(world.store.address(), "n1", bounds);
+    let settings = "revoke = 2s\nrevoke_cut_off = true\nconfig_apply = 1500ms\n";
+    let entry = EntryProcess::start_within(world.store.address(), "n1", settings);
     entry.wait_ready().await;
     assert_eq!(
-        send(&entry, keyed("/board/x", "a", RED_KEY)).await.status,
+        send(&entry, request_with_key("/board/x", "a", RED_KEY))
+            .await
+            .status,
         200
     );
     world.store.set_faults(FaultPlan::silence());
     until("keys are refused", async || {
-        send(&entry, keyed("/board/x", "wait", RED_KEY))
+        send(&entry, request_with_key("/board/x", "wait", RED_KEY))
             .await
             .status
             == 503
     })
     .await;
-    let dark = send(&entry, keyed("/board/x", "dark", RED_KEY)).await;
+    let cut_off = send(&entry, request_with_key("/board/x", "dark", RED_KEY)).await;
     assert_eq!(
-        (dark.status, dark.header("laurelhill-outcome")),
+        (cut_off.status, cut_off.header("laurelhill-outcome")),
         (503, "not-run")
     );
-    assert!(dark.header("retry-after").parse::<f64>().unwrap() > 0.0);
-    assert!(ran(&world.backends, "dark").is_none());
+    assert!(cut_off.header("retry-after").parse::<f64>().unwrap() > 0.0);
+    assert!(find_run(&world.backends, "dark").is_none());
     // It can't know whether the key was added meanwhile.
     assert_eq!(
-        send(&entry, keyed("/board/x", "new", "new-key-1"))
+        send(&entry, request_with_key("/board/x", "new", "new-key-1"))
             .await
             .status,
         503
@@ -249,7 +263,7 @@
     );
     world.store.set_faults(FaultPlan::default());
     until("keys are served again", async || {
-        send(&entry, keyed("/board/x", "back", RED_KEY))
+        send(&entry, request_with_key("/board/x", "back", RED_KEY))
             .await
             .status
             == 200
@@ -261,21 +275,23 @@
 /// Promise: where the operators' bound doesn't hold for entries that hear nothing, these go
 /// on with the keys that they know.
 #[tokio::test]
-async fn without_the_bound_known_keys_go_on() {
+async fn without_a_cut_off_known_keys_remain_valid() {
     let world = world(1, &[RED, BLUE]).await;
-    let bounds = "revoke = 1s\nrevoke_cut_off = false\nconfig_apply = 1s\n";
-    let entry = EntryProcess::start_within(world.store.address(), "n1", bounds);
+    let settings = "revoke = 1s\nrevoke_cut_off = false\nconfig_apply = 1s\n";
+    let entry = EntryProcess::start_within(world.store.address(), "n1", settings);
     entry.wait_ready().await;
     world.store.set_faults(FaultPlan::outage());
     until("it doesn't know of new keys", async || {
-        send(&entry, keyed("/board/x", "new", "new-key-1"))
+        send(&entry, request_with_key("/board/x", "new", "new-key-1"))
             .await
             .status
             == 503
     })
     .await;
     assert_eq!(
-        send(&entry, keyed("/board/x", "a", RED_KEY)).await.status,
+        send(&entry, request_with_key("/board/x", "a", RED_KEY))
+            .await
+            .status,
         200
     );
     assert_eq!(entry.status("/ready").await, Some(200));
@@ -284,17 +300,17 @@
 /// Promise: a team's quota holds over all entries together, and who is over it is told truly
 /// when to come back; another team isn't harmed.
 #[tokio::test]
-async fn a_quota_holds_over_entries() {
+async fn a_quota_is_shared_by_all_entries() {
     let slow = TeamText {
         rate: 0.2,
         burst: 12.0,
         ..RED
     };
     let world = world(2, &[slow, BLUE]).await;
-    let bounds = "quota_slack = 4\nquota_excess = 0\n";
-    let first = EntryProcess::start_within(world.store.address(), "n1", bounds);
+    let settings = "quota_slack = 4\nquota_excess = 0\n";
+    let first = EntryProcess::start_within(world.store.address(), "n1", settings);
     first.wait_ready().await;
-    let second = EntryProcess::start_beside(&first, world.store.address(), "n2", bounds);
+    let second = EntryProcess::start_beside(&first, world.store.address(), "n2", settings);
     second.wait_ready().await;
     until("both are named", async || {
         first.lookup().await.matches(':').count() >= 4
@@ -304,10 +320,10 @@
     for turn in 0..40 {
         let entry = if turn % 2 == 0 { &first } else { &second };
         let id = format!("r{turn}");
-        let answer = send(entry, keyed("/board/x", &id, RED_KEY)).await;
+        let answer = send(entry, request_with_key("/board/x", &id, RED_KEY)).await;
         if answer.status == 429 {
             assert!(answer.header("retry-after").parse::<f64>().unwrap() > 0.0);
-            assert!(ran(&world.backends, &id).is_none());
+            assert!(find_run(&world.backends, &id).is_none());
         }
         statuses.push(answer.status);
     }
@@ -317,7 +333,9 @@
     assert!(served <= 12 + 4, "{served} of 12 were served");
     assert!(refused >= 20, "{statuses:?}");
     assert_eq!(
-        send(&first, keyed("/board/x", "b", BLUE_KEY)).await.status,
+        send(&first, request_with_key("/board/x", "b", BLUE_KEY))
+            .await
+            .status,
         200
     );
 }
@@ -325,14 +343,14 @@
 /// Promise: a flood of wrong keys leaves nothing behind: memory stays, and the lines of others
 /// are still written. `WRONG_KEYS` sets how many more; a million by hand.
 #[tokio::test]
-async fn a_flood_of_wrong_keys_leaves_nothing() {
+async fn a_flood_of_unknown_keys_is_bounded_in_memory_and_log() {
     let world = world(1, &[RED, BLUE]).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     let mut sender = entry.connect().await;
     let mut flood = async |count: u32, turn: &str| {
         for number in 0..count {
             let key = format!("{turn}-{number}-{}", "x".repeat(200));
-            let answer = exchange(&mut sender, keyed("/board/x", "flood", &key)).await;
+            let answer = exchange(&mut sender, request_with_key("/board/x", "flood", &key)).await;
             assert_eq!(answer.unwrap().status, 401);
         }
     };
@@ -344,7 +362,7 @@
     let grown = entry.peak_memory() - before;
     assert!(grown < 4 << 10, "{grown} KiB more");
     assert_eq!(
-        send(&entry, keyed("/board/x", "good", RED_KEY))
+        send(&entry, request_with_key("/board/x", "good", RED_KEY))
             .await
             .status,
         200
--- a/bin/lh-entry/tests/tickets.rs
+++ b/bin/lh-entry/tests/tickets.rs
@@ -10,7 +10,7 @@
 use standin::{REQUEST_ID_HEADER, ServerMode};
 use world::{EntryProcess, until};
 
-const LONG: Duration = Duration::from_secs(300);
+const LONG_SERVICE_TIME: Duration = Duration::from_secs(300);
 
 /// The ticket with one digit of its signature changed.
 fn forge(ticket: &str) -> String {
@@ -21,19 +21,19 @@
 }
 
 /// Name, path, headers and body.
-type BadCase<'a> = (&'a str, &'a str, Vec<(&'a str, &'a str)>, &'a [u8]);
+type InvalidCase<'a> = (&'a str, &'a str, Vec<(&'a str, &'a str)>, &'a [u8]);
 
 /// Promise: bad input gets a clear 4xx, was not run, and the process goes on.
 #[tokio::test]
-async fn bad_input_is_refused_and_not_run() {
+async fn invalid_requests_get_4xx_and_do_not_run() {
     let world = OwnWorld::new(1, 3, SERVICE_TIME).await;
     world.apply(2, "100KB");
     let entry = world.entry("a", &[]).await;
     let ticket = ticket(&entry, "desk").await;
-    let stranger = ticket.replacen("a~", "ghost~", 1);
+    let foreign = ticket.replacen("a~", "ghost~", 1);
     let forged = forge(&ticket);
     let big = vec![0; 200 << 10];
-    let cases: [BadCase<'_>; 11] = [
+    let cases: [InvalidCase<'_>; 11] = [
         ("unknown service", "/nothing/x", vec![], b""),
         ("no service", "/", vec![], b""),
         ("body too large", "/board/x", vec![], &big),
@@ -78,7 +78,7 @@
             "ticket of a stranger",
             "/desk/x",
             vec![
-                ("laurelhill-ticket", &stranger),
+                ("laurelhill-ticket", &foreign),
                 ("laurelhill-number", "1"),
                 ("laurelhill-attempt", "1"),
             ],
@@ -120,7 +120,7 @@
 
 /// Promise: a repeat gets the first run's answer, whole, and runs nothing.
 #[tokio::test]
-async fn a_repeat_gets_the_first_answer() {
+async fn a_repeat_gets_the_stored_response() {
     let world = OwnWorld::new(2, 3, SERVICE_TIME).await;
     let entry = world.entry("a", &[]).await;
     let ticket = ticket(&entry, "desk").await;
@@ -138,7 +138,7 @@
 
 /// Promise: a run goes on when its caller leaves, and a repeat gets its answer.
 #[tokio::test]
-async fn a_run_outlives_its_caller() {
+async fn a_request_continues_after_its_caller_disconnects() {
     let world = OwnWorld::new(1, 3, Duration::from_millis(300)).await;
     let entry = world.entry("a", &[]).await;
     let ticket = ticket(&entry, "desk").await;
@@ -158,8 +158,8 @@
 
 /// Promise: when the entry dies in mid-request, a repeat elsewhere is "unknown" and not run.
 #[tokio::test]
-async fn a_booking_is_not_repeated_when_its_entry_dies() {
-    let world = OwnWorld::new(2, 3, LONG).await;
+async fn a_booking_is_not_repeated_after_its_entry_crashed() {
+    let world = OwnWorld::new(2, 3, LONG_SERVICE_TIME).await;
     let mut first = world.entry("a", &[]).await;
     let second = world.entry("b", &[&first]).await;
     knows(&second, 2).await;
@@ -197,7 +197,7 @@
 
 /// Promise: a repeat at another instance is passed to the run that its ticket names.
 #[tokio::test]
-async fn a_repeat_elsewhere_reaches_the_ticket_holder() {
+async fn a_repeat_is_forwarded_to_the_ticket_holder() {
     let world = OwnWorld::new(2, 3, SERVICE_TIME).await;
     let first = world.entry("a", &[]).await;
     let second = world.entry("b", &[&first]).await;
@@ -212,7 +212,7 @@
 /// Promise: the tickets of a look-up are good at the entries that it names, whoever
 /// answered it.
 #[tokio::test]
-async fn tickets_of_any_look_up_are_good() {
+async fn tickets_are_valid_whichever_entry_answered_the_look_up() {
     let world = OwnWorld::new(1, 3, SERVICE_TIME).await;
     let first = world.entry("a", &[]).await;
     let second = world.entry("b", &[&first]).await;
@@ -229,8 +229,8 @@
 
 /// Promise: when the backend server dies in mid-run, the booking is unknown and never sent again.
 #[tokio::test]
-async fn a_booking_is_not_sent_again_when_its_server_dies() {
-    let world = OwnWorld::new(2, 3, LONG).await;
+async fn a_booking_is_not_sent_again_after_its_server_crashed() {
+    let world = OwnWorld::new(2, 3, LONG_SERVICE_TIME).await;
     let entry = world.entry("a", &[]).await;
     let ticket = ticket(&entry, "desk").await;
     let sent = tokio::spawn({
@@ -287,7 +287,7 @@
 
 /// Promise: tickets go on while the store is away: nothing is claimed there.
 #[tokio::test]
-async fn an_outage_stops_no_booking() {
+async fn bookings_work_during_a_store_outage() {
     let world = OwnWorld::new(2, 3, SERVICE_TIME).await;
     let entry = world.entry("a", &[]).await;
     world
@@ -308,7 +308,7 @@
 /// Promise: callers are told entries of their own region first, by what they say of
 /// themselves or by their address.
 #[tokio::test]
-async fn callers_are_told_their_region_first() {
+async fn look_ups_list_the_callers_region_first() {
     let world = OwnWorld::new(1, 3, SERVICE_TIME).await;
     world
         .store
@@ -333,7 +333,7 @@
 /// Promise: what one team has booked under a ticket is told to no other, and refuses nobody
 /// else; a ticket's entry sees for itself whose a passed-on request is.
 #[tokio::test]
-async fn a_teams_bookings_are_its_own() {
+async fn bookings_are_private_to_their_team() {
     let world = OwnWorld::new(1, 3, SERVICE_TIME).await;
     world.apply_teams(2, ["red-key-1", "blue-key-1"]);
     let first = world.entry("a", &[]).await;
