--- a/bin/lh-entry/src/accept.rs
+++ b/bin/lh-entry/src/accept.rs
@@ -1,5 +1,5 @@
-//! Callers' connections: accepted, watched for slow heads and idleness, and
-//! closed in order at a stop.
+//! Accepts connections from callers, closes those that are idle or send their headers too
+//! slowly, and shuts them down gracefully when the instance stops.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -19,21 +19,21 @@
 use crate::state::InstanceState;
 use crate::stop::StopPhase;
 
-/// Connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1024;
-/// Pause after a connection could not be accepted, as when descriptors run out.
+/// Delay after a failed accept, for example when file descriptors run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// How often a connection is checked for a slow head or idleness.
+/// Interval at which a connection is checked for its header and idle timeouts.
 const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_secs(2);
-/// Smallest head buffer that the library takes, in bytes.
+/// Minimum size of the read buffer that hyper accepts, in bytes.
 const MIN_BUFFER_BYTES: usize = 8192;
-/// Part of the descriptors that callers' connections may use.
+/// Connections from callers may use one in this many of the file descriptors.
 const CALLER_DESCRIPTOR_DIVISOR: usize = 2;
 
-/// Opens a listener at `address` for `purpose`.
+/// Opens a listener on `address`; `purpose` names it in the error message.
 ///
 /// # Errors
-/// Where the address can't be used.
+/// Returns [`Error::Listen`] if the address can't be bound.
 pub(crate) fn listen(purpose: &'static str, address: SocketAddr) -> Result<TcpListener> {
     let open = || {
         let socket = TcpSocket::new_v4()?;
@@ -44,7 +44,7 @@
     open().map_err(|cause| Error::Listen(purpose, address, cause))
 }
 
-/// Accepts callers until the process ends.
+/// Accepts connections from callers until the process ends.
 pub(crate) async fn run(state: Rc<InstanceState>, listener: Rc<TcpListener>) {
     let most = (state.config.descriptors / CALLER_DESCRIPTOR_DIVISOR) as i64;
     loop {
@@ -52,9 +52,9 @@
             Ok((stream, _)) if state.metrics.connections.get() < most => {
                 tokio::task::spawn_local(serve_connection(Rc::clone(&state), stream));
             }
-            Ok(_) => log::warn!(most; "too many connections; one closed"),
+            Ok(_) => log::warn!(most; "connection limit reached; closing a new connection"),
             Err(error) => {
-                log::warn!(error:%; "no connection accepted");
+                log::warn!(error:%; "failed to accept a connection; retrying");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -92,7 +92,7 @@
         tokio::select! {
             ended = connection.as_mut() => {
                 if let Err(error) = ended {
-                    log::debug!(error:%; "caller's connection ended");
+                    log::debug!(error:%; "connection to a caller failed");
                 }
                 break;
             }
@@ -114,15 +114,15 @@
     state.metrics.connections.dec();
 }
 
-/// What a connection has waited for too long.
+/// A timeout that has expired on a connection.
 enum ConnectionTimeout {
-    /// A head that began and did not end.
+    /// The headers of a request have started but not arrived completely.
     Head,
-    /// The next request.
+    /// No next request has arrived.
     Idle,
 }
 
-/// Whether a connection is idle, receives a head, or is being answered.
+/// Tracks whether a connection is idle, receives headers, or waits for a response.
 #[derive(Debug)]
 struct ConnectionProgress {
     since: Cell<Instant>,
@@ -170,7 +170,7 @@
     }
 }
 
-/// A connection whose reads are noticed.
+/// A connection that reports its reads to a [`ConnectionProgress`].
 struct WatchedIo {
     io: TokioIo<TcpStream>,
     progress: Rc<ConnectionProgress>,
--- a/bin/lh-entry/src/admission.rs
+++ b/bin/lh-entry/src/admission.rs
@@ -1,4 +1,4 @@
-//! The door: whose request it is, and on which terms it enters.
+//! Admission control: determines the team of a request and whether it may be served.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -12,27 +12,27 @@
 use crate::problem::Problem;
 use crate::state::InstanceState;
 
-/// When a caller comes back whose key may have been added or taken away meanwhile: to
-/// another entry, or to this one once it has heard.
+/// Retry time for a caller whose key can't be checked because this entry's settings are too old.
+/// The caller may retry at another entry, or here after the settings have been refreshed.
 const STALE_KEYS_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// When a caller comes back that no region may serve: operators have to mend that.
+/// Retry time for a request that no region may serve; an operator must correct the settings.
 const NO_REGION_RETRY_AFTER: Duration = Duration::from_secs(10);
-/// Pairs of teams and routes without a common home that are named in the log.
+/// Maximum number of pairs of team and route without a common home region listed in a log line.
 const MAX_LOGGED_CONFLICTS: usize = 8;
 
-/// On which terms a request enters.
+/// The rules that apply to an admitted request.
 #[derive(Debug, Clone)]
 pub(crate) struct RequestPolicy {
-    /// The team whose request it is.
+    /// The team that sent the request, if any.
     pub(crate) team: Option<Rc<TeamSpec>>,
-    /// Its rank.
+    /// Priority of the request; 0 is the most urgent.
     pub(crate) priority: u32,
-    /// Regions that may serve it; empty allows all.
+    /// Regions that may serve the request; empty allows all.
     pub(crate) home_regions: Vec<String>,
 }
 
 impl RequestPolicy {
-    /// The terms of a request of `team` on `route`; `None` where no region may serve it.
+    /// Returns the policy for a request of `team` on `route`; `None` if no region may serve it.
     pub(crate) fn new(route: &RouteSpec, team: Option<Rc<TeamSpec>>) -> Option<Self> {
         let (priority, home_regions) = match &team {
             None => (route.priority, route.home_regions.clone()),
@@ -51,24 +51,24 @@
         })
     }
 
-    /// Whether an entry in the region `from` may pass the request to one in `to`: its body
-    /// stays in its home_regions.
+    /// Whether an entry in the region `from` may forward the request to an entry in `to`. The
+    /// body of a request must not leave its home regions.
     pub(crate) fn may_forward(&self, from: &str, to: &str) -> bool {
         let is_home =
             self.home_regions.is_empty() || self.home_regions.iter().any(|home| home == to);
         from == to || is_home
     }
 
-    /// The team's name.
+    /// Returns the name of the team.
     pub(crate) fn team_name(&self) -> Option<&str> {
         self.team.as_ref().map(|team| team.name.as_str())
     }
 }
 
-/// The terms on which a request with `key_claim` enters on `route`.
+/// Admits a request on `route` that presents `key_claim`, and returns its policy.
 ///
 /// # Errors
-/// The answer, where it doesn't.
+/// Returns the problem to respond with if the request is denied or over its quota.
 pub(crate) fn admit(
     state: &InstanceState,
     route: &RouteSpec,
@@ -92,7 +92,7 @@
     Ok(policy)
 }
 
-/// Lets a request of `team` in, if that doesn't ask for too much.
+/// Charges a request to the quota of `team`, or returns a 429 problem if it is used up.
 fn charge_quota(state: &InstanceState, team: &str) -> Result<(), Problem> {
     let now = Instant::now();
     let mut quota = state.quota.borrow_mut();
@@ -129,8 +129,8 @@
         .with_retry_after(NO_REGION_RETRY_AFTER)
 }
 
-/// Tells operators which teams and routes of `desired` no region may serve together, unless
-/// `last_logged` says that they were told; returns what to know as told from now on.
+/// Logs the pairs of team and route in `desired` that have no common home region, unless they
+/// are the ones in `last_logged`. Returns the pairs, as the next call's `last_logged`.
 pub(crate) fn log_region_conflicts(desired: &DesiredState, last_logged: &str) -> String {
     let mut conflicts = Vec::new();
     for team in &desired.teams {
--- a/bin/lh-entry/src/body_reader.rs
+++ b/bin/lh-entry/src/body_reader.rs
@@ -1,5 +1,5 @@
-//! Takes callers' bodies in: whole where they may be kept, so that a server that
-//! rejects one doesn't cost the request, and piece by piece where not.
+//! Reads request bodies from callers. Small bodies are buffered, so that the request can be
+//! retried on another server; large ones are streamed.
 
 use std::time::Instant;
 
@@ -12,22 +12,23 @@
 use crate::body::CountGuard;
 use crate::state::InstanceState;
 
-/// Bodies up to this size are read before they are sent on, so that a server
-/// that rejects one doesn't cost the request, in bytes.
+/// Maximum size of a body that is buffered before the request is forwarded, in bytes. A buffered
+/// request can be sent to another server if the first one rejects it.
 const MAX_BUFFERED_BODY_BYTES: usize = 1 << 20;
-/// Part of the memory that bodies may fill.
+/// Buffered bodies may fill one in this many bytes of the memory.
 const BODY_MEMORY_DIVISOR: usize = 4;
 
-/// The body of a request on its way.
+/// The body of a request that is being forwarded.
 pub(crate) enum JobBody {
-    /// All of it.
+    /// The complete body.
     Buffered { bytes: Bytes, _memory: CountGuard },
-    /// Its beginning, the rest at the caller, and how many bytes that may have.
+    /// The bytes read so far, the rest from the caller, and how many bytes that may have.
+    /// `None` once they have been sent.
     Streamed(Option<(Bytes, Incoming, usize)>),
 }
 
 impl JobBody {
-    /// All of it, where it was read.
+    /// Returns the complete body if it is buffered.
     pub(crate) fn buffered(&self) -> Option<&Bytes> {
         match self {
             Self::Buffered { bytes, .. } => Some(bytes),
@@ -35,7 +36,7 @@
         }
     }
 
-    /// All of it, or its beginning as long as that is here.
+    /// Returns the bytes read so far; empty once a streamed body has been sent.
     pub(crate) fn prefix(&self) -> &[u8] {
         match self {
             Self::Buffered { bytes, .. } | Self::Streamed(Some((bytes, ..))) => bytes,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Its size in bytes, as far as it is known.
+    /// Returns the size in bytes; an estimate for a streamed body.
     pub(crate) fn size(&self) -> usize {
         match self {
             Self::Buffered { bytes, .. } => bytes.len(),
@@ -52,10 +53,11 @@
     }
 }
 
-/// Reads the caller's `body` until `deadline_at`, whole if there is room to keep it.
+/// Reads the caller's `body`, and buffers it if it is small and enough memory is free.
 ///
 /// # Errors
-/// The status to answer with, where it is too long, too slow or broken.
+/// Returns the status of the response if the body is larger than `limit`, does not arrive by
+/// `deadline_at`, or its connection fails.
 pub(crate) async fn read_body(
     state: &InstanceState,
     deadline_at: Instant,
--- a/bin/lh-entry/src/caller.rs
+++ b/bin/lh-entry/src/caller.rs
@@ -1,4 +1,4 @@
-//! Who asks: a caller on the platform's interface, or on the product's own.
+//! Request headers of callers, on the platform's interface and on the product's own.
 
 use std::time::Duration;
 
@@ -12,56 +12,56 @@
 
 use crate::problem::Problem;
 
-/// Header that names a request on the own interface.
+/// Header with the id of a request on the product's own interface.
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-/// Header with the object that a request concerns.
+/// Header with the key of the object that a request is about.
 const OBJECT: HeaderName = HeaderName::from_static("laurelhill-object");
-/// Header with the time left for a request, in milliseconds.
+/// Header with the time that remains for a request, in milliseconds.
 const DEADLINE: HeaderName = HeaderName::from_static("laurelhill-deadline-ms");
-/// Header with the ticket of a request that must not repeat.
+/// Header with the ticket of a request that must run at most once.
 const TICKET: HeaderName = HeaderName::from_static("laurelhill-ticket");
-/// Header with the caller's number under the ticket.
+/// Header with the number that the caller gives the request under its ticket.
 const NUMBER: HeaderName = HeaderName::from_static("laurelhill-number");
-/// Header with the number of the caller's attempt under one number; the first is 1.
+/// Header that counts the caller's attempts to send one numbered request; the first is 1.
 const ATTEMPT: HeaderName = HeaderName::from_static("laurelhill-attempt");
-/// Headers of the own interface that differ between two attempts of a caller.
+/// Headers of the product's own interface that may differ between two attempts of a caller.
 const PER_ATTEMPT_HEADERS: [HeaderName; 5] = [REQUEST_ID, DEADLINE, TICKET, NUMBER, ATTEMPT];
-/// Headers by which a caller asks on the own interface.
+/// Headers whose presence selects the product's own interface.
 const OWN_INTERFACE_HEADERS: [HeaderName; 3] = [DEADLINE, TICKET, OBJECT];
 
-/// The interface on which a request came.
+/// The interface on which a request arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Interface {
-    /// The platform's.
+    /// The interface that the platform defines.
     Platform,
-    /// The product's own: outcomes, problem documents, tickets.
+    /// The product's own interface, with outcomes, problem documents and tickets.
     Own,
 }
 
-/// What a request's head says of its caller.
+/// What the headers of a request say about its caller.
 #[derive(Debug, Clone)]
 pub(crate) struct Caller {
     pub(crate) interface: Interface,
-    /// Names this attempt of the caller.
+    /// Id of this attempt of the caller.
     pub(crate) request_id: Option<HeaderValue>,
-    /// The object that the request concerns.
+    /// Key of the object that the request is about.
     pub(crate) object: Option<HeaderValue>,
-    /// How long the caller will wait.
+    /// How long the caller waits for the response.
     pub(crate) deadline: Option<Duration>,
 }
 
-/// What binds a request that must not repeat.
+/// The headers of a request that must run at most once.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct TicketHeaders {
     pub(crate) ticket: Ticket,
-    /// The caller's number under the ticket.
+    /// The number that the caller gave the request under the ticket.
     pub(crate) number: u64,
-    /// Whether the caller says that it has sent the number nowhere before.
+    /// Whether the caller states that it has never sent this number before.
     pub(crate) first_attempt: bool,
 }
 
 impl Caller {
-    /// Reads a head on the platform's interface.
+    /// Parses the headers of a request on the platform's interface.
     pub(crate) fn from_platform_headers(headers: &HeaderMap) -> Self {
         let head = headers::parse_caller(headers);
         Self {
@@ -72,11 +72,11 @@
         }
     }
 
-    /// Reads a head on the own interface. A request without a name gets one, since
-    /// backend servers ask for it.
+    /// Parses the headers of a request on the product's own interface. A request without an id
+    /// gets one, because backend servers require it.
     ///
     /// # Errors
-    /// The answer, where a header can't be read.
+    /// Returns the problem to respond with if a header can't be parsed.
     pub(crate) fn from_own_headers(headers: &HeaderMap) -> Result<Self, Problem> {
         let deadline = parse_number(headers, &DEADLINE)?.map(Duration::from_millis);
         if deadline.is_some_and(|deadline| deadline.is_zero()) {
@@ -95,7 +95,8 @@
         })
     }
 
-    /// Tells a backend server what the platform's headers would have told.
+    /// Writes the request id and the object's key as the platform's headers, which backend
+    /// servers read.
     pub(crate) fn write_platform_headers(&self, headers: &mut HeaderMap) {
         if let Some(id) = &self.request_id {
             headers::write_request_id(headers, id);
@@ -105,7 +106,7 @@
         }
     }
 
-    /// The request's name, where it can be shown.
+    /// Returns the request id, or an empty string if it isn't visible ASCII.
     pub(crate) fn request_name(&self) -> &str {
         let name = self.request_id.as_ref().and_then(|id| id.to_str().ok());
         name.unwrap_or("")
@@ -113,7 +114,7 @@
 }
 
 impl Interface {
-    /// The interface of a request with `headers` on `route`.
+    /// Returns the interface of a request with `headers` on `route`.
     pub(crate) fn of(route: &RouteSpec, headers: &HeaderMap) -> Self {
         let has_own_header = OWN_INTERFACE_HEADERS
             .iter()
@@ -127,10 +128,10 @@
 }
 
 impl TicketHeaders {
-    /// Reads what binds the request; `None` where nothing does.
+    /// Parses the ticket headers; `None` if the request has no ticket.
     ///
     /// # Errors
-    /// The answer, where a header can't be read.
+    /// Returns the problem to respond with if a header can't be parsed.
     pub(crate) fn parse(headers: &HeaderMap) -> Result<Option<Self>, Problem> {
         let Some(text) = headers.get(TICKET) else {
             return Ok(None);
@@ -149,7 +150,8 @@
     }
 }
 
-/// Whether the header of the own interface differs between two attempts of a caller.
+/// Returns whether the header, on the product's own interface, may differ between two attempts
+/// of a caller.
 pub(crate) fn is_per_attempt(name: &HeaderName) -> bool {
     PER_ATTEMPT_HEADERS.contains(name)
 }
