--- a/bin/lh-entry/src/attempt.rs
+++ b/bin/lh-entry/src/attempt.rs
@@ -1,4 +1,4 @@
-//! A request at a server, counted until its outcome is known.
+//! An attempt to serve a request, counted at its server until the outcome is known.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -10,20 +10,21 @@
 
 use crate::state::InstanceState;
 
-/// Counts a request at its server until its outcome is known.
+/// Counts an attempt at its server until the outcome is known. An attempt that is dropped before
+/// that counts as abandoned.
 pub(crate) struct AttemptGuard {
     state: Rc<InstanceState>,
     route: Rc<RouteSpec>,
     part: usize,
     object: Option<u64>,
     pub(crate) placement: Placement,
-    /// Names the request where a rollout of its service runs.
+    /// Identifies the request if a rollout of its service is in progress.
     rollout_token: Option<SendToken>,
     finished: bool,
 }
 
 impl AttemptGuard {
-    /// Counts a request of `route` that goes to the server of `placement`.
+    /// Counts a request on `route` that is sent to the server of `placement`.
     pub(crate) fn new(
         state: &Rc<InstanceState>,
         route: &Rc<RouteSpec>,
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Takes in what became of it; the first call counts.
+    /// Records the outcome; calls after the first are ignored.
     pub(crate) fn finish(&mut self, outcome: ServerOutcome, report: Option<&ServerReport>) {
         if self.finished {
             return;
--- a/bin/lh-entry/src/body.rs
+++ b/bin/lh-entry/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers and of requests to servers.
+//! Bodies of responses to callers and of requests to servers.
 
 use std::cell::Cell;
 use std::pin::Pin;
@@ -11,7 +11,7 @@
 
 use crate::pool::ConnectionLease;
 
-/// Counts something for as long as it lives.
+/// Adds an amount to a counter until it is dropped.
 #[derive(Debug)]
 pub(crate) struct CountGuard {
     counter: Rc<Cell<usize>>,
@@ -36,7 +36,7 @@
     }
 }
 
-/// The body of an answer to a caller.
+/// The body of a response to a caller.
 #[derive(Debug)]
 pub(crate) struct ResponseBody {
     content: ResponseContent,
@@ -54,7 +54,7 @@
 }
 
 impl ResponseBody {
-    /// A body that is there as a whole.
+    /// Creates a body of `bytes`.
     pub(crate) fn buffered(bytes: Bytes) -> Self {
         Self {
             content: ResponseContent::Buffered(Some(bytes).filter(|bytes| !bytes.is_empty())),
@@ -62,7 +62,8 @@
         }
     }
 
-    /// A body whose rest is still at the server; `lease` keeps its connection.
+    /// Creates a body that starts with `first` and continues with `rest` from the server. `lease`
+    /// keeps the connection open.
     pub(crate) fn streamed(first: Bytes, rest: Incoming, lease: ConnectionLease) -> Self {
         Self {
             content: ResponseContent::Streamed {
@@ -74,7 +75,7 @@
         }
     }
 
-    /// All bytes, where they are there as a whole.
+    /// Returns the complete body if it is buffered.
     pub(crate) fn bytes(&self) -> Option<Bytes> {
         match &self.content {
             ResponseContent::Buffered(bytes) => Some(bytes.clone().unwrap_or_default()),
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Keeps `guard` until the body is sent or given up.
+    /// Keeps `guard` until the body is sent or dropped.
     pub(crate) fn with_guard(mut self, guard: CountGuard) -> Self {
         self.guards.push(guard);
         self
@@ -136,34 +137,34 @@
 }
 
 quick_error! {
-    /// Why a body did not come to its end.
+    /// The error of a request body that could not be forwarded completely.
     #[derive(Debug)]
     #[allow(unreachable_pub, reason = "the macro takes no narrower visibility")]
     pub enum BodyError {
-        /// The caller broke off.
+        /// The connection to the caller failed.
         Caller(cause: hyper::Error) {
-            display("the caller's body broke off")
+            display("the connection to the caller failed while its body was read")
             source(cause)
             from()
         }
-        /// It is longer than callers may send.
+        /// The body is larger than the limit.
         TooLong {
-            display("the caller's body is longer than the limit")
+            display("the caller's body is larger than the limit")
         }
     }
 }
 
-/// The body of a request to a server.
+/// The body of a request to a backend server.
 #[derive(Debug)]
 pub(crate) struct RequestBody {
     first: Option<Bytes>,
     rest: Option<Incoming>,
-    /// Bytes that may still come from the caller.
+    /// Maximum number of bytes that may still arrive from the caller.
     remaining: usize,
 }
 
 impl RequestBody {
-    /// A body that is there as a whole.
+    /// Creates a body of `bytes`.
     pub(crate) fn buffered(bytes: Bytes) -> Self {
         Self {
             first: Some(bytes).filter(|bytes| !bytes.is_empty()),
@@ -172,7 +173,8 @@
         }
     }
 
-    /// A body whose rest, `remaining` bytes at most, still comes from the caller.
+    /// Creates a body that starts with `first` and continues with at most `remaining` bytes of
+    /// `rest` from the caller.
     pub(crate) fn streamed(first: Bytes, rest: Incoming, remaining: usize) -> Self {
         Self {
             first: Some(first).filter(|bytes| !bytes.is_empty()),
--- a/bin/lh-entry/src/crash.rs
+++ b/bin/lh-entry/src/crash.rs
@@ -1,7 +1,7 @@
-//! Finds out whether a server has ended where it broke off a request.
+//! Determines whether a server has crashed after its connection failed during a request.
 //!
-//! A broken connection alone says nothing of the server: links and idle connections break
-//! too. A server that has ended refuses new connections.
+//! A failed connection alone is no evidence: networks fail, and idle connections are closed. A
+//! server that has crashed refuses new connections.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -19,25 +19,26 @@
 
 use crate::state::InstanceState;
 
-/// Time until a server that broke off a request is looked at: its other connections break
-/// meanwhile, and one look serves all of their requests.
+/// Delay before a server is probed after a connection to it failed. Its other connections fail in
+/// the meantime, so that one probe covers all of their requests.
 const PROBE_DELAY: Duration = Duration::from_millis(30);
-/// A server that neither refuses nor accepts in this time is not known to have ended.
+/// Timeout of a probe. A server that neither refuses nor accepts the connection by then is not
+/// considered crashed.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Servers looked at at once: more than end together in a failure domain, few enough for
-/// the descriptors of a small instance.
+/// Maximum number of concurrent probes: more than the servers that crash together in a failure
+/// domain, but few enough for the file descriptors of a small instance.
 const MAX_CONCURRENT_PROBES: usize = 64;
-/// Prints that a log line names; the rest is counted.
+/// Maximum number of fingerprints in a log line, which also contains their number.
 const MAX_LOGGED_FINGERPRINTS: usize = 8;
 
-/// The servers that are being looked at, by their runs, with the requests that they broke
-/// off.
+/// The server runs that are being probed, with the fingerprints of the requests that were in flight
+/// when their connections failed.
 #[derive(Debug, Default)]
 pub(crate) struct CrashProbes {
     probes: RefCell<HashMap<u64, Vec<RequestFingerprint>>>,
 }
 
-/// A run of a server that broke off requests.
+/// A server run whose connections failed during requests.
 struct ProbedServer {
     run: u64,
     id: String,
@@ -45,7 +46,8 @@
     address: SocketAddr,
 }
 
-/// The server of `placement`, of `service`, broke off the request with the print `print`.
+/// Schedules a probe of the server of `placement`, whose connection failed during the request with
+/// the fingerprint `print`.
 pub(crate) fn on_connection_lost(
     state: &Rc<InstanceState>,
     placement: &Placement,
@@ -59,7 +61,7 @@
         return;
     }
     if probes.len() >= MAX_CONCURRENT_PROBES {
-        log::info!(server = placement.id.as_str(), print:%; "server not looked at, too many others are");
+        log::info!(server = placement.id.as_str(), print:%; "server not probed: too many probes in progress");
         return;
     }
     probes.insert(run, vec![print]);
@@ -107,7 +109,7 @@
     );
 }
 
-/// Whether nothing listens at `address` any more.
+/// Returns whether connections to `address` are refused.
 async fn is_closed(address: SocketAddr) -> bool {
     match timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Err(error)) => error.kind() == ErrorKind::ConnectionRefused,
--- a/bin/lh-entry/src/fingerprint.rs
+++ b/bin/lh-entry/src/fingerprint.rs
@@ -1,5 +1,5 @@
-//! The print of a request: what tells it from others, and not one attempt of its caller
-//! from the next.
+//! Computes the fingerprint of a request, which is the same for every attempt of its caller and
+//! different for other requests.
 
 use hyper::header::{self, HeaderName};
 use hyper::{HeaderMap, Method, Uri};
@@ -10,7 +10,7 @@
 use crate::caller;
 use crate::reply::is_hop_by_hop;
 
-/// Headers of tracing and clocks, which differ from one attempt to the next.
+/// Tracing and date headers, which differ between attempts.
 const TRACE_HEADERS: [HeaderName; 4] = [
     HeaderName::from_static("traceparent"),
     HeaderName::from_static("tracestate"),
@@ -18,11 +18,12 @@
     header::DATE,
 ];
 
-/// Bytes of a body that count: how many of a longer one are at hand differs each time.
+/// Maximum number of bytes of the body that are hashed. How much of a larger body has arrived
+/// when the fingerprint is computed differs between attempts.
 const MAX_HASHED_BODY_BYTES: usize = 64 << 10;
 
-/// The print of a request with the beginning of its body. A cryptographic hash,
-/// so that no caller can make a request that is taken for another's.
+/// Computes the fingerprint of a request from its headers and the start of its body. The hash is
+/// cryptographic, so that no caller can forge a request with the fingerprint of another.
 pub(crate) fn request_fingerprint(
     method: &Method,
     target: &Uri,
@@ -31,7 +32,7 @@
     body: &[u8],
 ) -> RequestFingerprint {
     let mut hasher = Sha256::new();
-    // What one team sends is held against no other.
+    // A request of one team must not put that of another team into quarantine.
     update_prefixed(&mut hasher, team.as_bytes());
     update_prefixed(&mut hasher, method.as_str().as_bytes());
     let target = target.path_and_query();
@@ -44,7 +45,7 @@
         .filter(|(name, _)| !is_excluded(name))
         .map(|(name, value)| (name.as_str(), value.as_bytes()))
         .collect();
-    // A proxy on the way may send them in another order.
+    // A proxy in between may reorder the headers.
     hashed_headers.sort_unstable();
     for (name, value) in hashed_headers {
         update_prefixed(&mut hasher, name.as_bytes());
@@ -57,7 +58,8 @@
     RequestFingerprint(u128::from_be_bytes(truncated))
 }
 
-/// Adds a part with its length, so that no two lists of parts read alike.
+/// Hashes the length of a part and the part itself, so that different lists of parts never
+/// concatenate to the same input.
 fn update_prefixed(hasher: &mut Sha256, part: &[u8]) {
     hasher.update((part.len() as u64).to_be_bytes());
     hasher.update(part);
--- a/bin/lh-entry/src/handler.rs
+++ b/bin/lh-entry/src/handler.rs
@@ -1,4 +1,5 @@
-//! The path of a request up to its job: its route, its caller, its body.
+//! Handles a request from a caller: finds its route, admits it, reads its body, and runs the job
+//! that forwards it.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -28,14 +29,15 @@
 use crate::ticket::{ticket_fingerprint, ticket_required, unknown};
 use crate::ticket_forward;
 
-/// How long a request without a deadline or a bound of its route may take.
+/// Time limit of a request without a deadline on a route without a timeout.
 const DEFAULT_TIME_LIMIT: Duration = Duration::from_secs(30);
-/// When a caller comes back to an entry that knows no desired state yet.
+/// Retry time for callers of an entry that has not read the desired state yet.
 const STARTING_RETRY_AFTER: Duration = Duration::from_millis(400);
-/// When a caller that is refused by a stopping entry comes back, to another.
+/// Retry time, at another entry, for a caller that a stopping entry refuses.
 const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Answers `request`.
+/// Handles `request` and returns the response. While the entry is stopping, the response closes
+/// its connection.
 pub(crate) async fn serve(
     state: Rc<InstanceState>,
     request: Request<Incoming>,
@@ -118,10 +120,10 @@
     }
 }
 
-/// The route of a request.
+/// Finds the route of a request.
 ///
 /// # Errors
-/// The status to answer with, where there is none.
+/// Returns the status of the response if there is no route.
 fn find_route(routes: &RouteTable, parts: &Parts) -> Result<Rc<RouteSpec>, StatusCode> {
     let host = parts.headers.get(header::HOST);
     let host = host
@@ -132,8 +134,8 @@
     route.cloned().ok_or(StatusCode::NOT_FOUND)
 }
 
-/// The caller of a request on the own interface, and its ticket where the route asks
-/// for one.
+/// Parses the caller of a request on the product's own interface, and its ticket if the route
+/// requires one.
 fn parse_own(route: &RouteSpec, parts: &Parts) -> Result<(Caller, Option<TicketHeaders>), Problem> {
     let caller = Caller::from_own_headers(&parts.headers)?;
     if route.kind.may_repeat() {
@@ -152,7 +154,7 @@
     deadline_at: Instant,
 ) -> RequestJob {
     if !state.teams.borrow().is_empty() {
-        // From here on it would be shown to servers.
+        // The headers are forwarded to servers, which must not see the caller's key.
         headers::remove_credentials(&mut parts.headers);
     }
     let object = caller.object.as_ref();
@@ -178,7 +180,7 @@
     }
 }
 
-/// Runs a request under a ticket of this entry, if it has not been run before.
+/// Runs a request under a ticket of this entry, unless it has run before.
 async fn run_once(
     job: RequestJob,
     route: Rc<RouteSpec>,
@@ -204,19 +206,19 @@
         Ok(key) => key,
         Err(problem) => return job.respond_with_problem(problem),
     };
-    // The run goes on when the caller goes away, so that a repeat finds its answer.
+    // The run continues if the caller disconnects, so that a repeat finds the response.
     let run = tokio::task::spawn_local(async move {
         let response = job.run(&route, body).await;
         state.tickets.finish(&key, outcome_of(&response), &response);
         response
     });
     run.await.unwrap_or_else(|error| {
-        log::error!(error:%; "a run was cut short");
+        log::error!(error:%; "task of an at-most-once request failed");
         unknown("the run was cut short").into_response(&caller)
     })
 }
 
-/// The outcome that an answer states; one that states none may have run.
+/// Returns the outcome that a response states. If it states none, the request may have run.
 pub(crate) fn outcome_of<T>(response: &Response<T>) -> Outcome {
     let stated = response.headers().get(OUTCOME_HEADER);
     let stated = stated.and_then(|value| value.to_str().ok());
--- a/bin/lh-entry/src/job.rs
+++ b/bin/lh-entry/src/job.rs
@@ -1,6 +1,5 @@
-//! A request on its way: one server after the other, until there is an answer.
-//! Dropping the future gives the request up: the connection to its server is closed
-//! at once.
+//! Forwards a request to one server after the other until one of them responds. If the future is
+//! dropped, the connection to the server is closed immediately.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -32,44 +31,46 @@
 use crate::rollout;
 use crate::state::InstanceState;
 
-/// Servers to which a request can't be sent are passed over this many times.
+/// Number of attempts that could not send the request after which a further attempt is limited
+/// like a retry.
 const MAX_UNSENT_ATTEMPTS: u32 = 4;
 
-/// A request on its way.
+/// A request that is being forwarded.
 pub(crate) struct RequestJob {
     pub(crate) state: Rc<InstanceState>,
     pub(crate) record: RequestRecord,
     pub(crate) caller: Caller,
-    /// Hash of the object that the request concerns.
+    /// Hash of the key of the object that the request is about.
     pub(crate) object: Option<u64>,
     pub(crate) method: Method,
     pub(crate) target: hyper::Uri,
     pub(crate) headers: HeaderMap,
-    /// Whose it is, and where it may be served.
+    /// The team, priority and home regions of the request.
     pub(crate) policy: RequestPolicy,
-    /// When the caller gets its answer at the latest.
+    /// Time by which the caller must have its response.
     pub(crate) deadline_at: Instant,
-    /// The part of the route that the request belongs to.
+    /// Index of the part of the route that serves the request.
     pub(crate) part: usize,
     pub(crate) progress: JobProgress,
 }
 
-/// What has been tried for a request.
+/// The attempts that have been made for a request.
 #[derive(Debug, Default)]
 pub(crate) struct JobProgress {
     tried: Vec<ServerHandle>,
     failed_attempts: u32,
     unsent_attempts: u32,
     may_have_run: bool,
-    /// The request's print, once it was needed.
+    /// The request's fingerprint, once it has been computed.
     pub(crate) fingerprint: Option<RequestFingerprint>,
 }
 
-/// What came of an attempt.
+/// The result of an attempt.
 enum AttemptResult {
     Responded(Response<ResponseBody>),
     NotRun,
-    /// Nothing was sent: no connection could be had, or not in time.
+    /// The request was not sent: no connection could be established, or its server or the request
+    /// was withdrawn meanwhile.
     Unsent,
     Failed(Response<ResponseBody>),
     Broken,
@@ -77,7 +78,7 @@
 }
 
 impl RequestJob {
-    /// Sends the request on until there is an answer.
+    /// Forwards the request, with retries, and returns the response for the caller.
     pub(crate) async fn run(
         mut self,
         route: &Rc<RouteSpec>,
@@ -171,7 +172,7 @@
         respond_unavailable(&mut self.record, &self.caller, reason, refusal.retry_after)
     }
 
-    /// Gives the caller a server's answer.
+    /// Returns a server's response to the caller.
     fn relay_response(&mut self, mut response: Response<ResponseBody>) -> Response<ResponseBody> {
         let status = response.status().as_u16();
         self.record.finish(RequestOutcome::Answered, status);
@@ -181,7 +182,7 @@
         response
     }
 
-    /// Ends the request with an answer of the entry's own.
+    /// Ends the request with a response by this entry.
     pub(crate) fn respond_with_problem(mut self, problem: Problem) -> Response<ResponseBody> {
         self.record.finish_with_problem(&problem);
         problem.into_response(&self.caller)
@@ -229,11 +230,12 @@
         };
         if !self.may_send(&guard.placement, body) {
             guard.finish(ServerOutcome::Withdrawn, None);
-            self.record.on_attempt_result("not sent, closed meanwhile");
+            self.record
+                .on_attempt_result("not sent: server left or request was quarantined meanwhile");
             return AttemptResult::Unsent;
         }
         if matches!(body, JobBody::Streamed(_)) {
-            // Its beginning is gone once it is sent.
+            // The start of a streamed body is no longer available after it is sent.
             self.fingerprint(body);
         }
         let Some(request) = self.build_request(&guard.placement, body) else {
@@ -249,7 +251,8 @@
         let response = match timeout_at(self.deadline_at.into(), sending).await {
             Err(_) => {
                 guard.finish(ServerOutcome::OutOfTime, None);
-                self.record.on_attempt_result("no answer in time");
+                self.record
+                    .on_attempt_result("no response before the deadline");
                 return AttemptResult::OutOfTime;
             }
             Ok(Err(error)) => {
@@ -274,7 +277,7 @@
             .await
     }
 
-    /// Whether the choice still stands once a connection is there.
+    /// Whether the request may still be sent to the server after the time it took to connect.
     fn may_send(&mut self, placement: &Placement, body: &JobBody) -> bool {
         let is_current = self
             .state
@@ -296,7 +299,7 @@
         let head = headers::parse_server(parts.status, &parts.headers);
         if !self.matches_request(&head, &lease) {
             guard.finish(ServerOutcome::Broken, None);
-            self.record.on_attempt_result("answer to another request");
+            self.record.on_attempt_result("response to another request");
             return AttemptResult::Broken;
         }
         if head.not_executed {
@@ -312,13 +315,14 @@
         if !is_valid_response(parts.status, &parts.headers, &head) {
             guard.finish(ServerOutcome::Broken, None);
             self.record
-                .on_attempt_result(&format!("unsound answer ({})", parts.status.as_u16()));
+                .on_attempt_result(&format!("invalid response ({})", parts.status.as_u16()));
             return AttemptResult::Broken;
         }
         let (bytes, rest) = match timeout_at(self.deadline_at.into(), read_response(body)).await {
             Err(_) => {
                 guard.finish(ServerOutcome::OutOfTime, None);
-                self.record.on_attempt_result("answer not whole in time");
+                self.record
+                    .on_attempt_result("response incomplete at the deadline");
                 return AttemptResult::OutOfTime;
             }
             Ok(Err(error)) => {
@@ -336,7 +340,7 @@
         let body = match rest {
             Some(rest) => ResponseBody::streamed(bytes, rest, lease),
             None => {
-                // A server that answers an upload early may still wait for the rest of it.
+                // A server that rejects an upload early may still be reading the rest of it.
                 if parts.status.is_success() {
                     self.state.pool.release(lease, &parts.headers);
                 }
@@ -354,7 +358,7 @@
         }
     }
 
-    /// Takes in the size of an answer of which `read` bytes are here.
+    /// Records the size of a response of which `read` bytes have arrived.
     fn record_response_size(&self, headers: &HeaderMap, read: usize) {
         let stated = headers.get(header::CONTENT_LENGTH);
         let stated = stated.and_then(|length| length.to_str().ok()?.parse().ok());
@@ -364,8 +368,8 @@
         }
     }
 
-    /// Whether the answer is to this request. One without an id can only be so
-    /// on a connection that carried no other request.
+    /// Whether the response belongs to this request. A response without a request id is accepted
+    /// only on a connection that has carried no other request.
     fn matches_request(&self, head: &ServerHeaders, lease: &ConnectionLease) -> bool {
         match &head.request_id {
             Some(id) => self.caller.request_id.as_ref() == Some(id),
--- a/bin/lh-entry/src/job_quarantine.rs
+++ b/bin/lh-entry/src/job_quarantine.rs
@@ -1,4 +1,4 @@
-//! What a request on its way has to do with servers that ended.
+//! Quarantine of requests that crash servers, as seen by the job of a request.
 
 use place::crash::print::RequestFingerprint;
 use place::prelude::*;
@@ -9,8 +9,8 @@
 use crate::job::RequestJob;
 
 impl RequestJob {
-    /// The refusal of a request that ended the servers that ran it: however many callers
-    /// repeat it, at whichever entry, it reaches no further one.
+    /// Returns the refusal if the request is in quarantine because it crashed servers. It reaches
+    /// no further server, whichever caller sends it again, at whichever entry.
     pub(crate) fn quarantine_refusal(&mut self, body: &JobBody) -> Option<Refusal> {
         if !self.state.fleet.has_statuses() {
             return None;
@@ -24,7 +24,7 @@
         })
     }
 
-    /// A server has answered the request well: where it is suspected, nobody refuses it.
+    /// Clears the request if it is a suspect: a server has now answered it without an error.
     pub(crate) fn clear_suspicion(&mut self, body: &JobBody) {
         if self.state.fleet.has_suspects() {
             let fingerprint = self.fingerprint(body);
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The request's print; of a body that is passed on in pieces, its beginning counts.
+    /// Returns the request's fingerprint, which covers only the start of a streamed body.
     pub(crate) fn fingerprint(&mut self, body: &JobBody) -> RequestFingerprint {
         let (method, target, headers) = (&self.method, &self.target, &self.headers);
         let team = self.policy.team_name().unwrap_or_default();
@@ -40,7 +40,7 @@
         *self.progress.fingerprint.get_or_insert_with(fingerprint)
     }
 
-    /// The server of `placement` broke the request off.
+    /// Handles a connection to the server of `placement` that failed during the request.
     pub(crate) fn on_connection_lost(
         &mut self,
         route: &RouteSpec,
--- a/bin/lh-entry/src/pool.rs
+++ b/bin/lh-entry/src/pool.rs
@@ -1,5 +1,5 @@
-//! Connections to backend servers: opened when needed, kept for a while, and
-//! closed whenever anything about them is in doubt.
+//! Connection pool for backend servers. Connections are opened on demand, kept alive for a while,
+//! and closed if it is uncertain whether they can be reused.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -17,24 +17,25 @@
 
 use crate::body::RequestBody;
 
-/// Bytes that stay unacknowledged for this long break the connection: a server
-/// that lost power is noticed before most deadlines.
+/// `TCP_USER_TIMEOUT` of connections to servers. It detects a server that lost power before most
+/// deadlines expire.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1200);
-/// How long a connection is kept where the server doesn't say: servers whose
-/// time-out is under a second don't.
+/// How long an idle connection is kept if the server states no keep-alive timeout. Servers with a
+/// timeout of less than a second state none.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(400);
-/// Kept between the last use and the time at which the server closes.
+/// Safety margin between the last use of a connection and the time at which the server closes it.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(800);
-/// Idle connections kept to one server.
+/// Maximum number of idle connections per server.
 const MAX_IDLE_PER_SERVER: usize = 16;
 
-/// A connection in use. Dropped without [`ConnectionLease::release`], it is closed.
+/// A connection in use. It is closed when dropped, unless it is returned with
+/// [`ConnectionPool::release`].
 #[derive(Debug)]
 pub(crate) struct ConnectionLease {
     server: String,
     sender: Option<SendRequest<RequestBody>>,
     task: AbortHandle,
-    /// Whether it served a request before.
+    /// Whether the connection has carried a request before.
     pub(crate) reused: bool,
 }
 
@@ -48,13 +49,13 @@
 /// Idle connections by server.
 #[derive(Debug)]
 pub(crate) struct ConnectionPool {
-    /// Longest time in which a server accepts a connection.
+    /// Timeout for establishing a connection.
     connect_timeout: Duration,
     idle: RefCell<HashMap<String, Vec<IdleConnection>>>,
 }
 
 impl ConnectionPool {
-    /// A pool without connections; each may take `connect_timeout` to be made.
+    /// Creates an empty pool whose connections must be established within `connect_timeout`.
     pub(crate) fn new(connect_timeout: Duration) -> Self {
         Self {
             connect_timeout,
@@ -62,8 +63,8 @@
         }
     }
 
-    /// An idle connection to `server`, the one used last. `avoid_stale` leaves out
-    /// those that the server might be closing at this moment.
+    /// Takes the most recently used idle connection to `server`. With `avoid_stale`, connections
+    /// past half of their keep-alive time are skipped, since the server may be closing them.
     pub(crate) fn take(&self, server: &str, avoid_stale: bool) -> Option<ConnectionLease> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(server)?;
@@ -89,7 +90,7 @@
     /// Opens a connection to `server` at `address`.
     ///
     /// # Errors
-    /// The reason, where none can be had; nothing was sent then.
+    /// Returns the reason if the connection can't be established. Nothing was sent in that case.
     pub(crate) async fn open(
         &self,
         server: &str,
@@ -100,13 +101,13 @@
         let stream = match timeout(time_left.min(self.connect_timeout), connecting).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => return Err(error.to_string()),
-            Err(_) => return Err("no connection in time".to_owned()),
+            Err(_) => return Err("connect timed out".to_owned()),
         };
         let _ = stream.set_nodelay(true);
         if let Err(error) =
             SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
         {
-            log::debug!(error:%; "no bound on unacknowledged bytes");
+            log::debug!(error:%; "failed to set TCP_USER_TIMEOUT");
         }
         let (sender, connection) = Builder::new()
             .handshake(TokioIo::new(stream))
@@ -114,7 +115,7 @@
             .map_err(|error| error.to_string())?;
         let task = tokio::task::spawn_local(async move {
             if let Err(error) = connection.await {
-                log::debug!(error:%; "server connection ended");
+                log::debug!(error:%; "connection to a server failed");
             }
         });
         Ok(ConnectionLease {
@@ -125,7 +126,7 @@
         })
     }
 
-    /// Keeps `lease` for later, for as long as its answer's `headers` allow.
+    /// Returns `lease` to the pool for as long as the `headers` of its response allow.
     pub(crate) fn release(&self, mut lease: ConnectionLease, headers: &HeaderMap) {
         let Some(keep_alive) = parse_keep_alive(headers) else {
             return;
@@ -148,7 +149,7 @@
         self.idle.borrow_mut().remove(server);
     }
 
-    /// Closes connections that can't be used any more.
+    /// Removes connections that can't be reused any more.
     pub(crate) fn prune(&self) {
         let mut idle = self.idle.borrow_mut();
         for connections in idle.values_mut() {
@@ -162,7 +163,7 @@
 }
 
 impl ConnectionLease {
-    /// The sending half.
+    /// Returns the half that sends requests.
     pub(crate) fn sender(&mut self) -> Option<&mut SendRequest<RequestBody>> {
         self.sender.as_mut()
     }
@@ -176,13 +177,13 @@
 
 impl Drop for ConnectionLease {
     fn drop(&mut self) {
-        // Ends the connection at once, so that the server stops its work.
+        // Closes the connection immediately, so that the server cancels the request.
         self.task.abort();
     }
 }
 
-/// How long a connection stays usable after an answer with `headers`; `None`
-/// where the server closes it.
+/// Returns how long a connection can be reused after a response with `headers`; `None` if the
+/// server closes it.
 fn parse_keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let closing = headers
         .get_all(CONNECTION)
--- a/bin/lh-entry/src/problem.rs
+++ b/bin/lh-entry/src/problem.rs
@@ -1,5 +1,5 @@
-//! The entry's own answers: what became of the request, why, and when to come back.
-//! On the own interface they carry a problem document (RFC 9457).
+//! Responses by the entry itself: the outcome of the request, the reason, and when to retry. On
+//! the product's own interface they contain a problem document (RFC 9457).
 
 use base::outcome::OUTCOME_HEADER;
 use base::prelude::*;
@@ -12,10 +12,10 @@
 use crate::body::ResponseBody;
 use crate::caller::{Caller, Interface};
 
-/// Header with the time to come back in milliseconds, finer than `Retry-After`.
+/// Header with the retry time in milliseconds, for which `Retry-After` is too coarse.
 const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("laurelhill-retry-after-ms");
 
-/// Why a request gets no answer from a backend server.
+/// The reason why a request gets its response from the entry instead of a backend server.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Problem {
     pub(crate) status: StatusCode,
@@ -27,7 +27,7 @@
 }
 
 impl Problem {
-    /// A problem of a request that was not run.
+    /// Creates the problem of a request that did not run.
     pub(crate) fn new(status: StatusCode, kind: &'static str, detail: &str) -> Self {
         Self {
             status,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The kept answer of a request that was run before, given again.
+    /// Creates a response that repeats the stored answer of an earlier run.
     pub(crate) fn replay(answer: StoredAnswer) -> Self {
         let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
         let mut problem = Self::new(status, "replay", "").with_outcome(Outcome::Done);
@@ -47,21 +47,21 @@
         problem
     }
 
-    /// States another outcome.
+    /// Sets the outcome.
     #[must_use]
     pub(crate) fn with_outcome(mut self, outcome: Outcome) -> Self {
         self.outcome = outcome;
         self
     }
 
-    /// States when to come back.
+    /// Sets the time after which the caller may retry.
     #[must_use]
     pub(crate) fn with_retry_after(mut self, retry_after: Duration) -> Self {
         self.retry_after = Some(retry_after);
         self
     }
 
-    /// The answer to `caller`.
+    /// Builds the response to `caller`.
     pub(crate) fn into_response(self, caller: &Caller) -> Response<ResponseBody> {
         let mut response = match (self.replay, caller.interface) {
             (Some(answer), _) => replay_response(*answer),
@@ -95,7 +95,7 @@
     }
 }
 
-/// States what became of the request that `response` answers.
+/// Sets the header of `response` that states the outcome of its request.
 pub(crate) fn set_outcome(response: &mut Response<ResponseBody>, outcome: Outcome) {
     let value = HeaderValue::from_static(outcome.as_str());
     let name = HeaderName::from_static(OUTCOME_HEADER);
--- a/bin/lh-entry/src/quarantine.rs
+++ b/bin/lh-entry/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! The store's rows of requests in quarantine: what must outlive all entries.
+//! Stores requests in quarantine as rows, so that they survive a restart of all entries.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use crate::state::InstanceState;
 use crate::watch::PATIENCE;
 
-/// What `rows` say of requests in quarantine.
+/// Parses the quarantines in `rows`, and skips rows of other kinds or that are invalid.
 pub(crate) fn parse_rows(rows: &[&Row]) -> Vec<StoredQuarantine> {
     let mut quarantines = Vec::new();
     for row in rows {
@@ -22,7 +22,7 @@
             RequestFingerprint::parse(&row.print).map(|fingerprint| (fingerprint, row))
         });
         let Some((fingerprint, QuarantineRow { age, lifted, .. })) = parsed else {
-            log::warn!(key = row.key.as_str(); "row of a request in quarantine left out");
+            log::warn!(key = row.key.as_str(); "invalid quarantine row ignored");
             continue;
         };
         quarantines.push(StoredQuarantine {
@@ -34,7 +34,7 @@
     quarantines
 }
 
-/// Writes a row for each of `quarantines`, which began so long ago.
+/// Writes a row for each of `quarantines`, given with its age.
 pub(crate) async fn write_rows(
     state: Rc<InstanceState>,
     quarantines: Vec<(RequestFingerprint, Duration)>,
@@ -59,7 +59,7 @@
     let error = result.as_ref().err().map(store::Error::kind);
     state.metrics.on_store_call("quarantine", error);
     if let Err(error) = result {
-        // The next look at the rows finds what is missing or over.
-        log::info!(error:%; "rows of requests in quarantine not written");
+        // The next read of the rows finds what is missing or left over.
+        log::info!(error:%; "failed to write quarantine rows");
     }
 }
--- a/bin/lh-entry/src/record.rs
+++ b/bin/lh-entry/src/record.rs
@@ -1,4 +1,4 @@
-//! The story of one request, told in one log line when it ends.
+//! Collects what happens to a request, and logs it as one line when the request ends.
 
 use std::fmt::Write as _;
 use std::rc::Rc;
@@ -15,40 +15,40 @@
 use crate::problem::Problem;
 use crate::state::InstanceState;
 
-/// What is known of a request, until it is answered or its caller has left.
+/// The log record of a request. If it is dropped unfinished, the caller has disconnected.
 #[derive(Debug)]
 pub(crate) struct RequestRecord {
     state: Rc<InstanceState>,
     pub(crate) started_at: Instant,
     pub(crate) id: String,
     pub(crate) route: Option<Rc<RouteSpec>>,
-    /// The team whose request it is.
+    /// The team that sent the request.
     pub(crate) team: Option<Rc<TeamSpec>>,
     pub(crate) returning: bool,
-    /// The request's print, where it was needed.
+    /// The request's fingerprint, if it was needed.
     pub(crate) fingerprint: Option<RequestFingerprint>,
     attempts: String,
     attempt_count: u32,
     refusal: Option<Refusal>,
-    /// When the caller is asked to come back.
+    /// Time after which the caller is asked to retry.
     retry_after: Duration,
-    /// Why the entry answered itself, where no server refused.
+    /// Why the entry responded itself, unless placement refused the request.
     reason: &'static str,
     finished: bool,
 }
 
-/// How a request ended, as callers see it.
+/// The outcome of a request as seen by its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RequestOutcome {
-    /// A server's answer was passed on.
+    /// The response of a server was forwarded.
     Answered,
-    /// It has not run and never will.
+    /// The request did not and will not run.
     NotRun,
-    /// It was not proper or not allowed.
+    /// The request was invalid or not allowed.
     Rejected,
-    /// It may have run; nobody knows.
+    /// The request may have run.
     Unknown,
-    /// The caller left.
+    /// The caller disconnected.
     CallerLeft,
 }
 
@@ -65,7 +65,7 @@
 }
 
 impl RequestRecord {
-    /// The record of a request that has just been read.
+    /// Creates the record of a request whose headers have just arrived.
     pub(crate) fn new(state: &Rc<InstanceState>, id: &str) -> Self {
         Self {
             state: Rc::clone(state),
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Notes where the request is sent, and why there.
+    /// Records the server that was chosen, and why.
     pub(crate) fn on_placed(&mut self, placement: &Placement) {
         self.attempt_count += 1;
         let reason = &placement.reason;
@@ -110,7 +110,7 @@
         );
     }
 
-    /// Notes that the newest attempt leaves for its server, where it was held up.
+    /// Records that the latest attempt was sent, if it had to wait for a connection.
     pub(crate) fn on_sent(&mut self, wait_time: Duration) {
         let wait_time = wait_time.as_millis();
         if wait_time > 0 {
@@ -118,19 +118,19 @@
         }
     }
 
-    /// Milliseconds since the newest reading of the registry; -1 before the first.
+    /// Returns the age of the latest registry snapshot in milliseconds; -1 if there is none.
     fn registry_age(&self) -> i64 {
         let read_at = self.state.placer.borrow().catalog.read_at();
         read_at.map_or(-1, |at| at.elapsed().as_millis() as i64)
     }
 
-    /// Notes what came of the newest attempt.
+    /// Records the result of the latest attempt.
     pub(crate) fn on_attempt_result(&mut self, result: &str) {
         let at = self.started_at.elapsed().as_millis();
         let _ = write!(self.attempts, " -> {result} at {at}ms");
     }
 
-    /// Notes the server's answer and the load that it reported with it.
+    /// Records the status of a server's response and the load that the server reported with it.
     pub(crate) fn on_response(&mut self, status: StatusCode, report: Option<&ServerReport>) {
         let load = report.map_or(String::new(), |report| {
             format!(
@@ -141,13 +141,13 @@
         self.on_attempt_result(&format!("status {}{load}", status.as_u16()));
     }
 
-    /// Notes that no server should get the request.
+    /// Records that placement refused the request.
     pub(crate) fn on_refused(&mut self, refusal: Refusal) {
         self.refusal = Some(refusal);
         self.retry_after = refusal.retry_after;
     }
 
-    /// Ends the record with an answer of the entry's own.
+    /// Finishes the record with a response by this entry.
     pub(crate) fn finish_with_problem(&mut self, problem: &Problem) {
         if self.refusal.is_none() {
             self.reason = problem.kind;
@@ -162,7 +162,7 @@
         self.finish(outcome, problem.status.as_u16());
     }
 
-    /// Ends the record with the answer of the entry that its ticket names.
+    /// Finishes the record with the response of the entry that the ticket names.
     pub(crate) fn finish_forwarded(&mut self, outcome: Outcome, status: u16) {
         self.reason = "passed-on";
         let outcome = match outcome {
@@ -173,7 +173,8 @@
         self.finish(outcome, status);
     }
 
-    /// Ends the record with `outcome` and the `status` that the caller gets.
+    /// Finishes the record with `outcome` and the `status` sent to the caller, and logs it. Calls
+    /// after the first are ignored.
     pub(crate) fn finish(&mut self, outcome: RequestOutcome, status: u16) {
         if self.finished {
             return;
@@ -244,7 +245,7 @@
 }
 
 impl RequestRecord {
-    /// What a team asked for that hasn't run here doesn't count against it.
+    /// Refunds the team's quota if the request did not run here.
     fn refund_quota(&self, outcome: RequestOutcome) {
         let has_run = outcome != RequestOutcome::NotRun && self.attempt_count > 0;
         if let Some(team) = self.team.as_ref().filter(|_| !has_run) {
--- a/bin/lh-entry/src/reply.rs
+++ b/bin/lh-entry/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: whether a server's may be passed on, and the entry's own.
+//! Validates responses of backend servers, and builds the entry's own responses to callers.
 
 use std::time::Duration;
 
@@ -15,10 +15,10 @@
 use crate::problem::Problem;
 use crate::record::RequestRecord;
 
-/// Answers up to this size are read before they are passed on, so that one
-/// that breaks off can be asked for again, in bytes.
+/// Maximum size of a response that is read completely before it is forwarded, in bytes. If the
+/// connection fails before that, the request can be retried.
 const MAX_BUFFERED_RESPONSE_BYTES: usize = 256 << 10;
-/// Headers that concern one connection only.
+/// Headers that apply to a single connection only.
 const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -31,7 +31,7 @@
     header::EXPECT,
 ];
 
-/// Reads an answer whole, or its beginning if it is long.
+/// Reads a response body completely, or only its start and the rest as a stream if it is large.
 pub(crate) async fn read_response(
     mut body: Incoming,
 ) -> Result<(Bytes, Option<Incoming>), hyper::Error> {
@@ -47,8 +47,8 @@
     Ok((bytes.freeze(), None))
 }
 
-/// Whether the answer may be passed on as the server's own. A refusal without
-/// the server's word that nothing ran would be a false promise.
+/// Returns whether the response may be forwarded to the caller. A status that callers read as
+/// "not run" is not forwarded unless the server states that the request did not run.
 pub(crate) fn is_valid_response(
     status: StatusCode,
     headers: &HeaderMap,
@@ -65,12 +65,12 @@
     )
 }
 
-/// Whether the header concerns one connection only.
+/// Returns whether the header applies to a single connection.
 pub(crate) fn is_hop_by_hop(name: &HeaderName) -> bool {
     HOP_BY_HOP_HEADERS.contains(name)
 }
 
-/// Drops the headers that concern one connection only.
+/// Removes the headers that apply to a single connection.
 pub(crate) fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named_headers: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -87,7 +87,7 @@
     }
 }
 
-/// The answer to a request that has not run and never will; come back later.
+/// Responds to a request that did not and will not run, and may be retried after `retry_after`.
 pub(crate) fn respond_unavailable(
     record: &mut RequestRecord,
     caller: &Caller,
@@ -102,7 +102,7 @@
     )
 }
 
-/// The answer to a request that is not proper or not allowed.
+/// Responds to a request that is invalid or not allowed.
 pub(crate) fn respond_rejected(
     record: &mut RequestRecord,
     caller: &Caller,
@@ -117,7 +117,7 @@
     respond(record, caller, Problem::new(status, kind, detail))
 }
 
-/// The answer to a request that may have run.
+/// Responds to a request that may have run.
 pub(crate) fn respond_unknown(
     record: &mut RequestRecord,
     caller: &Caller,
@@ -137,7 +137,7 @@
     problem.into_response(caller)
 }
 
-/// What broke, with the cause below it.
+/// Describes a connection error and its cause.
 pub(crate) fn describe_error(error: &hyper::Error) -> String {
     match std::error::Error::source(error) {
         Some(cause) => format!("broke: {error}: {cause}"),
--- a/bin/lh-entry/src/suspension.rs
+++ b/bin/lh-entry/src/suspension.rs
@@ -1,22 +1,22 @@
-//! Notices that the machine stood still: the steady clock doesn't count that time, another
-//! one does.
+//! Detects that the machine was suspended. `CLOCK_BOOTTIME` counts the time of a suspension,
+//! `CLOCK_MONOTONIC` does not.
 
 use std::time::Duration;
 
 use rustix::time::{ClockId, Timespec, clock_gettime};
 
-/// Differences below this are readings that were interrupted.
+/// Smaller differences are caused by an interruption between the readings of the two clocks.
 const MIN_SUSPENSION: Duration = Duration::from_millis(20);
 
-/// Compares the two clocks.
+/// Detects suspensions by comparing the two clocks.
 #[derive(Debug, Default)]
 pub(crate) struct SuspensionDetector {
-    /// What the second clock was ahead of the first when last something was noticed.
+    /// Offset between the clocks at the first call or the last detected suspension.
     clock_offset: Option<Duration>,
 }
 
 impl SuspensionDetector {
-    /// How long the machine stood still since the last call; `None` where it didn't.
+    /// Returns how long the machine was suspended since the last call, if it was.
     pub(crate) fn detect(&mut self) -> Option<Duration> {
         let clock_offset = clock_offset();
         let last_offset = *self.clock_offset.get_or_insert(clock_offset);
@@ -29,7 +29,7 @@
     }
 }
 
-/// What the clock that goes on is ahead of the steady one, at least.
+/// Returns a lower bound of how far `CLOCK_BOOTTIME` is ahead of `CLOCK_MONOTONIC`.
 fn clock_offset() -> Duration {
     let boottime = to_duration(clock_gettime(ClockId::Boottime));
     let monotonic = to_duration(clock_gettime(ClockId::Monotonic));
--- a/bin/lh-entry/src/ticket.rs
+++ b/bin/lh-entry/src/ticket.rs
@@ -1,4 +1,4 @@
-//! Requests under tickets: which may run here, and what repeats of them are told.
+//! At-most-once requests: checks their tickets and responds to repeats.
 
 use std::cell::RefCell;
 use std::collections::hash_map::DefaultHasher;
@@ -14,16 +14,16 @@
 use crate::caller::TicketHeaders;
 use crate::problem::Problem;
 
-/// How long a stamp is good beyond the life of the look-ups' answers that carry it: a
-/// caller may go on using a ticket for about as long.
+/// Lifetime of a stamp, which exceeds that of the look-up answers that contain it. A caller may
+/// use a ticket for about this long.
 const STAMP_LIFETIME: Duration = Duration::from_secs(60);
-/// Time between two stamps: well within their life.
+/// Interval at which a new stamp is made, well below the lifetime of a stamp.
 const STAMP_REFRESH_INTERVAL: Duration = Duration::from_secs(5);
-/// When a caller comes back to a request that is still running, or to an entry that
-/// remembers too many.
+/// Retry time for a repeat of a request that is still running, and for a request that does not fit
+/// into the table.
 const REPEAT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The records of this run of the entry.
+/// The tickets and records of at-most-once requests of this run of the entry.
 #[derive(Debug)]
 pub(crate) struct TicketTable {
     table: RefCell<OnceTable>,
@@ -32,7 +32,7 @@
 }
 
 impl TicketTable {
-    /// A desk of the run `node` that remembers `capacity` requests.
+    /// Creates the table of the run `node` with at most `capacity` records.
     pub(crate) fn new(node: &NodeId, capacity: usize) -> Self {
         Self {
             table: RefCell::new(OnceTable::new(capacity)),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The stamp that tickets for this run are made of now.
+    /// Returns the current stamp, from which tickets for this run are made.
     pub(crate) fn stamp(&self, now: Instant) -> String {
         let mut stamp = self.stamp.borrow_mut();
         let fresh = stamp
@@ -55,11 +55,11 @@
             .map_or(String::new(), |(_, text)| text.clone())
     }
 
-    /// Whether the ticket is one of this run's that may still be used: the key of its
-    /// request, which is `owner`'s, and when the ticket ends.
+    /// Checks that the ticket was issued by this run and is still valid. Returns the key of the
+    /// request, which belongs to `owner`, and the time at which the ticket expires.
     ///
     /// # Errors
-    /// The answer, where it may not.
+    /// Returns the problem to respond with if the ticket is forged or has expired.
     pub(crate) fn check(
         &self,
         now: Instant,
@@ -88,10 +88,10 @@
         }
     }
 
-    /// Records that a request is about to run.
+    /// Records a request that is about to run.
     ///
     /// # Errors
-    /// The answer, where it may not run.
+    /// Returns the problem to respond with if the request must not run.
     pub(crate) fn begin(
         &self,
         now: Instant,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Records what became of a request that was begun.
+    /// Records the outcome of a request that has been started.
     pub(crate) fn finish(
         &self,
         key: &OnceKey,
@@ -136,7 +136,7 @@
     }
 }
 
-/// A request without a ticket where one is needed.
+/// The problem of a request without a ticket on a route that requires one.
 pub(crate) fn ticket_required() -> Problem {
     Problem::new(
         StatusCode::PRECONDITION_REQUIRED,
@@ -145,8 +145,8 @@
     )
 }
 
-/// The run that a ticket is bound to is gone. Only the caller can know whether an
-/// earlier copy of the request reached it.
+/// The problem of a request whose ticket is bound to a run that no longer exists. Only the caller
+/// can know whether an earlier copy of the request reached that run.
 pub(crate) fn stale_ticket(first_attempt: bool) -> Problem {
     if first_attempt {
         return Problem::new(
@@ -158,7 +158,7 @@
     unknown("the instance that the ticket is bound to can't be reached")
 }
 
-/// What may have run.
+/// The problem of a request that may have run.
 pub(crate) fn unknown(detail: &str) -> Problem {
     Problem::new(StatusCode::CONFLICT, "outcome-unknown", detail).with_outcome(Outcome::Unknown)
 }
@@ -168,7 +168,7 @@
     Problem::new(StatusCode::GONE, "ticket-expired", detail)
 }
 
-/// The answer to a repeated request, from the record of the first one.
+/// Builds the response to a repeated request from the record of the first one.
 fn repeat_problem(state: OnceState) -> Problem {
     match state {
         OnceState::Running => unknown("the request is still being worked on; ask again")
@@ -189,7 +189,7 @@
     }
 }
 
-/// Tells one request from another that comes under the same number.
+/// Computes a hash that tells apart different requests under the same number.
 pub(crate) fn ticket_fingerprint(
     method: &Method,
     target: &hyper::Uri,
--- a/bin/lh-entry/src/ticket_forward.rs
+++ b/bin/lh-entry/src/ticket_forward.rs
@@ -1,7 +1,7 @@
-//! Passes a request to the run of another entry that its ticket names.
+//! Forwards a request to the entry whose run issued its ticket.
 //!
-//! The caller's key goes with it, since that entry has to see for itself whose request it
-//! is: entries share no secret by which one could vouch to another.
+//! The caller's key is forwarded too, because that entry must authenticate the caller itself:
+//! entries share no secret by which one could vouch for a caller to another.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -22,7 +22,7 @@
 use crate::state::InstanceState;
 use crate::ticket::{stale_ticket, unknown};
 
-/// Passes the request on, until `deadline_at`.
+/// Forwards the request, and returns the response for the caller by `deadline_at`.
 pub(crate) async fn forward(
     state: &Rc<InstanceState>,
     mut record: RequestRecord,
@@ -72,7 +72,9 @@
     let time_left = deadline_at.saturating_duration_since(Instant::now());
     let connecting = state.pool.open(node.instance.as_str(), address, time_left);
     let mut lease = connecting.await.map_err(|reason| {
-        record.on_attempt_result(&format!("ticket's entry not reached: {reason}"));
+        record.on_attempt_result(&format!(
+            "failed to connect to the ticket's entry: {reason}"
+        ));
         stale_ticket_problem()
     })?;
     let limit = state.limits.get().body_bytes;
