--- a/bin/lh-entry/src/accept.rs
+++ b/bin/lh-entry/src/accept.rs
@@ -52,7 +52,7 @@
             Ok((stream, _)) if state.metrics.connections.get() < most => {
                 tokio::task::spawn_local(serve_connection(Rc::clone(&state), stream));
             }
-            Ok(_) => log::warn!(most; "connection limit reached; closing a new connection"),
+            Ok(_) => log::warn!(most; "too many connections; one closed"),
             Err(error) => {
                 log::warn!(error:%; "failed to accept a connection; retrying");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
--- a/bin/lh-entry/src/job.rs
+++ b/bin/lh-entry/src/job.rs
@@ -251,8 +251,7 @@
         let response = match timeout_at(self.deadline_at.into(), sending).await {
             Err(_) => {
                 guard.finish(ServerOutcome::OutOfTime, None);
-                self.record
-                    .on_attempt_result("no response before the deadline");
+                self.record.on_attempt_result("no answer in time");
                 return AttemptResult::OutOfTime;
             }
             Ok(Err(error)) => {
@@ -299,7 +298,7 @@
         let head = headers::parse_server(parts.status, &parts.headers);
         if !self.matches_request(&head, &lease) {
             guard.finish(ServerOutcome::Broken, None);
-            self.record.on_attempt_result("response to another request");
+            self.record.on_attempt_result("answer to another request");
             return AttemptResult::Broken;
         }
         if head.not_executed {
@@ -315,14 +314,13 @@
         if !is_valid_response(parts.status, &parts.headers, &head) {
             guard.finish(ServerOutcome::Broken, None);
             self.record
-                .on_attempt_result(&format!("invalid response ({})", parts.status.as_u16()));
+                .on_attempt_result(&format!("invalid answer ({})", parts.status.as_u16()));
             return AttemptResult::Broken;
         }
         let (bytes, rest) = match timeout_at(self.deadline_at.into(), read_response(body)).await {
             Err(_) => {
                 guard.finish(ServerOutcome::OutOfTime, None);
-                self.record
-                    .on_attempt_result("response incomplete at the deadline");
+                self.record.on_attempt_result("answer not complete in time");
                 return AttemptResult::OutOfTime;
             }
             Ok(Err(error)) => {
