--- a/bin/lh-entry/src/admission.rs
+++ b/bin/lh-entry/src/admission.rs
@@ -65,21 +65,21 @@
     }
 }
 
-/// Admits a request on `route` that presents `key_claim`, and returns its policy.
+/// Admits a request on `route` that presents `claim`, and returns its policy.
 ///
 /// # Errors
 /// Returns the problem to respond with if the request is denied or over its quota.
 pub(crate) fn admit(
     state: &InstanceState,
     route: &RouteSpec,
-    key_claim: KeyClaim,
+    claim: KeyClaim,
 ) -> Result<RequestPolicy, Problem> {
     let teams = Rc::clone(&state.teams.borrow());
     let access = state.config.access;
-    let team = match access.decide(&teams, key_claim, route.is_public, state.knowledge_age()) {
+    let team = match access.decide(&teams, claim, route.is_public, state.knowledge_age()) {
         Access::Open => None,
         Access::Team(team) => Some(team),
-        Access::Denied => return Err(unauthorized(key_claim)),
+        Access::Denied => return Err(unauthorized(claim)),
         Access::Unsure => return Err(stale_keys("key-unheard")),
         Access::Stale => return Err(stale_keys("keys-stale")),
     };
@@ -108,8 +108,8 @@
     })
 }
 
-fn unauthorized(key_claim: KeyClaim) -> Problem {
-    let (kind, detail) = match key_claim {
+fn unauthorized(claim: KeyClaim) -> Problem {
+    let (kind, detail) = match claim {
         KeyClaim::None => ("key-missing", "this service asks for a key"),
         KeyClaim::Malformed => ("key-malformed", "the key can't be read"),
         KeyClaim::Key(_) => ("key-unknown", "no team holds this key"),
--- a/bin/lh-entry/src/fingerprint.rs
+++ b/bin/lh-entry/src/fingerprint.rs
@@ -33,10 +33,10 @@
 ) -> RequestFingerprint {
     let mut hasher = Sha256::new();
     // A request of one team must not put that of another team into quarantine.
-    update_prefixed(&mut hasher, team.as_bytes());
-    update_prefixed(&mut hasher, method.as_str().as_bytes());
+    add(&mut hasher, team.as_bytes());
+    add(&mut hasher, method.as_str().as_bytes());
     let target = target.path_and_query();
-    update_prefixed(
+    add(
         &mut hasher,
         target.map_or("/", |target| target.as_str()).as_bytes(),
     );
@@ -48,19 +48,19 @@
     // A proxy in between may reorder the headers.
     hashed_headers.sort_unstable();
     for (name, value) in hashed_headers {
-        update_prefixed(&mut hasher, name.as_bytes());
-        update_prefixed(&mut hasher, value);
+        add(&mut hasher, name.as_bytes());
+        add(&mut hasher, value);
     }
-    update_prefixed(&mut hasher, &body[..body.len().min(MAX_HASHED_BODY_BYTES)]);
+    add(&mut hasher, &body[..body.len().min(MAX_HASHED_BODY_BYTES)]);
     let digest = hasher.finalize();
-    let mut truncated = [0; 16];
-    truncated.copy_from_slice(&digest[..16]);
-    RequestFingerprint(u128::from_be_bytes(truncated))
+    let mut half = [0; 16];
+    half.copy_from_slice(&digest[..16]);
+    RequestFingerprint(u128::from_be_bytes(half))
 }
 
 /// Hashes the length of a part and the part itself, so that different lists of parts never
 /// concatenate to the same input.
-fn update_prefixed(hasher: &mut Sha256, part: &[u8]) {
+fn add(hasher: &mut Sha256, part: &[u8]) {
     hasher.update((part.len() as u64).to_be_bytes());
     hasher.update(part);
 }
--- a/bin/lh-entry/src/job.rs
+++ b/bin/lh-entry/src/job.rs
@@ -314,7 +314,7 @@
         if !is_valid_response(parts.status, &parts.headers, &head) {
             guard.finish(ServerOutcome::Broken, None);
             self.record
-                .on_attempt_result(&format!("invalid answer ({})", parts.status.as_u16()));
+                .on_attempt_result(&format!("unsound answer ({})", parts.status.as_u16()));
             return AttemptResult::Broken;
         }
         let (bytes, rest) = match timeout_at(self.deadline_at.into(), read_response(body)).await {
