--- a/bin/lh-entry/tests/crashes.rs
+++ b/bin/lh-entry/tests/crashes.rs
@@ -1,10 +1,10 @@
-//! Servers of one service ended one after the other, fifteen of them within five seconds,
-//! and again half a minute later. At each of them the same request was at work: its callers
-//! sent it again to any entry, and each entry took each arrival for a new one, sent it to a
-//! second server when the first broke off, and told nobody. What one entry had seen was
-//! forgotten with the answer. Requests that were caught beside it were answered by other
-//! servers, so that nothing but the cause was at every end. Lines of different entries that
-//! name the same request settled it:
+//! A request that crashes every server that runs it must not take down a whole service.
+//!
+//! Without a quarantine, callers retry such a request at any entry, and each entry treats it as
+//! new and retries it on a second server: it once crashed fifteen servers within five seconds, and
+//! again half a minute later. Other requests in flight at the crashes succeed on other servers, so
+//! that only the cause is present at every crash. The log lines of different entries then name the
+//! same request:
 //!
 //! ```text
 //! n0 server ended under requests, server i-0, prints ab9c5761c91e
@@ -21,20 +21,20 @@
 use tokio::net::TcpStream;
 use world::{BOARD, DESK, EntryProcess, World, exchange, request_for, until};
 
-/// Path of the request that ends the servers that run it.
+/// Path of the request that crashes every server that runs it.
 const FATAL: &str = "/board/fatal";
-/// In the path of each request that ends servers.
-const FATAL_PREFIX: &str = "/fatal";
-/// Servers that it may end before it must be known everywhere.
+/// Part of the path by which the servers recognize a request that crashes them.
+const FATAL_PATH_PART: &str = "/fatal";
+/// Number of servers that the request may crash before all entries must know of it.
 const ALLOWED_CRASHES: usize = 3;
-/// Time from the third end until all entries must know of it, in which the request comes on.
+/// Time after the third crash by which all entries must know of the request, which keeps arriving.
 const PROPAGATION_TIME: Duration = Duration::from_secs(4);
-/// Sends allowed after that, over all entries.
+/// Maximum number of times that all entries together may forward the request after that.
 const MAX_LATE_SENDS: usize = 3;
-/// Pause between two arrivals of the request.
+/// Interval between two arrivals of the request.
 const ARRIVAL_INTERVAL: Duration = Duration::from_millis(150);
 
-/// A service whose servers come back with a new name after they have ended.
+/// A service whose crashed servers are replaced by new ones.
 struct CrashingService {
     world: World,
     started: usize,
@@ -50,12 +50,12 @@
         service
     }
 
-    /// Starts a new server for each one that has ended.
+    /// Starts a new server for each one that has crashed.
     async fn replace_crashed(&mut self) {
         let running = |backend: &&FakeBackend| !backend.has_ended();
         for _ in self.world.backends.iter().filter(running).count()..8 {
             let backend = FakeBackend::start(&format!("i-{}", self.started)).await;
-            backend.set_fatal(FATAL_PREFIX);
+            backend.set_fatal(FATAL_PATH_PART);
             backend.set_behavior(Behavior::Run(Duration::from_millis(20)));
             let mut entry = server_entry(BOARD.service, backend.address(), "ready", 1);
             let zone = if self.started.is_multiple_of(2) {
@@ -80,14 +80,14 @@
         self.world.backends.iter().filter(crashed).count()
     }
 
-    /// How often the request reached a server.
+    /// Returns how often the request was forwarded to a server.
     fn forwarded_count(&self) -> usize {
         let seen = self.world.backends.iter().flat_map(FakeBackend::seen);
         seen.filter(|request| request.line.contains(FATAL)).count()
     }
 }
 
-/// Lets the request end servers until `entry` refuses it.
+/// Lets the request crash servers until `entry` refuses it.
 async fn crash_until_quarantined(service: &mut CrashingService, entry: &EntryProcess) {
     for arrival in 0.. {
         if send(entry, "fatal", FATAL, &format!("f{arrival}")).await == 503
@@ -95,13 +95,13 @@
         {
             return;
         }
-        assert!(arrival < 100, "it is never refused");
+        assert!(arrival < 100, "the request is never refused");
         service.replace_crashed().await;
         tokio::time::sleep(ARRIVAL_INTERVAL).await;
     }
 }
 
-/// The requests in quarantine, as the entry shows them.
+/// Returns the requests in quarantine from the status of the entry.
 async fn quarantined(entry: &EntryProcess) -> String {
     let document = entry.document("/v1/status").await;
     let prints = document["quarantined"].as_array().cloned();
@@ -116,8 +116,8 @@
     answer.expect("an answer").status
 }
 
-/// Promise: a request that has ended three servers reaches hardly any more, at whichever
-/// entry it comes again, and nobody else is refused for it.
+/// A request that has crashed three servers reaches almost no further server, whichever entry
+/// receives it, and no other request is refused.
 #[tokio::test]
 async fn a_request_that_crashes_servers_is_quarantined_after_three() {
     let mut service = CrashingService::new().await;
@@ -169,13 +169,13 @@
     let late = service.forwarded_count() - before;
     assert!(
         late <= MAX_LATE_SENDS,
-        "{late} sends after {before}, {} ended",
+        "forwarded {late} times after {before}, {} servers crashed",
         service.crashed()
     );
     for (index, entry) in entries.iter().enumerate() {
         for object in 0..5 {
             let path = format!("/board/{object}");
-            until("everybody else is served", async || {
+            until("other requests are served", async || {
                 send(entry, "other", &path, &format!("after-{index}-{object}")).await == 200
             })
             .await;
@@ -183,8 +183,8 @@
     }
 }
 
-/// Promise: the refusal says that it has not run and when to come back, and shows in the
-/// entry's line, its metrics and its status.
+/// The refusal says that the request did not run and when to retry, and is visible in the log, the
+/// metrics and the status of the entry.
 #[tokio::test]
 async fn a_quarantined_request_gets_a_reason_and_a_retry_time() {
     let mut service = CrashingService::new().await;
@@ -192,7 +192,7 @@
     crash_until_quarantined(&mut service, &entry).await;
     let forwarded_count = service.forwarded_count();
     let other = send(&entry, "other", FATAL, "other").await;
-    assert_eq!(other, 502, "another object is another request");
+    assert_eq!(other, 502, "the fingerprint must depend on the object");
     let mut sender = entry.connect().await;
     let request = request_for("fatal", "GET", FATAL, "refused", b"");
     let answer = exchange(&mut sender, request).await.unwrap();
@@ -201,9 +201,9 @@
     assert!(seconds > 60.0, "{seconds}");
     assert!(
         service.forwarded_count() > forwarded_count,
-        "only the other one was sent"
+        "the request for the other object must be forwarded"
     );
-    until("it is logged", async || {
+    until("the refusal is logged", async || {
         let lines = entry.logged("\"refused\"");
         lines.iter().any(|line| line.contains("\"quarantined\""))
     })
@@ -219,7 +219,7 @@
     assert!(metrics.contains("laurelhill_refusals_total{reason=\"quarantined\"}"));
 }
 
-/// Sends a body of 2 MB in two pieces, the first of `first` bytes; the status line.
+/// Sends a body of 2 MB in two pieces, the first of `first` bytes, and returns the status line.
 async fn upload(entry: &EntryProcess, id: &str, first: usize) -> String {
     let body = vec![b'x'; 2_000_000];
     let mut stream = TcpStream::connect(entry.callers()).await.unwrap();
@@ -231,15 +231,14 @@
     stream.write_all(head.as_bytes()).await.unwrap();
     stream.write_all(&body[..first]).await.unwrap();
     tokio::time::sleep(Duration::from_millis(30)).await;
-    // A refused one is not read to its end.
+    // The entry doesn't read the whole body of a refused request.
     let _ = stream.write_all(&body[first..]).await;
     let mut line = String::new();
     let _ = BufReader::new(stream).read_line(&mut line).await;
     line
 }
 
-/// Promise: a body that is passed on in pieces, which differ each time, makes no other
-/// request of it.
+/// The fingerprint of a streamed upload doesn't depend on how much of its body arrives first.
 #[tokio::test]
 async fn a_streamed_upload_that_crashes_servers_is_quarantined() {
     let mut service = CrashingService::new().await;
@@ -258,16 +257,16 @@
         service.replace_crashed().await;
         tokio::time::sleep(ARRIVAL_INTERVAL).await;
     }
-    panic!("it is never refused");
+    panic!("the request is never refused");
 }
 
-/// Promise: a request that ends servers is still refused after all entries were lost.
+/// A request that crashes servers is still refused after all entries have been restarted.
 #[tokio::test]
 async fn a_quarantine_survives_the_loss_of_all_entries() {
     let mut service = CrashingService::new().await;
     let entry = EntryProcess::ready(&service.world, "n1").await;
     crash_until_quarantined(&mut service, &entry).await;
-    until("the store keeps it", async || {
+    until("the quarantine is stored", async || {
         let rows = service.world.store.row_versions("laurelhill-entries");
         rows.keys().any(|key| key.starts_with("quarantine/"))
     })
@@ -276,7 +275,7 @@
     service.replace_crashed().await;
     let forwarded_count = service.forwarded_count();
     let entry = EntryProcess::ready(&service.world, "n2").await;
-    until("it is known again", async || {
+    until("the quarantine has been read", async || {
         !quarantined(&entry).await.is_empty()
     })
     .await;
--- a/bin/lh-entry/tests/leaving.rs
+++ b/bin/lh-entry/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! What a request meets whose server begins to leave while it is on its way.
+//! Requests whose server starts to drain or is deleted while they are being forwarded.
 
 mod world;
 
@@ -10,8 +10,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use world::{EntryProcess, World, exchange, request, until};
 
-/// A server that accepts no further connection until it is asked to: the queue of its
-/// connections is full.
+/// A server with a full accept backlog: it accepts no connection until it is told to.
 struct FullBacklogServer {
     listener: TcpListener,
     _backlog_filler: TcpStream,
@@ -37,8 +36,8 @@
         self.listener.local_addr().unwrap()
     }
 
-    /// Accepts the connection that waits, then the next one; what that one brings until it
-    /// ends or something came.
+    /// Accepts the connection that fills the backlog, then the next one. Returns the number of
+    /// bytes that arrive first on that one; 0 if it is closed.
     async fn accept_next(self) -> usize {
         drop(self.listener.accept().await.unwrap());
         let (mut stream, _) = self.listener.accept().await.unwrap();
@@ -47,8 +46,7 @@
     }
 }
 
-/// Promise: a request whose server begins to leave while the connection to it is made goes to
-/// another server.
+/// A request whose server starts to drain while the entry connects to it goes to another server.
 #[tokio::test]
 async fn a_server_that_drains_during_connect_gets_no_request() {
     let world = World::new(0).await;
@@ -80,15 +78,15 @@
     assert_eq!(
         busy.accept_next().await,
         0,
-        "the leaving server was sent something"
+        "the draining server must receive nothing"
     );
     let answer = sent.await.unwrap().expect("an answer");
     assert_eq!(answer.status, 200);
     assert_eq!(backend.runs("held-up"), 1);
 }
 
-/// Promise: a server whose row is dropped gets nothing more, though the store performs an older
-/// heartbeat of it before the entry reads again.
+/// A server whose row was deleted stays gone, even if the store applies an older heartbeat of it
+/// before the entry reads the registry again.
 #[tokio::test]
 async fn an_older_heartbeat_after_deletion_does_not_restore_a_server() {
     let world = World::new(1).await;
--- a/bin/lh-entry/tests/pipelines.rs
+++ b/bin/lh-entry/tests/pipelines.rs
@@ -1,4 +1,4 @@
-//! Callers that send further requests before the first was answered.
+//! HTTP/1.1 pipelining: callers that send further requests before the first response.
 
 mod world;
 
@@ -9,8 +9,8 @@
 use tokio::net::TcpStream;
 use world::{EntryProcess, PATIENCE, World, until};
 
-/// Memory that ten thousand waiting requests may take, in KiB: their bytes wait in the caller's
-/// and the system's buffers, not here.
+/// Maximum memory used for ten thousand pipelined requests, in KiB. Their bytes must stay in the
+/// buffers of the caller and the kernel.
 const MAX_MEMORY_KIB: u64 = 24 << 10;
 
 fn text(path: &str, id: &str) -> String {
@@ -20,7 +20,7 @@
     )
 }
 
-/// The answers on `stream` until it ends or there are `count`: status and id.
+/// Reads status and request id of up to `count` responses, fewer if `stream` ends.
 async fn read_responses(stream: &mut TcpStream, count: usize) -> Vec<(u16, String)> {
     let mut responses = Vec::new();
     let mut buffer = Vec::new();
@@ -32,7 +32,7 @@
             continue;
         }
         let read = tokio::time::timeout(PATIENCE, stream.read(&mut chunk));
-        match read.await.expect("bytes in time") {
+        match read.await.expect("a response before the timeout") {
             Ok(0) | Err(_) => break,
             Ok(length) => buffer.extend_from_slice(&chunk[..length]),
         }
@@ -40,7 +40,7 @@
     responses
 }
 
-/// The first whole answer in `buffer` and its length.
+/// Parses the first complete response in `buffer`, and returns its length too.
 fn parse_first_response(buffer: &[u8]) -> Option<((u16, String), usize)> {
     let end = buffer.windows(4).position(|bytes| bytes == b"\r\n\r\n")? + 4;
     let head = String::from_utf8_lossy(&buffer[..end]).to_lowercase();
@@ -61,8 +61,8 @@
     TcpStream::connect(entry.callers()).await.unwrap()
 }
 
-/// Promise: answers come in the order of the requests, though the first takes longest and one
-/// in the middle is turned away.
+/// Responses are sent in the order of the requests, even if the first request takes longest and one
+/// in the middle is rejected.
 #[tokio::test(flavor = "multi_thread")]
 async fn pipelined_responses_come_in_order() {
     let world = World::new(3).await;
@@ -81,7 +81,7 @@
         bytes.push_str(&text(path, &format!("p{number}")));
     }
     stream.write_all(bytes.as_bytes()).await.unwrap();
-    until("the first is at work", async || world.runs("p0") == 1).await;
+    until("the first request runs", async || world.runs("p0") == 1).await;
     for backend in &world.backends {
         backend.set_behavior(Behavior::Run(Duration::ZERO));
     }
@@ -95,8 +95,8 @@
     }
 }
 
-/// Promise: requests behind an answer that closes the connection weren't read: no server ran
-/// them, and the caller can tell from the closed connection.
+/// Pipelined requests after a response that closes the connection are not read: no server runs
+/// them, and the caller sees that the connection was closed.
 #[tokio::test(flavor = "multi_thread")]
 async fn pipelined_requests_after_a_close_do_not_run() {
     let world = World::new(2).await;
@@ -109,10 +109,13 @@
         .map(|number| text("/board/x", &format!("s{number}")))
         .collect();
     stream.write_all(bytes.as_bytes()).await.unwrap();
-    until("the first is at work", async || world.runs("s0") == 1).await;
+    until("the first request runs", async || world.runs("s0") == 1).await;
     entry.signal("TERM");
     let responses = read_responses(&mut stream, 6).await;
-    assert!(!responses.is_empty(), "the one at work is answered");
+    assert!(
+        !responses.is_empty(),
+        "the running request must get a response"
+    );
     for (number, (status, id)) in responses.iter().enumerate() {
         assert_eq!((*status, id.as_str()), (200, format!("s{number}").as_str()));
     }
@@ -120,13 +123,12 @@
         assert_eq!(
             world.runs(&format!("s{number}")),
             0,
-            "s{number} was not answered"
+            "s{number} ran without a response"
         );
     }
 }
 
-/// Promise: ten thousand requests on one connection take no more memory than a few, and each
-/// is answered once.
+/// Ten thousand pipelined requests take no more memory than a few, and each gets one response.
 #[tokio::test(flavor = "multi_thread")]
 async fn many_pipelined_requests_use_constant_memory() {
     const COUNT: usize = 10_000;
@@ -145,12 +147,12 @@
         }
         std::future::pending::<()>().await;
     });
-    until("the first is at work", async || world.runs("m0") == 1).await;
+    until("the first request runs", async || world.runs("m0") == 1).await;
     tokio::time::sleep(Duration::from_millis(200)).await;
     let used_kib = entry.peak_memory() - before;
     assert!(
         used_kib <= MAX_MEMORY_KIB,
-        "{used_kib} KiB while the first is at work"
+        "{used_kib} KiB while the first request runs"
     );
     world.backends[0].set_behavior(Behavior::Run(Duration::ZERO));
     let mut ids = 0;
@@ -158,7 +160,7 @@
     let mut chunk = vec![0; 64 << 10];
     while ids < COUNT {
         let length = reader.read(&mut chunk).await.unwrap();
-        assert!(length > 0, "closed after {ids} answers");
+        assert!(length > 0, "connection closed after {ids} responses");
         buffer.extend_from_slice(&chunk[..length]);
         while let Some(((status, id), length)) = parse_first_response(&buffer) {
             assert_eq!((status, id), (200, format!("m{ids}")));
