--- a/bin/lh-entry/tests/requests.rs
+++ b/bin/lh-entry/tests/requests.rs
@@ -1,4 +1,4 @@
-//! What callers get, with servers that behave well or badly.
+//! Responses to callers, with servers that work or fail in various ways.
 
 mod world;
 
@@ -9,8 +9,8 @@
 use tokio::net::TcpStream;
 use world::{BOARD, DESK, EntryProcess, World, exchange, request, request_with, until};
 
-/// Promise: a request reaches a server unchanged, with the time that is left and
-/// the run of the server that is meant; its answer comes back whole.
+/// A request reaches a server unchanged, with the remaining time and the id of the intended server
+/// run, and its response is returned complete.
 #[tokio::test]
 async fn a_request_is_forwarded_unchanged() {
     let world = World::new(1).await;
@@ -31,7 +31,7 @@
     assert!(left <= 30_000, "no more than the route allows: {left}");
 }
 
-/// Promise: what no route allows is answered 404 and reaches no server.
+/// A request that matches no route gets 404 and reaches no server.
 #[tokio::test]
 async fn a_request_without_a_route_gets_404() {
     let world = World::new(1).await;
@@ -40,8 +40,8 @@
     assert!(world.backends[0].seen().is_empty());
 }
 
-/// Promise: a request that must not repeat runs at most once, however its server
-/// fails after it has read it, and is never said not to have run.
+/// A request that must not repeat runs at most once, however its server fails after reading it, and
+/// is never reported as not run.
 #[tokio::test]
 async fn a_request_that_must_not_repeat_runs_at_most_once() {
     let faults = [
@@ -69,8 +69,8 @@
     }
 }
 
-/// Promise: a request that may repeat is sent to a second server when the first
-/// one fails, and never answered with what isn't its own whole answer.
+/// A request that may repeat is sent to a second server if the first one fails, and never gets an
+/// incomplete response or the response to another request.
 #[tokio::test]
 async fn a_repeatable_request_is_retried_on_another_server() {
     let faults = [
@@ -94,8 +94,7 @@
     }
 }
 
-/// Promise: a request that every server rejects is refused with a time to come
-/// back, and has not run.
+/// A request that every server rejects gets 503 with a retry time, and has not run.
 #[tokio::test]
 async fn a_request_that_all_servers_reject_gets_503() {
     let world = World::new(2).await;
@@ -111,7 +110,7 @@
     assert_eq!(world.runs("r1"), 0);
 }
 
-/// Promise: bytes after an answer belong to no request, and reach no caller.
+/// Bytes that a server sends after a response belong to no request and reach no caller.
 #[tokio::test]
 async fn surplus_response_bytes_reach_no_caller() {
     let world = World::new(1).await;
@@ -128,7 +127,7 @@
     }
 }
 
-/// Promise: the route's bound ends the wait, and the server's work with it.
+/// The timeout of the route ends the request and cancels it at the server.
 #[tokio::test]
 async fn the_route_timeout_cancels_the_request() {
     let world = World::new(1).await;
@@ -142,13 +141,13 @@
     let answer = entry.send("POST", "/desk/x", "r1").await;
     assert_eq!(answer.status, 504);
     assert_eq!(answer.header("laurelhill-outcome"), "unknown");
-    until("the server's work is cut", async || {
+    until("the request is cancelled at the server", async || {
         world.backends[0].seen()[0].cancelled
     })
     .await;
 }
 
-/// Promise: when a caller leaves, the server's work ends at once.
+/// If a caller disconnects, the request is cancelled at the server immediately.
 #[tokio::test]
 async fn a_caller_disconnect_cancels_the_request() {
     let world = World::new(1).await;
@@ -158,19 +157,23 @@
     let waiting = tokio::spawn(async move {
         let _ = sender.send_request(request("GET", "/board/x", "r1")).await;
     });
-    until("the server runs it", async || world.runs("r1") == 1).await;
+    until("the server runs the request", async || {
+        world.runs("r1") == 1
+    })
+    .await;
     waiting.abort();
-    until("the server's work is cut", async || {
+    until("the request is cancelled at the server", async || {
         world.backends[0].seen()[0].cancelled
     })
     .await;
-    until("it is logged", async || {
+    until("the disconnect is logged", async || {
         !entry.logged("caller-left").is_empty()
     })
     .await;
 }
 
-/// Promise: a request with two ideas of its length smuggles nothing in.
+/// Request smuggling: a request with conflicting lengths must not carry a second request to a
+/// server.
 #[tokio::test]
 async fn ambiguous_lengths_smuggle_no_request() {
     let world = World::new(1).await;
@@ -207,8 +210,8 @@
     }
 }
 
-/// Promise: bodies beyond the limit are refused, and a head that doesn't end
-/// closes its connection.
+/// A body larger than the limit gets 413, and a connection whose request headers don't arrive
+/// completely is closed.
 #[tokio::test]
 async fn body_and_header_limits_are_enforced() {
     let world = World::new(1).await;
@@ -223,11 +226,14 @@
         .unwrap();
     let mut rest = Vec::new();
     let ended = tokio::time::timeout(world::PATIENCE, slow.read_to_end(&mut rest)).await;
-    assert!(ended.is_ok(), "a slow head must not be waited for");
+    assert!(
+        ended.is_ok(),
+        "the connection with incomplete headers was not closed"
+    );
     assert!(world.backends[0].seen().is_empty());
 }
 
-/// Promise: a body that is too long to keep reaches the server whole, byte by byte.
+/// A body that is too large to buffer reaches the server complete and unchanged.
 #[tokio::test]
 async fn a_streamed_body_is_forwarded_unchanged() {
     let world = World::new(1).await;
@@ -240,10 +246,10 @@
     assert_eq!(answer.unwrap().status, 200);
     let seen = world.backends[0].seen();
     assert_eq!(seen.len(), 1);
-    assert!(seen[0].body == body, "the body changed on the way");
+    assert!(seen[0].body == body, "the body was changed");
 }
 
-/// Promise: a body without a stated length is bounded as well.
+/// The size limit also applies to a body without `Content-Length`.
 #[tokio::test]
 async fn a_chunked_body_is_limited() {
     let world = World::new(1).await;
@@ -269,8 +275,7 @@
     assert_eq!(world.runs("a"), 0);
 }
 
-/// Promise: a long answer comes through whole, and one that breaks off never looks
-/// complete.
+/// A large response is returned complete, and a truncated one never looks complete.
 #[tokio::test]
 async fn a_streamed_response_is_complete_or_visibly_broken() {
     const RESPONSE_BYTES: usize = 2_000_000;
@@ -282,10 +287,10 @@
     world.backends[0].set_behavior(Behavior::LargeTruncated(RESPONSE_BYTES));
     let mut sender = entry.connect().await;
     let broken = exchange(&mut sender, request("GET", "/board/x", "broken")).await;
-    assert!(broken.is_none(), "half an answer looked whole");
+    assert!(broken.is_none(), "a truncated response looked complete");
 }
 
-/// Promise: bytes that are no requests, beats or questions end nothing.
+/// Malformed input on any port doesn't stop the entry.
 #[tokio::test]
 async fn malformed_input_does_not_stop_the_entry() {
     let world = World::new(1).await;
@@ -307,14 +312,14 @@
     assert_eq!(entry.send("GET", "/board/x", "after").await.status, 200);
 }
 
-/// Promise: each request leaves a line with its id, where it went and why, and
-/// counters that add up.
+/// Each request is logged with its id, its server and the reason for that choice, and counted in
+/// the metrics.
 #[tokio::test]
 async fn each_request_is_logged_and_counted() {
     let world = World::new(1).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     entry.send("GET", "/board/x", "trace-me").await;
-    until("the line is written", async || {
+    until("the request is logged", async || {
         !entry.logged("trace-me").is_empty()
     })
     .await;
--- a/bin/lh-entry/tests/streams.rs
+++ b/bin/lh-entry/tests/streams.rs
@@ -1,5 +1,5 @@
-//! Large bodies and planned stops on the product's own interface, and what operators
-//! are shown.
+//! Large bodies and planned stops on the product's own interface, and what metrics and status
+//! report.
 
 mod own;
 mod world;
@@ -19,7 +19,7 @@
 use tokio::sync::mpsc;
 use world::{connect, until};
 
-/// Promise: oversized heads and cut bodies don't hurt the process.
+/// Oversized headers and truncated bodies don't affect other requests.
 #[tokio::test]
 async fn oversized_heads_and_truncated_bodies_are_tolerated() {
     let world = OwnWorld::new(1, 3, SERVICE_TIME).await;
@@ -46,7 +46,8 @@
     assert_eq!(world.runs("cut"), 0);
 }
 
-/// Sends an upload of `chunks` times 64 KiB; each chunk waits for `chunk_permits`.
+/// Sends an upload of `chunks` chunks of 64 KiB. Each chunk waits for a message on `chunk_permits`,
+/// until that channel is closed.
 async fn upload(
     address: std::net::SocketAddr,
     id: &str,
@@ -90,7 +91,7 @@
     payload(id, body.len() as u64, standin::checksum(0, &body))
 }
 
-/// Promise: bodies are streamed; a large upload leaves the entry's memory flat.
+/// Large bodies are streamed: an upload doesn't increase the entry's memory usage.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_large_upload_uses_constant_memory() {
     const CHUNKS: usize = 4096;
@@ -104,10 +105,13 @@
         .unwrap();
     assert_eq!(answer, expected("up", CHUNKS));
     let grown = entry.peak_memory() - before;
-    assert!(grown < 16 << 10, "256 MiB grew the entry by {grown} KiB");
+    assert!(
+        grown < 16 << 10,
+        "an upload of 256 MiB increased memory usage by {grown} KiB"
+    );
 }
 
-/// Promise: a planned stop cuts nothing, large uploads included, and then ends.
+/// A planned stop waits for all requests, including large uploads, before the process exits.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_waits_for_an_upload() {
     const CHUNKS: usize = 64;
@@ -115,11 +119,14 @@
     let mut entry = world.entry("a", &[]).await;
     let (sender, chunk_permits) = mpsc::channel(1);
     let running = tokio::spawn(upload(entry.callers(), "up", CHUNKS, chunk_permits));
-    // Enough for the entry to begin sending it on.
+    // Enough chunks for the entry to start streaming the body to the server.
     for _ in 0..40 {
         sender.send(()).await.unwrap();
     }
-    until("the upload runs", async || world.runs("up") == 1).await;
+    until("the upload reaches the server", async || {
+        world.runs("up") == 1
+    })
+    .await;
     entry.signal("TERM");
     until("new requests are refused", async || {
         let headers = [(REQUEST_ID_HEADER, "late")];
@@ -129,14 +136,14 @@
     .await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     let gone = entry.child.try_wait().unwrap();
-    assert!(gone.is_none(), "it waits for the upload");
+    assert!(gone.is_none(), "the process must wait for the upload");
     drop(sender);
     assert_eq!(running.await.unwrap().unwrap(), expected("up", CHUNKS));
     let ended = tokio::task::spawn_blocking(move || entry.child.wait().unwrap());
     assert!(ended.await.unwrap().success());
 }
 
-/// Promise: metrics, readiness and status answer, and tell what was served.
+/// Metrics and status report the requests that were served.
 #[tokio::test]
 async fn metrics_and_status_report_served_requests() {
     let world = OwnWorld::new(2, 3, SERVICE_TIME).await;
--- a/bin/lh-entry/tests/teams.rs
+++ b/bin/lh-entry/tests/teams.rs
@@ -1,4 +1,4 @@
-//! Teams: whose request it is, what servers are told of it, and where it may run.
+//! Teams: authentication by key, the team that servers are told, home regions, and quotas.
 
 mod world;
 
@@ -71,8 +71,8 @@
     .find(|request| request.ran)
 }
 
-/// Promise: servers are told whose request it is, whatever the caller says itself, and never
-/// see its key; neither do logs, metrics or operators.
+/// Servers are told the team of a request, whatever the caller claims, but never its key. Keys do
+/// not appear in logs, metrics or the status either.
 #[tokio::test]
 async fn keys_are_not_forwarded_or_shown() {
     let world = world(1, &[RED, BLUE]).await;
@@ -92,7 +92,7 @@
             .status,
         401
     );
-    until("both are logged", async || {
+    until("both requests are logged", async || {
         entry.logged("\"request\"").len() >= 2
     })
     .await;
@@ -100,11 +100,11 @@
     shown.push_str(&entry.metrics().await);
     shown.push_str(&entry.document("/v1/status").await.to_string());
     for key in [RED_KEY, BLUE_KEY, "wrong-key-5512"] {
-        assert!(!shown.contains(key), "{key} is shown");
+        assert!(!shown.contains(key), "{key} is visible");
     }
 }
 
-/// Promise: without a key of a team's nothing runs, but on public routes.
+/// Without the key of a team, requests run only on public routes.
 #[tokio::test]
 async fn requests_without_a_valid_key_get_401() {
     let world = world(1, &[RED, BLUE]).await;
@@ -158,7 +158,7 @@
     assert_eq!(seen.headers.get("authorization"), None);
 }
 
-/// Promise: a key that is taken away stops to count, also on connections that are open.
+/// A revoked key is refused, also on connections that are already open.
 #[tokio::test]
 async fn a_revoked_key_is_refused_on_open_connections() {
     let world = world(1, &[RED, BLUE]).await;
@@ -181,7 +181,7 @@
     );
 }
 
-/// Promise: a team's home regions bind, with those of nobody else.
+/// A team's requests run only in its home regions, which don't affect other teams.
 #[tokio::test]
 async fn a_teams_home_regions_are_enforced() {
     let southern = TeamText {
@@ -201,10 +201,10 @@
                 .status,
             200
         );
-        assert_eq!(south.runs(&id), 1, "{id} ran elsewhere");
+        assert_eq!(south.runs(&id), 1, "{id} ran outside the home region");
     }
     world.store.drop_row("servers", south.id());
-    until("no server of its home is left", async || {
+    until("the home region has no server left", async || {
         send(&entry, request_with_key("/board/x", "gone", RED_KEY))
             .await
             .status
@@ -219,9 +219,9 @@
     );
 }
 
-/// Promise: an entry that the store no longer answers serves nobody's key for longer than the
-/// bound, says so at once and truly, is told to no caller, and goes on with public routes; it
-/// serves again once it has heard.
+/// An entry that can't reach the store stops accepting keys after the configured time. It then
+/// responds immediately that requests did not run, is no longer ready, and continues to serve
+/// public routes. It accepts keys again once the store responds.
 #[tokio::test]
 async fn a_cut_off_entry_stops_accepting_keys() {
     let world = world(1, &[RED, BLUE]).await;
@@ -249,7 +249,7 @@
     );
     assert!(cut_off.header("retry-after").parse::<f64>().unwrap() > 0.0);
     assert!(find_run(&world.backends, "dark").is_none());
-    // It can't know whether the key was added meanwhile.
+    // The entry can't know whether this key has been added meanwhile.
     assert_eq!(
         send(&entry, request_with_key("/board/x", "new", "new-key-1"))
             .await
@@ -262,7 +262,7 @@
         200
     );
     world.store.set_faults(FaultPlan::default());
-    until("keys are served again", async || {
+    until("keys are accepted again", async || {
         send(&entry, request_with_key("/board/x", "back", RED_KEY))
             .await
             .status
@@ -272,8 +272,8 @@
     entry.wait_ready().await;
 }
 
-/// Promise: where the operators' bound doesn't hold for entries that hear nothing, these go
-/// on with the keys that they know.
+/// Without `revoke_cut_off`, entries that can't reach the store continue to accept the keys that
+/// they know.
 #[tokio::test]
 async fn without_a_cut_off_known_keys_remain_valid() {
     let world = world(1, &[RED, BLUE]).await;
@@ -281,7 +281,7 @@
     let entry = EntryProcess::start_within(world.store.address(), "n1", settings);
     entry.wait_ready().await;
     world.store.set_faults(FaultPlan::outage());
-    until("it doesn't know of new keys", async || {
+    until("unknown keys are no longer denied", async || {
         send(&entry, request_with_key("/board/x", "new", "new-key-1"))
             .await
             .status
@@ -297,8 +297,8 @@
     assert_eq!(entry.status("/ready").await, Some(200));
 }
 
-/// Promise: a team's quota holds over all entries together, and who is over it is told truly
-/// when to come back; another team isn't harmed.
+/// All entries together enforce a team's quota. Requests over the quota get a retry time, and other
+/// teams are not affected.
 #[tokio::test]
 async fn a_quota_is_shared_by_all_entries() {
     let slow = TeamText {
@@ -312,7 +312,7 @@
     first.wait_ready().await;
     let second = EntryProcess::start_beside(&first, world.store.address(), "n2", settings);
     second.wait_ready().await;
-    until("both are named", async || {
+    until("look-ups name both entries", async || {
         first.lookup().await.matches(':').count() >= 4
     })
     .await;
@@ -330,7 +330,10 @@
     let served = statuses.iter().filter(|status| **status == 200).count();
     let refused = statuses.iter().filter(|status| **status == 429).count();
     assert_eq!(served + refused, 40, "{statuses:?}");
-    assert!(served <= 12 + 4, "{served} of 12 were served");
+    assert!(
+        served <= 12 + 4,
+        "{served} requests served with a burst of 12"
+    );
     assert!(refused >= 20, "{statuses:?}");
     assert_eq!(
         send(&first, request_with_key("/board/x", "b", BLUE_KEY))
@@ -340,8 +343,8 @@
     );
 }
 
-/// Promise: a flood of wrong keys leaves nothing behind: memory stays, and the lines of others
-/// are still written. `WRONG_KEYS` sets how many more; a million by hand.
+/// A flood of unknown keys neither increases memory usage nor suppresses the log lines of other
+/// requests. `WRONG_KEYS` sets the size of the flood; a million takes too long for the regular run.
 #[tokio::test]
 async fn a_flood_of_unknown_keys_is_bounded_in_memory_and_log() {
     let world = world(1, &[RED, BLUE]).await;
@@ -360,19 +363,22 @@
     let more = wanted.and_then(|text| text.parse().ok()).unwrap_or(8_000);
     flood(more, "second").await;
     let grown = entry.peak_memory() - before;
-    assert!(grown < 4 << 10, "{grown} KiB more");
+    assert!(grown < 4 << 10, "memory usage increased by {grown} KiB");
     assert_eq!(
         send(&entry, request_with_key("/board/x", "good", RED_KEY))
             .await
             .status,
         200
     );
-    until("the good request's line is written", async || {
+    until("the valid request is logged", async || {
         !entry.logged("\"good\"").is_empty()
     })
     .await;
     let denied = entry.logged("key-unknown").len();
-    assert!(denied < 4_000.max(more as usize / 10), "{denied} lines");
+    assert!(
+        denied < 4_000.max(more as usize / 10),
+        "{denied} denials logged"
+    );
     let metrics = entry.metrics().await;
     assert!(
         metrics.contains(&format!(
--- a/bin/lh-entry/tests/tickets.rs
+++ b/bin/lh-entry/tests/tickets.rs
@@ -1,5 +1,4 @@
-//! The product's own interface: bookings run at most once, and every answer about
-//! them is true.
+//! The product's own interface: bookings run at most once, and callers are told their true outcome.
 
 mod own;
 mod world;
@@ -12,7 +11,7 @@
 
 const LONG_SERVICE_TIME: Duration = Duration::from_secs(300);
 
-/// The ticket with one digit of its signature changed.
+/// Returns the ticket with one digit of its signature changed.
 fn forge(ticket: &str) -> String {
     let mut parts: Vec<String> = ticket.split('~').map(str::to_owned).collect();
     let changed = if parts[3].starts_with('0') { "1" } else { "0" };
@@ -23,7 +22,7 @@
 /// Name, path, headers and body.
 type InvalidCase<'a> = (&'a str, &'a str, Vec<(&'a str, &'a str)>, &'a [u8]);
 
-/// Promise: bad input gets a clear 4xx, was not run, and the process goes on.
+/// Invalid requests get a 4xx and do not run, and the entry continues to serve.
 #[tokio::test]
 async fn invalid_requests_get_4xx_and_do_not_run() {
     let world = OwnWorld::new(1, 3, SERVICE_TIME).await;
@@ -98,7 +97,7 @@
     assert_eq!(good.outcome, "done");
 }
 
-/// Promise: a number that comes with another body is refused.
+/// A number that is used again with a different body is refused.
 #[tokio::test]
 async fn a_number_with_another_body_is_refused() {
     let world = OwnWorld::new(1, 3, SERVICE_TIME).await;
@@ -118,7 +117,7 @@
     assert_eq!(world.runs("k1"), 1);
 }
 
-/// Promise: a repeat gets the first run's answer, whole, and runs nothing.
+/// A repeat gets the complete response of the first run and does not run.
 #[tokio::test]
 async fn a_repeat_gets_the_stored_response() {
     let world = OwnWorld::new(2, 3, SERVICE_TIME).await;
@@ -136,7 +135,7 @@
     assert_eq!(world.runs("b2"), 1);
 }
 
-/// Promise: a run goes on when its caller leaves, and a repeat gets its answer.
+/// A run continues if its caller disconnects, and a repeat gets its response.
 #[tokio::test]
 async fn a_request_continues_after_its_caller_disconnects() {
     let world = OwnWorld::new(1, 3, Duration::from_millis(300)).await;
@@ -148,7 +147,7 @@
     });
     until("the booking runs", async || world.runs("b1") == 1).await;
     caller.abort();
-    until("a repeat gets the answer", async || {
+    until("a repeat gets the response", async || {
         let repeat = book(entry.callers(), "b1", &ticket, 1, 2).await.unwrap();
         repeat.outcome == "done" && repeat.status == 200
     })
@@ -156,7 +155,7 @@
     assert_eq!(world.runs("b1"), 1);
 }
 
-/// Promise: when the entry dies in mid-request, a repeat elsewhere is "unknown" and not run.
+/// If the entry crashes during a request, a repeat at another entry is "unknown" and does not run.
 #[tokio::test]
 async fn a_booking_is_not_repeated_after_its_entry_crashed() {
     let world = OwnWorld::new(2, 3, LONG_SERVICE_TIME).await;
@@ -170,9 +169,13 @@
     });
     until("the booking runs", async || world.runs("b1") == 1).await;
     first.child.kill().unwrap();
-    assert_eq!(sent.await.unwrap(), None, "the caller's connection breaks");
+    assert_eq!(
+        sent.await.unwrap(),
+        None,
+        "the connection to the caller must fail"
+    );
     let repeat = |address| book(address, "b1", &ticket, 1, 2);
-    // Known, but gone; then forgotten; then replaced by another run.
+    // The entry is still listed; then no longer listed; then replaced by another run.
     assert_eq!(repeat(second.callers()).await.unwrap().outcome, "unknown");
     knows(&second, 1).await;
     assert_eq!(repeat(second.callers()).await.unwrap().outcome, "unknown");
@@ -181,8 +184,8 @@
     assert_eq!(world.runs("b1"), 1);
 }
 
-/// Promise: a caller that sent its number nowhere before is told the truth about a stale
-/// ticket: not run.
+/// A caller with a stale ticket that states that it never sent its number before is told that the
+/// request did not run.
 #[tokio::test]
 async fn a_first_attempt_with_a_stale_ticket_is_not_run() {
     let world = OwnWorld::new(1, 3, SERVICE_TIME).await;
@@ -195,7 +198,7 @@
     assert_eq!(world.runs("b1"), 0);
 }
 
-/// Promise: a repeat at another instance is passed to the run that its ticket names.
+/// A repeat at another instance is forwarded to the run that its ticket names.
 #[tokio::test]
 async fn a_repeat_is_forwarded_to_the_ticket_holder() {
     let world = OwnWorld::new(2, 3, SERVICE_TIME).await;
@@ -209,8 +212,7 @@
     assert_eq!(world.runs("b1"), 1);
 }
 
-/// Promise: the tickets of a look-up are good at the entries that it names, whoever
-/// answered it.
+/// The tickets from a look-up are valid at the entries that it names, whichever entry answered it.
 #[tokio::test]
 async fn tickets_are_valid_whichever_entry_answered_the_look_up() {
     let world = OwnWorld::new(1, 3, SERVICE_TIME).await;
@@ -227,7 +229,8 @@
     }
 }
 
-/// Promise: when the backend server dies in mid-run, the booking is unknown and never sent again.
+/// If the backend server crashes during a booking, its outcome is unknown and it is never sent
+/// again.
 #[tokio::test]
 async fn a_booking_is_not_sent_again_after_its_server_crashed() {
     let world = OwnWorld::new(2, 3, LONG_SERVICE_TIME).await;
@@ -238,7 +241,7 @@
         async move { book(address, "b1", &ticket, 1, 1).await }
     });
     until("the booking runs", async || world.runs("b1") == 1).await;
-    // The other server would take it.
+    // The other server would accept the booking.
     let server = world
         .backends
         .iter()
@@ -252,7 +255,7 @@
     assert_eq!(world.runs("b1"), 1);
 }
 
-/// Promise: "not run" is true for good: a refused number never runs, however late its copy comes.
+/// "Not run" is final: a refused number never runs, however late a copy of it arrives.
 #[tokio::test]
 async fn a_refused_booking_stays_refused() {
     let world = OwnWorld::new(1, 2, SERVICE_TIME).await;
@@ -269,7 +272,10 @@
     .await;
     let refused = book(entry.callers(), "b1", &ticket, 1, 1).await.unwrap();
     assert_eq!((refused.status, refused.outcome.as_str()), (503, "not-run"));
-    assert!(refused.retry_after.is_some(), "it says when to come back");
+    assert!(
+        refused.retry_after.is_some(),
+        "the refusal must contain a retry time"
+    );
     world.store.drop_row("op", "evacuate/zone-a");
     until("servers take requests again", async || {
         let headers = [(REQUEST_ID_HEADER, "probe")];
@@ -285,7 +291,7 @@
     assert_eq!(world.runs("b1"), 0);
 }
 
-/// Promise: tickets go on while the store is away: nothing is claimed there.
+/// Tickets work during a store outage, because they are not recorded in the store.
 #[tokio::test]
 async fn bookings_work_during_a_store_outage() {
     let world = OwnWorld::new(2, 3, SERVICE_TIME).await;
@@ -293,7 +299,7 @@
     world
         .store
         .set_faults(platform_standin::FaultPlan::outage());
-    until("the outage is seen", async || {
+    until("the outage is detected", async || {
         !entry.logged("dependency lost").is_empty()
     })
     .await;
@@ -305,8 +311,8 @@
     assert_eq!(world.runs("b1"), 1);
 }
 
-/// Promise: callers are told entries of their own region first, by what they say of
-/// themselves or by their address.
+/// Look-ups list the entries of the caller's region first. The region is taken from the query, or
+/// else derived from the caller's address.
 #[tokio::test]
 async fn look_ups_list_the_callers_region_first() {
     let world = OwnWorld::new(1, 3, SERVICE_TIME).await;
@@ -324,14 +330,14 @@
         !north.logged("client blocks in force").is_empty()
     })
     .await;
-    // Without a home, which entry comes first is drawn anew for each look-up.
+    // Without a home region, the order would be random for each look-up.
     for _ in 0..20 {
         assert_eq!(entries(&north, "board").await[0]["region"], "south");
     }
 }
 
-/// Promise: what one team has booked under a ticket is told to no other, and refuses nobody
-/// else; a ticket's entry sees for itself whose a passed-on request is.
+/// A team's bookings under a ticket are neither visible to other teams nor do they block them. The
+/// ticket's entry authenticates forwarded requests itself.
 #[tokio::test]
 async fn bookings_are_private_to_their_team() {
     let world = OwnWorld::new(1, 3, SERVICE_TIME).await;
@@ -352,7 +358,7 @@
     assert_eq!(
         world.runs("b1"),
         1,
-        "the other team got the first one's answer"
+        "the other team got the first team's response"
     );
     let nobody = book(here, "n1", &ticket, 1, 2).await.unwrap();
     assert_eq!((nobody.status, world.runs("n1")), (401, 0));
