--- a/bin/lh-entry/src/accept.rs
+++ b/bin/lh-entry/src/accept.rs
@@ -75,9 +75,9 @@
         let state = Rc::clone(&served);
         let request_progress = Rc::clone(&request_progress);
         async move {
-            let answer = handler::serve(state, request).await;
+            let response = handler::serve(state, request).await;
             request_progress.on_response();
-            answer
+            response
         }
     });
     let limits = state.limits.get();
--- a/bin/lh-entry/src/admission.rs
+++ b/bin/lh-entry/src/admission.rs
@@ -68,7 +68,7 @@
 /// Admits a request on `route` that presents `claim`, and returns its policy.
 ///
 /// # Errors
-/// Returns the problem to respond with if the request is denied or over its quota.
+/// Returns the problem to respond with if the request is not admitted.
 pub(crate) fn admit(
     state: &InstanceState,
     route: &RouteSpec,
--- a/bin/lh-entry/src/caller.rs
+++ b/bin/lh-entry/src/caller.rs
@@ -107,7 +107,7 @@
     }
 
     /// Returns the request id, or an empty string if it isn't visible ASCII.
-    pub(crate) fn request_name(&self) -> &str {
+    pub(crate) fn request_id_text(&self) -> &str {
         let name = self.request_id.as_ref().and_then(|id| id.to_str().ok());
         name.unwrap_or("")
     }
--- a/bin/lh-entry/src/handler.rs
+++ b/bin/lh-entry/src/handler.rs
@@ -55,7 +55,7 @@
 async fn handle(state: Rc<InstanceState>, request: Request<Incoming>) -> Response<ResponseBody> {
     let (parts, body) = request.into_parts();
     let mut caller = Caller::from_platform_headers(&parts.headers);
-    let mut record = RequestRecord::new(&state, caller.request_name());
+    let mut record = RequestRecord::new(&state, caller.request_id_text());
     state.meter.borrow_mut().on_request();
     if state.stop.get() == StopPhase::Refusing {
         return respond_unavailable(&mut record, &caller, "stopping", STOPPING_RETRY_AFTER);
@@ -78,7 +78,7 @@
                 return problem.into_response(&caller);
             }
         }
-        caller.request_name().clone_into(&mut record.id);
+        caller.request_id_text().clone_into(&mut record.id);
     }
     let policy = match admission::admit(&state, &route, headers::parse_key(&parts.headers)) {
         Ok(policy) => policy,
--- a/bin/lh-entry/src/job.rs
+++ b/bin/lh-entry/src/job.rs
@@ -94,8 +94,8 @@
                 Err(refusal) => return self.finish_unserved(last, refusal),
             };
             self.record.on_placed(&guard.placement);
-            let end = self.attempt(route, guard, &mut body).await;
-            match end {
+            let result = self.attempt(route, guard, &mut body).await;
+            match result {
                 AttemptResult::Responded(response) => {
                     self.clear_suspicion(&body);
                     return self.relay_response(response);
@@ -270,7 +270,7 @@
                 self.on_connection_lost(route, &guard.placement, body);
                 return AttemptResult::Broken;
             }
-            Ok(Ok(answer)) => answer,
+            Ok(Ok(response)) => response,
         };
         self.handle_response(route, guard, lease, (response, body))
             .await
@@ -338,7 +338,8 @@
         let body = match rest {
             Some(rest) => ResponseBody::streamed(bytes, rest, lease),
             None => {
-                // A server that rejects an upload early may still be reading the rest of it.
+                // A server that responds before it has read the whole upload may still wait for
+                // the rest of it.
                 if parts.status.is_success() {
                     self.state.pool.release(lease, &parts.headers);
                 }
--- a/bin/lh-entry/src/record.rs
+++ b/bin/lh-entry/src/record.rs
@@ -180,13 +180,13 @@
             return;
         }
         self.finished = true;
-        let took = self.started_at.elapsed();
+        let elapsed = self.started_at.elapsed();
         let route = self.route.as_ref().map_or("none", |route| &route.name);
         let metrics = &self.state.metrics;
-        metrics.on_request(route, outcome.as_str(), took.as_secs_f64());
+        metrics.on_request(route, outcome.as_str(), elapsed.as_secs_f64());
         let objective = self.route.as_ref().map(|route| route.objective);
         if outcome == RequestOutcome::Answered
-            && objective.is_some_and(|objective| took <= objective)
+            && objective.is_some_and(|objective| elapsed <= objective)
         {
             metrics.on_good(route);
         }
@@ -230,7 +230,7 @@
             team,
             outcome = outcome.as_str(),
             status,
-            took_ms = took.as_millis() as u64,
+            took_ms = elapsed.as_millis() as u64,
             attempts = self.attempts.as_str(),
             reason = refused,
             back_in_ms,
--- a/bin/lh-entry/src/ticket_forward.rs
+++ b/bin/lh-entry/src/ticket_forward.rs
@@ -91,7 +91,7 @@
             record.on_attempt_result(&describe_error(error.error()));
             return Err(unknown("the instance of the ticket broke off"));
         }
-        Ok(Ok(answer)) => answer,
+        Ok(Ok(response)) => response,
     };
     let (parts, body) = response.into_parts();
     let mut response = Response::new(ResponseBody::streamed(Bytes::new(), body, lease));
--- a/bin/lh-entry/tests/teams.rs
+++ b/bin/lh-entry/tests/teams.rs
@@ -1,4 +1,4 @@
-//! Teams: authentication by key, the team that servers are told, home regions, and quotas.
+//! Teams: authentication by key, the team passed to servers, home regions, and quotas.
 
 mod world;
 
@@ -71,7 +71,7 @@
     .find(|request| request.ran)
 }
 
-/// Servers are told the team of a request, whatever the caller claims, but never its key. Keys do
+/// Servers receive the team of a request, whatever the caller claims, but never its key. Keys do
 /// not appear in logs, metrics or the status either.
 #[tokio::test]
 async fn keys_are_not_forwarded_or_shown() {
@@ -163,13 +163,21 @@
 async fn a_revoked_key_is_refused_on_open_connections() {
     let world = world(1, &[RED, BLUE]).await;
     let entry = EntryProcess::ready(&world, "n1").await;
-    let mut kept = entry.connect().await;
-    let answer = exchange(&mut kept, request_with_key("/board/x", "a", RED_KEY)).await;
+    let mut kept_connection = entry.connect().await;
+    let answer = exchange(
+        &mut kept_connection,
+        request_with_key("/board/x", "a", RED_KEY),
+    )
+    .await;
     assert_eq!(answer.unwrap().status, 200);
     let keyless = TeamText { keys: &[], ..RED };
     world.store.put("op", "config", &state(9, &[keyless, BLUE]));
     until("the key is refused", async || {
-        let answer = exchange(&mut kept, request_with_key("/board/x", "b", RED_KEY)).await;
+        let answer = exchange(
+            &mut kept_connection,
+            request_with_key("/board/x", "b", RED_KEY),
+        )
+        .await;
         answer.is_some_and(|answer| answer.status == 401)
     })
     .await;
@@ -344,7 +352,7 @@
 }
 
 /// A flood of unknown keys neither increases memory usage nor suppresses the log lines of other
-/// requests. `WRONG_KEYS` sets the size of the flood; a million takes too long for the regular run.
+/// requests. `WRONG_KEYS` sets the size of the second flood; use a million for a manual run.
 #[tokio::test]
 async fn a_flood_of_unknown_keys_is_bounded_in_memory_and_log() {
     let world = world(1, &[RED, BLUE]).await;
@@ -359,8 +367,10 @@
     };
     flood(1000, "first").await;
     let before = entry.peak_memory();
-    let wanted = std::env::var("WRONG_KEYS").ok();
-    let more = wanted.and_then(|text| text.parse().ok()).unwrap_or(8_000);
+    let flood_size = std::env::var("WRONG_KEYS").ok();
+    let more = flood_size
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(8_000);
     flood(more, "second").await;
     let grown = entry.peak_memory() - before;
     assert!(grown < 4 << 10, "memory usage increased by {grown} KiB");
