--- a/bin/lh-entry/src/accept.rs
+++ b/bin/lh-entry/src/accept.rs
@@ -1,5 +1,5 @@
-//! Callers' connections: accepted, watched for slow heads and idleness, and
-//! closed in order at a stop.
+//! Accepts connections from callers, closes those that are idle or send their headers too
+//! slowly, and shuts them down gracefully when the instance stops.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -15,38 +15,38 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
 use crate::error::{Error, Result};
-use crate::forward;
+use crate::handler;
 use crate::state::InstanceState;
 use crate::stop::StopPhase;
 
-/// Connections that wait to be accepted.
-const BACKLOG: u32 = 1024;
-/// Pause after a connection could not be accepted, as when descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// How often a connection is checked for a slow head or idleness.
-const CHECK_EVERY: Duration = Duration::from_secs(2);
-/// Smallest head buffer that the library takes, in bytes.
-const LEAST_BUFFER: usize = 8192;
-/// Part of the descriptors that callers' connections may use.
-const CALLER_SHARE: usize = 2;
-
-/// Opens a listener at `address` for `what`.
+/// Maximum number of connections that wait to be accepted.
+const LISTEN_BACKLOG: u32 = 1024;
+/// Delay after a failed accept, for example when file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Interval at which a connection is checked for its header and idle timeouts.
+const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_secs(2);
+/// Minimum size of the read buffer that hyper accepts, in bytes.
+const MIN_BUFFER_BYTES: usize = 8192;
+/// Connections from callers may use one in this many of the file descriptors.
+const CALLER_DESCRIPTOR_DIVISOR: usize = 2;
+
+/// Opens a listener on `address`; `purpose` names it in the error message.
 ///
 /// # Errors
-/// Where the address can't be used.
-pub(crate) fn listen(what: &'static str, address: SocketAddr) -> Result<TcpListener> {
+/// Returns [`Error::Listen`] if the address can't be bound.
+pub(crate) fn listen(purpose: &'static str, address: SocketAddr) -> Result<TcpListener> {
     let open = || {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
-        socket.listen(BACKLOG)
+        socket.listen(LISTEN_BACKLOG)
     };
-    open().map_err(|cause| Error::Listen(what, address, cause))
+    open().map_err(|cause| Error::Listen(purpose, address, cause))
 }
 
-/// Accepts callers until the process ends.
+/// Accepts connections from callers until the process ends.
 pub(crate) async fn run(state: Rc<InstanceState>, listener: Rc<TcpListener>) {
-    let most = (state.config.descriptors / CALLER_SHARE) as i64;
+    let most = (state.config.descriptors / CALLER_DESCRIPTOR_DIVISOR) as i64;
     loop {
         match listener.accept().await {
             Ok((stream, _)) if state.metrics.connections.get() < most => {
@@ -54,8 +54,8 @@
             }
             Ok(_) => log::warn!(most; "too many connections; one closed"),
             Err(error) => {
-                log::warn!(error:%; "no connection accepted");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                log::warn!(error:%; "failed to accept a connection; retrying");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -63,27 +63,27 @@
 
 async fn serve_connection(state: Rc<InstanceState>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    let progress = Rc::new(HeadProgress::new());
+    let progress = Rc::new(ConnectionProgress::new());
     let io = WatchedIo {
         io: TokioIo::new(stream),
         progress: Rc::clone(&progress),
     };
     let served = Rc::clone(&state);
-    let seen = Rc::clone(&progress);
+    let request_progress = Rc::clone(&progress);
     let service = service_fn(move |request| {
-        seen.on_request();
+        request_progress.on_request();
         let state = Rc::clone(&served);
-        let seen = Rc::clone(&seen);
+        let request_progress = Rc::clone(&request_progress);
         async move {
-            let answer = forward::serve(state, request).await;
-            seen.on_answer();
-            answer
+            let response = handler::serve(state, request).await;
+            request_progress.on_response();
+            response
         }
     });
     let limits = state.limits.get();
     let connection = Builder::new()
         .header_read_timeout(None)
-        .max_buf_size(limits.header_bytes.max(LEAST_BUFFER))
+        .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(io, service);
     tokio::pin!(connection);
     let mut stopping = state.stopping.subscribe();
@@ -92,7 +92,7 @@
         tokio::select! {
             ended = connection.as_mut() => {
                 if let Err(error) = ended {
-                    log::debug!(error:%; "caller's connection ended");
+                    log::debug!(error:%; "connection to a caller failed");
                 }
                 break;
             }
@@ -101,11 +101,11 @@
                     connection.as_mut().graceful_shutdown();
                 }
             }
-            () = tokio::time::sleep(CHECK_EVERY) => {
+            () = tokio::time::sleep(TIMEOUT_CHECK_INTERVAL) => {
                 let limits = state.limits.get();
-                match progress.overdue(limits.header_timeout, limits.idle_timeout) {
-                    Some(Overdue::Head) => break,
-                    Some(Overdue::Idle) => connection.as_mut().graceful_shutdown(),
+                match progress.expired(limits.header_timeout, limits.idle_timeout) {
+                    Some(ConnectionTimeout::Head) => break,
+                    Some(ConnectionTimeout::Idle) => connection.as_mut().graceful_shutdown(),
                     None => {}
                 }
             }
@@ -114,66 +114,66 @@
     state.metrics.connections.dec();
 }
 
-/// What a connection has waited for too long.
-enum Overdue {
-    /// A head that began and did not end.
+/// A timeout that has expired on a connection.
+enum ConnectionTimeout {
+    /// The headers of a request have started but not arrived completely.
     Head,
-    /// The next request.
+    /// No next request has arrived.
     Idle,
 }
 
-/// Whether a connection is idle, receives a head, or is being answered.
+/// Tracks whether a connection is idle, receives headers, or waits for a response.
 #[derive(Debug)]
-struct HeadProgress {
+struct ConnectionProgress {
     since: Cell<Instant>,
-    head_begun: Cell<bool>,
-    answering: Cell<bool>,
+    head_started: Cell<bool>,
+    responding: Cell<bool>,
 }
 
-impl HeadProgress {
+impl ConnectionProgress {
     fn new() -> Self {
         Self {
             since: Cell::new(Instant::now()),
-            head_begun: Cell::new(false),
-            answering: Cell::new(false),
+            head_started: Cell::new(false),
+            responding: Cell::new(false),
         }
     }
 
-    fn on_bytes(&self) {
-        if self.answering.get() || self.head_begun.get() {
+    fn on_bytes_read(&self) {
+        if self.responding.get() || self.head_started.get() {
             return;
         }
-        self.head_begun.set(true);
+        self.head_started.set(true);
         self.since.set(Instant::now());
     }
 
     fn on_request(&self) {
-        self.head_begun.set(false);
-        self.answering.set(true);
+        self.head_started.set(false);
+        self.responding.set(true);
     }
 
-    fn on_answer(&self) {
-        self.answering.set(false);
-        self.head_begun.set(false);
+    fn on_response(&self) {
+        self.responding.set(false);
+        self.head_started.set(false);
         self.since.set(Instant::now());
     }
 
-    fn overdue(&self, head: Duration, idle: Duration) -> Option<Overdue> {
-        if self.answering.get() {
+    fn expired(&self, head: Duration, idle: Duration) -> Option<ConnectionTimeout> {
+        if self.responding.get() {
             return None;
         }
-        let waited = self.since.get().elapsed();
-        if self.head_begun.get() {
-            return (waited > head).then_some(Overdue::Head);
+        let wait_time = self.since.get().elapsed();
+        if self.head_started.get() {
+            return (wait_time > head).then_some(ConnectionTimeout::Head);
         }
-        (waited > idle).then_some(Overdue::Idle)
+        (wait_time > idle).then_some(ConnectionTimeout::Idle)
     }
 }
 
-/// A connection whose reads are noticed.
+/// A connection that reports its reads to a [`ConnectionProgress`].
 struct WatchedIo {
     io: TokioIo<TcpStream>,
-    progress: Rc<HeadProgress>,
+    progress: Rc<ConnectionProgress>,
 }
 
 impl Read for WatchedIo {
@@ -184,7 +184,7 @@
     ) -> Poll<std::io::Result<()>> {
         let polled = Pin::new(&mut self.io).poll_read(context, buffer);
         if matches!(polled, Poll::Ready(Ok(()))) {
-            self.progress.on_bytes();
+            self.progress.on_bytes_read();
         }
         polled
     }
--- a/bin/lh-entry/src/attempt.rs
+++ b/bin/lh-entry/src/attempt.rs
@@ -1,4 +1,4 @@
-//! A request at a server, counted until its outcome is known.
+//! An attempt to serve a request, counted at its server until the outcome is known.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -10,20 +10,21 @@
 
 use crate::state::InstanceState;
 
-/// Counts a request at its server until its outcome is known.
+/// Counts an attempt at its server until the outcome is known. An attempt that is dropped before
+/// that counts as abandoned.
 pub(crate) struct AttemptGuard {
     state: Rc<InstanceState>,
     route: Rc<RouteSpec>,
     part: usize,
     object: Option<u64>,
     pub(crate) placement: Placement,
-    /// Names the request where a rollout of its service runs.
-    token: Option<SendToken>,
-    done: bool,
+    /// Identifies the request if a rollout of its service is in progress.
+    rollout_token: Option<SendToken>,
+    finished: bool,
 }
 
 impl AttemptGuard {
-    /// Counts a request of `route` that goes to the server of `placement`.
+    /// Counts a request on `route` that is sent to the server of `placement`.
     pub(crate) fn new(
         state: &Rc<InstanceState>,
         route: &Rc<RouteSpec>,
@@ -46,17 +47,17 @@
             part,
             object,
             placement,
-            token: sent.map(|(token, _)| token),
-            done: false,
+            rollout_token: sent.map(|(rollout_token, _)| rollout_token),
+            finished: false,
         }
     }
 
-    /// Takes in what became of it; the first call counts.
+    /// Records the outcome; calls after the first are ignored.
     pub(crate) fn finish(&mut self, outcome: ServerOutcome, report: Option<&ServerReport>) {
-        if self.done {
+        if self.finished {
             return;
         }
-        self.done = true;
+        self.finished = true;
         let request = PlacementRequest::new(&self.route, self.part).with_object(self.object);
         if let Some(part) = self.route.parts.get(self.part) {
             self.state
@@ -66,8 +67,8 @@
         let mut placer = self.state.placer.borrow_mut();
         placer.on_outcome(Instant::now(), &self.placement, &request, outcome, report);
         drop(placer);
-        if let Some(token) = self.token.take() {
-            self.state.rollouts.on_outcome(token, outcome);
+        if let Some(rollout_token) = self.rollout_token.take() {
+            self.state.rollouts.on_outcome(rollout_token, outcome);
         }
     }
 }
--- a/bin/lh-entry/src/print.rs
+++ b/bin/lh-entry/src/fingerprint.rs
@@ -1,5 +1,5 @@
-//! The print of a request: what tells it from others, and not one attempt of its caller
-//! from the next.
+//! Computes the fingerprint of a request, which is the same for every attempt of its caller and
+//! different for other requests.
 
 use hyper::header::{self, HeaderName};
 use hyper::{HeaderMap, Method, Uri};
@@ -8,9 +8,9 @@
 use sha2::{Digest, Sha256};
 
 use crate::caller;
-use crate::reply::is_hop_header;
+use crate::reply::is_hop_by_hop;
 
-/// Headers of tracing and clocks, which differ from one attempt to the next.
+/// Tracing and date headers, which differ between attempts.
 const TRACE_HEADERS: [HeaderName; 4] = [
     HeaderName::from_static("traceparent"),
     HeaderName::from_static("tracestate"),
@@ -18,12 +18,13 @@
     header::DATE,
 ];
 
-/// Bytes of a body that count: how many of a longer one are at hand differs each time.
-const PRINTED_BODY: usize = 64 << 10;
+/// Maximum number of bytes of the body that are hashed. How much of a larger body has arrived
+/// when the fingerprint is computed differs between attempts.
+const MAX_HASHED_BODY_BYTES: usize = 64 << 10;
 
-/// The print of a request with the beginning of its body. A cryptographic hash,
-/// so that no caller can make a request that is taken for another's.
-pub(crate) fn request_print(
+/// Computes the fingerprint of a request from its headers and the start of its body. The hash is
+/// cryptographic, so that no caller can forge a request with the fingerprint of another.
+pub(crate) fn request_fingerprint(
     method: &Method,
     target: &Uri,
     headers: &HeaderMap,
@@ -31,7 +32,7 @@
     body: &[u8],
 ) -> RequestFingerprint {
     let mut hasher = Sha256::new();
-    // What one team sends is held against no other.
+    // A request of one team must not put that of another team into quarantine.
     add(&mut hasher, team.as_bytes());
     add(&mut hasher, method.as_str().as_bytes());
     let target = target.path_and_query();
@@ -39,33 +40,34 @@
         &mut hasher,
         target.map_or("/", |target| target.as_str()).as_bytes(),
     );
-    let mut kept: Vec<(&str, &[u8])> = headers
+    let mut hashed_headers: Vec<(&str, &[u8])> = headers
         .iter()
-        .filter(|(name, _)| !is_of_attempt(name))
+        .filter(|(name, _)| !is_excluded(name))
         .map(|(name, value)| (name.as_str(), value.as_bytes()))
         .collect();
-    // A proxy on the way may send them in another order.
-    kept.sort_unstable();
-    for (name, value) in kept {
+    // A proxy in between may reorder the headers.
+    hashed_headers.sort_unstable();
+    for (name, value) in hashed_headers {
         add(&mut hasher, name.as_bytes());
         add(&mut hasher, value);
     }
-    add(&mut hasher, &body[..body.len().min(PRINTED_BODY)]);
+    add(&mut hasher, &body[..body.len().min(MAX_HASHED_BODY_BYTES)]);
     let digest = hasher.finalize();
     let mut half = [0; 16];
     half.copy_from_slice(&digest[..16]);
     RequestFingerprint(u128::from_be_bytes(half))
 }
 
-/// Adds a part with its length, so that no two lists of parts read alike.
+/// Hashes the length of a part and the part itself, so that different lists of parts never
+/// concatenate to the same input.
 fn add(hasher: &mut Sha256, part: &[u8]) {
     hasher.update((part.len() as u64).to_be_bytes());
     hasher.update(part);
 }
 
-fn is_of_attempt(name: &HeaderName) -> bool {
+fn is_excluded(name: &HeaderName) -> bool {
     headers::is_per_attempt(name)
-        || caller::is_of_attempt(name)
-        || is_hop_header(name)
+        || caller::is_per_attempt(name)
+        || is_hop_by_hop(name)
         || TRACE_HEADERS.contains(name)
 }
--- a/bin/lh-entry/src/pool.rs
+++ b/bin/lh-entry/src/pool.rs
@@ -1,5 +1,5 @@
-//! Connections to backend servers: opened when needed, kept for a while, and
-//! closed whenever anything about them is in doubt.
+//! Connection pool for backend servers. Connections are opened on demand, kept alive for a while,
+//! and closed if it is uncertain whether they can be reused.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -17,67 +17,68 @@
 
 use crate::body::RequestBody;
 
-/// Bytes that stay unacknowledged for this long break the connection: a server
-/// that lost power is noticed before most deadlines.
-const SILENCE: Duration = Duration::from_millis(1200);
-/// How long a connection is kept where the server doesn't say: servers whose
-/// time-out is under a second don't.
-const UNSTATED_KEEP: Duration = Duration::from_millis(400);
-/// Kept between the last use and the time at which the server closes.
-const CLOSE_MARGIN: Duration = Duration::from_millis(800);
-/// Idle connections kept to one server.
-const IDLE_MOST: usize = 16;
-
-/// A connection in use. Dropped without [`Lease::give_back`], it is closed.
+/// `TCP_USER_TIMEOUT` of connections to servers. It detects a server that lost power before most
+/// deadlines expire.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1200);
+/// How long an idle connection is kept if the server states no keep-alive timeout. Servers with a
+/// timeout of less than a second state none.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(400);
+/// Safety margin between the last use of a connection and the time at which the server closes it.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(800);
+/// Maximum number of idle connections per server.
+const MAX_IDLE_PER_SERVER: usize = 16;
+
+/// A connection in use. It is closed when dropped, unless it is returned with
+/// [`ConnectionPool::release`].
 #[derive(Debug)]
-pub(crate) struct Lease {
+pub(crate) struct ConnectionLease {
     server: String,
     sender: Option<SendRequest<RequestBody>>,
     task: AbortHandle,
-    /// Whether it served a request before.
+    /// Whether the connection has carried a request before.
     pub(crate) reused: bool,
 }
 
 #[derive(Debug)]
 struct IdleConnection {
-    lease: Lease,
-    since: Instant,
-    keep: Duration,
+    lease: ConnectionLease,
+    idle_since: Instant,
+    keep_alive: Duration,
 }
 
 /// Idle connections by server.
 #[derive(Debug)]
-pub(crate) struct ServerPool {
-    /// Longest time in which a server accepts a connection.
-    connect: Duration,
+pub(crate) struct ConnectionPool {
+    /// Timeout for establishing a connection.
+    connect_timeout: Duration,
     idle: RefCell<HashMap<String, Vec<IdleConnection>>>,
 }
 
-impl ServerPool {
-    /// A pool without connections; each may take `connect` to be made.
-    pub(crate) fn new(connect: Duration) -> Self {
+impl ConnectionPool {
+    /// Creates an empty pool whose connections must be established within `connect_timeout`.
+    pub(crate) fn new(connect_timeout: Duration) -> Self {
         Self {
-            connect,
+            connect_timeout,
             idle: RefCell::default(),
         }
     }
 
-    /// An idle connection to `server`, the one used last. `careful` leaves out
-    /// those that the server might be closing at this moment.
-    pub(crate) fn take(&self, server: &str, careful: bool) -> Option<Lease> {
+    /// Takes the most recently used idle connection to `server`. With `avoid_stale`, connections
+    /// past half of their keep-alive time are skipped, since the server may be closing them.
+    pub(crate) fn take(&self, server: &str, avoid_stale: bool) -> Option<ConnectionLease> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(server)?;
         while let Some(connection) = connections.pop() {
-            let age = connection.since.elapsed();
-            let keep = if careful {
-                connection.keep / 2
+            let age = connection.idle_since.elapsed();
+            let keep_alive = if avoid_stale {
+                connection.keep_alive / 2
             } else {
-                connection.keep
+                connection.keep_alive
             };
-            if age >= connection.keep || !connection.lease.is_usable() {
+            if age >= connection.keep_alive || !connection.lease.is_usable() {
                 continue;
             }
-            if age >= keep {
+            if age >= keep_alive {
                 connections.push(connection);
                 return None;
             }
@@ -89,22 +90,24 @@
     /// Opens a connection to `server` at `address`.
     ///
     /// # Errors
-    /// The reason, where none can be had; nothing was sent then.
+    /// Returns the reason if the connection can't be established. Nothing was sent in that case.
     pub(crate) async fn open(
         &self,
         server: &str,
         address: SocketAddr,
-        patience: Duration,
-    ) -> Result<Lease, String> {
-        let opening = TcpStream::connect(address);
-        let stream = match timeout(patience.min(self.connect), opening).await {
+        time_left: Duration,
+    ) -> Result<ConnectionLease, String> {
+        let connecting = TcpStream::connect(address);
+        let stream = match timeout(time_left.min(self.connect_timeout), connecting).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => return Err(error.to_string()),
-            Err(_) => return Err("no connection in time".to_owned()),
+            Err(_) => return Err("connect timed out".to_owned()),
         };
         let _ = stream.set_nodelay(true);
-        if let Err(error) = SockRef::from(&stream).set_tcp_user_timeout(Some(SILENCE)) {
-            log::debug!(error:%; "no bound on unacknowledged bytes");
+        if let Err(error) =
+            SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
+        {
+            log::debug!(error:%; "failed to set TCP_USER_TIMEOUT");
         }
         let (sender, connection) = Builder::new()
             .handshake(TokioIo::new(stream))
@@ -112,10 +115,10 @@
             .map_err(|error| error.to_string())?;
         let task = tokio::task::spawn_local(async move {
             if let Err(error) = connection.await {
-                log::debug!(error:%; "server connection ended");
+                log::debug!(error:%; "connection to a server failed");
             }
         });
-        Ok(Lease {
+        Ok(ConnectionLease {
             server: server.to_owned(),
             sender: Some(sender),
             task: task.abort_handle(),
@@ -123,43 +126,44 @@
         })
     }
 
-    /// Keeps `lease` for later, for as long as its answer's `headers` allow.
-    pub(crate) fn give_back(&self, mut lease: Lease, headers: &HeaderMap) {
-        let Some(keep) = keep_time(headers) else {
+    /// Returns `lease` to the pool for as long as the `headers` of its response allow.
+    pub(crate) fn release(&self, mut lease: ConnectionLease, headers: &HeaderMap) {
+        let Some(keep_alive) = parse_keep_alive(headers) else {
             return;
         };
         lease.reused = true;
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(lease.server.clone()).or_default();
-        if connections.len() >= IDLE_MOST {
+        if connections.len() >= MAX_IDLE_PER_SERVER {
             return;
         }
         connections.push(IdleConnection {
             lease,
-            since: Instant::now(),
-            keep,
+            idle_since: Instant::now(),
+            keep_alive,
         });
     }
 
     /// Closes the idle connections to `server`.
-    pub(crate) fn forget(&self, server: &str) {
+    pub(crate) fn close_idle(&self, server: &str) {
         self.idle.borrow_mut().remove(server);
     }
 
-    /// Closes connections that can't be used any more.
+    /// Removes connections that can't be reused any more.
     pub(crate) fn prune(&self) {
         let mut idle = self.idle.borrow_mut();
         for connections in idle.values_mut() {
             connections.retain(|connection| {
-                connection.lease.is_usable() && connection.since.elapsed() < connection.keep
+                connection.lease.is_usable()
+                    && connection.idle_since.elapsed() < connection.keep_alive
             });
         }
         idle.retain(|_, connections| !connections.is_empty());
     }
 }
 
-impl Lease {
-    /// The sending half.
+impl ConnectionLease {
+    /// Returns the half that sends requests.
     pub(crate) fn sender(&mut self) -> Option<&mut SendRequest<RequestBody>> {
         self.sender.as_mut()
     }
@@ -171,16 +175,16 @@
     }
 }
 
-impl Drop for Lease {
+impl Drop for ConnectionLease {
     fn drop(&mut self) {
-        // Ends the connection at once, so that the server stops its work.
+        // Closes the connection immediately, so that the server cancels the request.
         self.task.abort();
     }
 }
 
-/// How long a connection stays usable after an answer with `headers`; `None`
-/// where the server closes it.
-fn keep_time(headers: &HeaderMap) -> Option<Duration> {
+/// Returns how long a connection can be reused after a response with `headers`; `None` if the
+/// server closes it.
+fn parse_keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let closing = headers
         .get_all(CONNECTION)
         .iter()
@@ -199,9 +203,9 @@
                 .find_map(|part| part.trim().strip_prefix("timeout="))
         })
         .and_then(|seconds| seconds.trim().parse::<u64>().ok());
-    let keep = match stated {
-        Some(seconds) => Duration::from_secs(seconds).saturating_sub(CLOSE_MARGIN),
-        None => UNSTATED_KEEP,
+    let keep_alive = match stated {
+        Some(seconds) => Duration::from_secs(seconds).saturating_sub(KEEP_ALIVE_MARGIN),
+        None => DEFAULT_KEEP_ALIVE,
     };
-    (!keep.is_zero()).then_some(keep)
+    (!keep_alive.is_zero()).then_some(keep_alive)
 }
--- a/bin/lh-entry/src/problem.rs
+++ b/bin/lh-entry/src/problem.rs
@@ -1,5 +1,5 @@
-//! The entry's own answers: what became of the request, why, and when to come back.
-//! On the own interface they carry a problem document (RFC 9457).
+//! Responses by the entry itself: the outcome of the request, the reason, and when to retry. On
+//! the product's own interface they contain a problem document (RFC 9457).
 
 use base::outcome::OUTCOME_HEADER;
 use base::prelude::*;
@@ -9,13 +9,13 @@
 use once::StoredAnswer;
 use platform::headers;
 
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 use crate::caller::{Caller, Interface};
 
-/// Header with the time to come back in milliseconds, finer than `Retry-After`.
+/// Header with the retry time in milliseconds, for which `Retry-After` is too coarse.
 const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("laurelhill-retry-after-ms");
 
-/// Why a request gets no answer from a backend server.
+/// The reason why a request gets its response from the entry instead of a backend server.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Problem {
     pub(crate) status: StatusCode,
@@ -27,7 +27,7 @@
 }
 
 impl Problem {
-    /// A problem of a request that was not run.
+    /// Creates the problem of a request that did not run.
     pub(crate) fn new(status: StatusCode, kind: &'static str, detail: &str) -> Self {
         Self {
             status,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The kept answer of a request that was run before, given again.
+    /// Creates a response that repeats the stored answer of an earlier run.
     pub(crate) fn replay(answer: StoredAnswer) -> Self {
         let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
         let mut problem = Self::new(status, "replay", "").with_outcome(Outcome::Done);
@@ -47,31 +47,31 @@
         problem
     }
 
-    /// States another outcome.
+    /// Sets the outcome.
     #[must_use]
     pub(crate) fn with_outcome(mut self, outcome: Outcome) -> Self {
         self.outcome = outcome;
         self
     }
 
-    /// States when to come back.
+    /// Sets the time after which the caller may retry.
     #[must_use]
-    pub(crate) fn with_return(mut self, after: Duration) -> Self {
-        self.retry_after = Some(after);
+    pub(crate) fn with_retry_after(mut self, retry_after: Duration) -> Self {
+        self.retry_after = Some(retry_after);
         self
     }
 
-    /// The answer to `caller`.
-    pub(crate) fn into_response(self, caller: &Caller) -> Response<AnswerBody> {
+    /// Builds the response to `caller`.
+    pub(crate) fn into_response(self, caller: &Caller) -> Response<ResponseBody> {
         let mut response = match (self.replay, caller.interface) {
-            (Some(answer), _) => replayed(*answer),
+            (Some(answer), _) => replay_response(*answer),
             (None, Interface::Own) => {
                 problem_document(self.status, self.kind, &self.detail, self.outcome)
             }
-            (None, Interface::Platform) => Response::new(AnswerBody::whole(Bytes::new())),
+            (None, Interface::Platform) => Response::new(ResponseBody::buffered(Bytes::new())),
         };
         *response.status_mut() = self.status;
-        state_outcome(&mut response, self.outcome);
+        set_outcome(&mut response, self.outcome);
         let headers = response.headers_mut();
         if let Some(id) = &caller.request_id {
             headers::write_request_id(headers, id);
@@ -86,8 +86,8 @@
             (Some(after), Interface::Platform) => headers::write_retry_after(headers, after),
             (Some(after), Interface::Own) => {
                 let seconds = after.as_millis().div_ceil(1000).max(1);
-                headers.insert(RETRY_AFTER, number(seconds));
-                headers.insert(RETRY_AFTER_MS, number(after.as_millis()));
+                headers.insert(RETRY_AFTER, header_number(seconds));
+                headers.insert(RETRY_AFTER_MS, header_number(after.as_millis()));
             }
             (None, _) => {}
         }
@@ -95,8 +95,8 @@
     }
 }
 
-/// States what became of the request that `response` answers.
-pub(crate) fn state_outcome(response: &mut Response<AnswerBody>, outcome: Outcome) {
+/// Sets the header of `response` that states the outcome of its request.
+pub(crate) fn set_outcome(response: &mut Response<ResponseBody>, outcome: Outcome) {
     let value = HeaderValue::from_static(outcome.as_str());
     let name = HeaderName::from_static(OUTCOME_HEADER);
     response.headers_mut().insert(name, value);
@@ -107,7 +107,7 @@
     kind: &str,
     detail: &str,
     outcome: Outcome,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let body = serde_json::json!({
         "type": format!("urn:laurelhill:{kind}"),
         "title": status.canonical_reason().unwrap_or("Problem"),
@@ -115,20 +115,20 @@
         "detail": detail,
         "outcome": outcome.as_str(),
     });
-    let mut response = Response::new(AnswerBody::whole(Bytes::from(body.to_string())));
+    let mut response = Response::new(ResponseBody::buffered(Bytes::from(body.to_string())));
     let document = HeaderValue::from_static("application/problem+json");
     response.headers_mut().insert(CONTENT_TYPE, document);
     response
 }
 
-fn replayed(answer: StoredAnswer) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(answer.body));
+fn replay_response(answer: StoredAnswer) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::buffered(answer.body));
     if let Some(Ok(value)) = answer.content_type.map(HeaderValue::try_from) {
         response.headers_mut().insert(CONTENT_TYPE, value);
     }
     response
 }
 
-fn number(value: u128) -> HeaderValue {
+fn header_number(value: u128) -> HeaderValue {
     HeaderValue::from(u64::try_from(value).unwrap_or(u64::MAX))
 }
--- a/bin/lh-entry/src/quarantine.rs
+++ b/bin/lh-entry/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! The store's rows of requests in quarantine: what must outlive all entries.
+//! Stores requests in quarantine as rows, so that they survive a restart of all entries.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,39 +11,45 @@
 use crate::state::InstanceState;
 use crate::watch::PATIENCE;
 
-/// What `rows` say of requests in quarantine.
-pub(crate) fn read(rows: &[&Row]) -> Vec<StoredQuarantine> {
-    let mut kept = Vec::new();
+/// Parses the quarantines in `rows`, and skips rows of other kinds or that are invalid.
+pub(crate) fn parse_rows(rows: &[&Row]) -> Vec<StoredQuarantine> {
+    let mut quarantines = Vec::new();
     for row in rows {
         if !QuarantineRow::is_quarantine_key(row) {
             continue;
         }
-        let read = QuarantineRow::read(row)
-            .and_then(|row| RequestFingerprint::parse(&row.print).map(|print| (print, row)));
-        let Some((print, QuarantineRow { age, lifted, .. })) = read else {
-            log::warn!(key = row.key.as_str(); "row of a request in quarantine left out");
+        let parsed = QuarantineRow::read(row).and_then(|row| {
+            RequestFingerprint::parse(&row.print).map(|fingerprint| (fingerprint, row))
+        });
+        let Some((fingerprint, QuarantineRow { age, lifted, .. })) = parsed else {
+            log::warn!(key = row.key.as_str(); "invalid quarantine row ignored");
             continue;
         };
-        kept.push(StoredQuarantine { print, age, lifted });
+        quarantines.push(StoredQuarantine {
+            print: fingerprint,
+            age,
+            lifted,
+        });
     }
-    kept
+    quarantines
 }
 
-/// Writes a row for each of `quarantines`, which began so long ago.
-pub(crate) async fn keep(
+/// Writes a row for each of `quarantines`, given with its age.
+pub(crate) async fn write_rows(
     state: Rc<InstanceState>,
     quarantines: Vec<(RequestFingerprint, Duration)>,
 ) {
     let writes = quarantines.iter();
-    let writes = writes.map(|(print, age)| QuarantineRow::begin_write(&print.key(), *age));
+    let writes =
+        writes.map(|(fingerprint, age)| QuarantineRow::begin_write(&fingerprint.key(), *age));
     commit(&state, &writes.collect::<Vec<_>>()).await;
 }
 
-/// Deletes the rows of `prints`.
-pub(crate) async fn drop_rows(state: Rc<InstanceState>, prints: Vec<RequestFingerprint>) {
-    let writes = prints
+/// Deletes the rows of `fingerprints`.
+pub(crate) async fn delete_rows(state: Rc<InstanceState>, fingerprints: Vec<RequestFingerprint>) {
+    let writes = fingerprints
         .iter()
-        .map(|print| QuarantineRow::delete_write(&print.key()));
+        .map(|fingerprint| QuarantineRow::delete_write(&fingerprint.key()));
     commit(&state, &writes.collect::<Vec<_>>()).await;
 }
 
@@ -53,7 +59,7 @@
     let error = result.as_ref().err().map(store::Error::kind);
     state.metrics.on_store_call("quarantine", error);
     if let Err(error) = result {
-        // The next look at the rows finds what is missing or over.
-        log::info!(error:%; "rows of requests in quarantine not written");
+        // The next read of the rows finds what is missing or left over.
+        log::info!(error:%; "failed to write quarantine rows");
     }
 }
--- a/bin/lh-entry/src/state.rs
+++ b/bin/lh-entry/src/state.rs
@@ -25,18 +25,18 @@
 use team::index::TeamIndex;
 use team::quota::QuotaLimiter;
 
+use crate::admission;
 use crate::config::EntryConfig;
-use crate::crash::CrashDesk;
-use crate::door;
+use crate::crash::CrashProbes;
 use crate::fleet::FleetDesk;
 use crate::homes::HomeBook;
 use crate::logs::LineLimit;
 use crate::metrics::EntryMetrics;
-use crate::pool::ServerPool;
+use crate::pool::ConnectionPool;
 use crate::rollout::RolloutDesk;
 use crate::stop::StopPhase;
-use crate::suspension::SuspensionMeter;
-use crate::ticket::TicketDesk;
+use crate::suspension::SuspensionDetector;
+use crate::ticket::TicketTable;
 use crate::view::EncodedChanges;
 use crate::watch::Dependency;
 use crate::words::WordDesk;
@@ -47,7 +47,7 @@
     pub(crate) config: EntryConfig,
     /// This run of the instance.
     pub(crate) node: NodeId,
-    pub(crate) tickets: TicketDesk,
+    pub(crate) tickets: TicketTable,
     pub(crate) placer: RefCell<RequestPlacer>,
     pub(crate) routes: RefCell<Rc<RouteTable>>,
     pub(crate) desired: RefCell<Option<Rc<DesiredState>>>,
@@ -70,7 +70,7 @@
     /// The part in the fleet.
     pub(crate) fleet: FleetDesk,
     /// Times at which the machine stood still.
-    suspensions: RefCell<SuspensionMeter>,
+    suspensions: RefCell<SuspensionDetector>,
     /// Which versions of services get requests.
     pub(crate) rollouts: RolloutDesk,
     /// What each team asks for.
@@ -85,9 +85,9 @@
     pub(crate) told_rate: Cell<u32>,
     /// Home regions of client addresses.
     pub(crate) homes: RefCell<HomeBook>,
-    pub(crate) pool: ServerPool,
+    pub(crate) pool: ConnectionPool,
     /// Servers that broke off requests.
-    pub(crate) crashes: CrashDesk,
+    pub(crate) crashes: CrashProbes,
     pub(crate) metrics: EntryMetrics,
     pub(crate) stop: Cell<StopPhase>,
     pub(crate) stopping: tokio::sync::watch::Sender<StopPhase>,
@@ -112,7 +112,7 @@
         let (stopping, _) = tokio::sync::watch::channel(StopPhase::Serving);
         let node = NodeId::new(&InstanceId::new(&config.instance), Incarnation(incarnation));
         Self {
-            tickets: TicketDesk::new(&node, config.once_records),
+            tickets: TicketTable::new(&node, config.once_records),
             node,
             placer: RefCell::new(placer),
             routes: RefCell::default(),
@@ -136,8 +136,8 @@
             meter: RefCell::default(),
             told_rate: Cell::new(0),
             homes: RefCell::default(),
-            pool: ServerPool::new(config.connect),
-            crashes: CrashDesk::default(),
+            pool: ConnectionPool::new(config.connect),
+            crashes: CrashProbes::default(),
             metrics,
             stop: Cell::new(StopPhase::Serving),
             stopping,
@@ -184,7 +184,7 @@
 
     /// Finds out whether the machine stood still.
     fn notice_suspension(&self) {
-        let Some(span) = self.suspensions.borrow_mut().take() else {
+        let Some(span) = self.suspensions.borrow_mut().detect() else {
             return;
         };
         log::warn!(span_ms = span.as_millis() as u64; "the machine stood still");
@@ -397,7 +397,7 @@
         for change in changes {
             if let CatalogChange::Restarted(id) = change {
                 // Its connections ended with the former run.
-                self.pool.forget(id);
+                self.pool.close_idle(id);
             }
             log_change(change, source);
         }
@@ -453,7 +453,7 @@
         for key in teams.shared_keys() {
             log::error!(key:%, version = desired.version; "key of two teams; it names neither");
         }
-        let apart = door::check_homes(desired, &self.apart.borrow());
+        let apart = admission::log_region_conflicts(desired, &self.apart.borrow());
         *self.apart.borrow_mut() = apart;
         let mut quota = self.quota.borrow_mut();
         quota.set_teams(Instant::now(), &desired.teams);
--- a/bin/lh-entry/src/ticket.rs
+++ b/bin/lh-entry/src/ticket.rs
@@ -1,4 +1,4 @@
-//! Requests under tickets: which may run here, and what repeats of them are told.
+//! At-most-once requests: checks their tickets and responds to repeats.
 
 use std::cell::RefCell;
 use std::collections::hash_map::DefaultHasher;
@@ -10,68 +10,68 @@
 use hyper::{HeaderMap, Method, Response, StatusCode};
 use once::{OnceKey, OnceState, OnceTable, OnceVerdict, StampKey, StoredAnswer, TicketVerdict};
 
-use crate::body::AnswerBody;
-use crate::caller::TicketHead;
+use crate::body::ResponseBody;
+use crate::caller::TicketHeaders;
 use crate::problem::Problem;
 
-/// How long a stamp is good beyond the life of the look-ups' answers that carry it: a
-/// caller may go on using a ticket for about as long.
-const STAMP_TIME: Duration = Duration::from_secs(60);
-/// Time between two stamps: well within their life.
-const STAMP_EVERY: Duration = Duration::from_secs(5);
-/// When a caller comes back to a request that is still running, or to an entry that
-/// remembers too many.
-const LATER: Duration = Duration::from_secs(1);
+/// Lifetime of a stamp, which exceeds that of the look-up answers that contain it. A caller may
+/// use a ticket for about this long.
+const STAMP_LIFETIME: Duration = Duration::from_secs(60);
+/// Interval at which a new stamp is made, well below the lifetime of a stamp.
+const STAMP_REFRESH_INTERVAL: Duration = Duration::from_secs(5);
+/// Retry time for a repeat of a request that is still running, and for a request that does not fit
+/// into the table.
+const REPEAT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The records of this run of the entry.
+/// The tickets and records of at-most-once requests of this run of the entry.
 #[derive(Debug)]
-pub(crate) struct TicketDesk {
+pub(crate) struct TicketTable {
     table: RefCell<OnceTable>,
-    stamps: StampKey,
+    stamp_key: StampKey,
     stamp: RefCell<Option<(Instant, String)>>,
 }
 
-impl TicketDesk {
-    /// A desk of the run `node` that remembers `most` requests.
-    pub(crate) fn new(node: &NodeId, most: usize) -> Self {
+impl TicketTable {
+    /// Creates the table of the run `node` with at most `capacity` records.
+    pub(crate) fn new(node: &NodeId, capacity: usize) -> Self {
         Self {
-            table: RefCell::new(OnceTable::new(most)),
-            stamps: StampKey::new(node, rand::random(), Instant::now()),
+            table: RefCell::new(OnceTable::new(capacity)),
+            stamp_key: StampKey::new(node, rand::random(), Instant::now()),
             stamp: RefCell::default(),
         }
     }
 
-    /// The stamp that tickets for this run are made of now.
+    /// Returns the current stamp, from which tickets for this run are made.
     pub(crate) fn stamp(&self, now: Instant) -> String {
         let mut stamp = self.stamp.borrow_mut();
         let fresh = stamp
             .as_ref()
-            .is_some_and(|(at, _)| now.saturating_duration_since(*at) < STAMP_EVERY);
+            .is_some_and(|(at, _)| now.saturating_duration_since(*at) < STAMP_REFRESH_INTERVAL);
         if !fresh {
-            *stamp = Some((now, self.stamps.stamp(now + STAMP_TIME)));
+            *stamp = Some((now, self.stamp_key.stamp(now + STAMP_LIFETIME)));
         }
         stamp
             .as_ref()
             .map_or(String::new(), |(_, text)| text.clone())
     }
 
-    /// Whether the ticket is one of this run's that may still be used: the key of its
-    /// request, which is `owner`'s, and when the ticket ends.
+    /// Checks that the ticket was issued by this run and is still valid. Returns the key of the
+    /// request, which belongs to `owner`, and the time at which the ticket expires.
     ///
     /// # Errors
-    /// The answer, where it may not.
+    /// Returns the problem to respond with if the ticket is forged or has expired.
     pub(crate) fn check(
         &self,
         now: Instant,
-        head: &TicketHead,
+        ticket_headers: &TicketHeaders,
         owner: u64,
     ) -> Result<(OnceKey, Instant), Problem> {
         let key = OnceKey {
             owner,
-            nonce: head.ticket.nonce,
-            number: head.number,
+            nonce: ticket_headers.ticket.nonce,
+            number: ticket_headers.number,
         };
-        match self.stamps.check(now, &head.ticket) {
+        match self.stamp_key.check(now, &ticket_headers.ticket) {
             TicketVerdict::Valid(end) => Ok((key, end)),
             TicketVerdict::Forged => Err(Problem::new(
                 StatusCode::FORBIDDEN,
@@ -79,8 +79,8 @@
                 "the ticket was not issued by this instance; look up again",
             )),
             TicketVerdict::Expired(end) if now < end + OnceTable::retention() => {
-                let known = self.table.borrow().find(&key).cloned();
-                Err(known.map_or_else(expired, repeat_problem))
+                let record = self.table.borrow().find(&key).cloned();
+                Err(record.map_or_else(ticket_expired, repeat_problem))
             }
             TicketVerdict::Expired(_) => Err(unknown(
                 "the ticket expired so long ago that an earlier copy may have been forgotten",
@@ -88,10 +88,10 @@
         }
     }
 
-    /// Records that a request is about to run.
+    /// Records a request that is about to run.
     ///
     /// # Errors
-    /// The answer, where it may not run.
+    /// Returns the problem to respond with if the request must not run.
     pub(crate) fn begin(
         &self,
         now: Instant,
@@ -116,23 +116,28 @@
                 "too-many-records",
                 "too many requests are remembered here; look up again",
             )
-            .with_return(LATER)),
+            .with_retry_after(REPEAT_RETRY_AFTER)),
         }
     }
 
-    /// Records what became of a request that was begun.
-    pub(crate) fn finish(&self, key: &OnceKey, outcome: Outcome, response: &Response<AnswerBody>) {
+    /// Records the outcome of a request that has been started.
+    pub(crate) fn finish(
+        &self,
+        key: &OnceKey,
+        outcome: Outcome,
+        response: &Response<ResponseBody>,
+    ) {
         let state = match outcome {
             Outcome::NotRun => OnceState::Refused,
             Outcome::Unknown => OnceState::Unknown,
-            Outcome::Done => OnceState::Done(kept_answer(response)),
+            Outcome::Done => OnceState::Done(to_stored_answer(response)),
         };
         self.table.borrow_mut().finish(key, state);
     }
 }
 
-/// A request without a ticket where one is needed.
-pub(crate) fn ticket_needed() -> Problem {
+/// The problem of a request without a ticket on a route that requires one.
+pub(crate) fn ticket_required() -> Problem {
     Problem::new(
         StatusCode::PRECONDITION_REQUIRED,
         "ticket-required",
@@ -140,8 +145,8 @@
     )
 }
 
-/// The run that a ticket is bound to is gone. Only the caller can know whether an
-/// earlier copy of the request reached it.
+/// The problem of a request whose ticket is bound to a run that no longer exists. Only the caller
+/// can know whether an earlier copy of the request reached that run.
 pub(crate) fn stale_ticket(first_attempt: bool) -> Problem {
     if first_attempt {
         return Problem::new(
@@ -153,22 +158,21 @@
     unknown("the instance that the ticket is bound to can't be reached")
 }
 
-/// What may have run.
+/// The problem of a request that may have run.
 pub(crate) fn unknown(detail: &str) -> Problem {
     Problem::new(StatusCode::CONFLICT, "outcome-unknown", detail).with_outcome(Outcome::Unknown)
 }
 
-fn expired() -> Problem {
+fn ticket_expired() -> Problem {
     let detail = "the ticket has expired; look up again";
     Problem::new(StatusCode::GONE, "ticket-expired", detail)
 }
 
-/// The answer to a repeated request, from the record of the first one.
+/// Builds the response to a repeated request from the record of the first one.
 fn repeat_problem(state: OnceState) -> Problem {
     match state {
-        OnceState::Running => {
-            unknown("the request is still being worked on; ask again").with_return(LATER)
-        }
+        OnceState::Running => unknown("the request is still being worked on; ask again")
+            .with_retry_after(REPEAT_RETRY_AFTER),
         OnceState::Refused => Problem::new(
             StatusCode::CONFLICT,
             "refused-before",
@@ -185,8 +189,8 @@
     }
 }
 
-/// Tells one request from another that comes under the same number.
-pub(crate) fn fingerprint(
+/// Computes a hash that tells apart different requests under the same number.
+pub(crate) fn ticket_fingerprint(
     method: &Method,
     target: &hyper::Uri,
     headers: &HeaderMap,
@@ -202,7 +206,7 @@
     hasher.finish()
 }
 
-fn kept_answer(response: &Response<AnswerBody>) -> Option<StoredAnswer> {
+fn to_stored_answer(response: &Response<ResponseBody>) -> Option<StoredAnswer> {
     let content_type = response.headers().get(CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok());
     Some(StoredAnswer {
--- a/bin/lh-entry/tests/crashes.rs
+++ b/bin/lh-entry/tests/crashes.rs
@@ -1,10 +1,10 @@
-//! Servers of one service ended one after the other, fifteen of them within five seconds,
-//! and again half a minute later. At each of them the same request was at work: its callers
-//! sent it again to any entry, and each entry took each arrival for a new one, sent it to a
-//! second server when the first broke off, and told nobody. What one entry had seen was
-//! forgotten with the answer. Requests that were caught beside it were answered by other
-//! servers, so that nothing but the cause was at every end. Lines of different entries that
-//! name the same request settled it:
+//! A request that crashes every server that runs it must not take down a whole service.
+//!
+//! Without a quarantine, callers retry such a request at any entry, and each entry treats it as
+//! new and retries it on a second server: it once crashed fifteen servers within five seconds, and
+//! again half a minute later. Other requests in flight at the crashes succeed on other servers, so
+//! that only the cause is present at every crash. The log lines of different entries then name the
+//! same request:
 //!
 //! ```text
 //! n0 server ended under requests, server i-0, prints ab9c5761c91e
@@ -21,41 +21,41 @@
 use tokio::net::TcpStream;
 use world::{BOARD, DESK, EntryProcess, World, exchange, request_for, until};
 
-/// Path of the request that ends the servers that run it.
+/// Path of the request that crashes every server that runs it.
 const FATAL: &str = "/board/fatal";
-/// In the path of each request that ends servers.
-const FATAL_WORD: &str = "/fatal";
-/// Servers that it may end before it must be known everywhere.
-const FREE_ENDS: usize = 3;
-/// Time from the third end until all entries must know of it, in which the request comes on.
-const SPREAD_TIME: Duration = Duration::from_secs(4);
-/// Sends allowed after that, over all entries.
-const LATE_SENDS: usize = 3;
-/// Pause between two arrivals of the request.
-const PAUSE: Duration = Duration::from_millis(150);
+/// Part of the path by which the servers recognize a request that crashes them.
+const FATAL_PATH_PART: &str = "/fatal";
+/// Number of servers that the request may crash before all entries must know of it.
+const ALLOWED_CRASHES: usize = 3;
+/// Time after the third crash by which all entries must know of the request, which keeps arriving.
+const PROPAGATION_TIME: Duration = Duration::from_secs(4);
+/// Maximum number of times that all entries together may forward the request after that.
+const MAX_LATE_SENDS: usize = 3;
+/// Interval between two arrivals of the request.
+const ARRIVAL_INTERVAL: Duration = Duration::from_millis(150);
 
-/// A service whose servers come back with a new name after they have ended.
-struct FragileService {
+/// A service whose crashed servers are replaced by new ones.
+struct CrashingService {
     world: World,
     started: usize,
 }
 
-impl FragileService {
+impl CrashingService {
     async fn new() -> Self {
         let mut service = Self {
             world: World::new(0).await,
             started: 0,
         };
-        service.refill().await;
+        service.replace_crashed().await;
         service
     }
 
-    /// Starts a new server for each one that has ended.
-    async fn refill(&mut self) {
+    /// Starts a new server for each one that has crashed.
+    async fn replace_crashed(&mut self) {
         let running = |backend: &&FakeBackend| !backend.has_ended();
         for _ in self.world.backends.iter().filter(running).count()..8 {
             let backend = FakeBackend::start(&format!("i-{}", self.started)).await;
-            backend.set_fatal(FATAL_WORD);
+            backend.set_fatal(FATAL_PATH_PART);
             backend.set_behavior(Behavior::Run(Duration::from_millis(20)));
             let mut entry = server_entry(BOARD.service, backend.address(), "ready", 1);
             let zone = if self.started.is_multiple_of(2) {
@@ -75,33 +75,33 @@
         }
     }
 
-    fn ended(&self) -> usize {
-        let ended = |backend: &&FakeBackend| backend.has_ended();
-        self.world.backends.iter().filter(ended).count()
+    fn crashed(&self) -> usize {
+        let crashed = |backend: &&FakeBackend| backend.has_ended();
+        self.world.backends.iter().filter(crashed).count()
     }
 
-    /// How often the request reached a server.
-    fn sends(&self) -> usize {
+    /// Returns how often the request was forwarded to a server.
+    fn forwarded_count(&self) -> usize {
         let seen = self.world.backends.iter().flat_map(FakeBackend::seen);
         seen.filter(|request| request.line.contains(FATAL)).count()
     }
 }
 
-/// Lets the request end servers until `entry` refuses it.
-async fn until_refused(service: &mut FragileService, entry: &EntryProcess) {
+/// Lets the request crash servers until `entry` refuses it.
+async fn crash_until_quarantined(service: &mut CrashingService, entry: &EntryProcess) {
     for arrival in 0.. {
-        if ask(entry, "fatal", FATAL, &format!("f{arrival}")).await == 503
+        if send(entry, "fatal", FATAL, &format!("f{arrival}")).await == 503
             && !quarantined(entry).await.is_empty()
         {
             return;
         }
-        assert!(arrival < 100, "it is never refused");
-        service.refill().await;
-        tokio::time::sleep(PAUSE).await;
+        assert!(arrival < 100, "the request is never refused");
+        service.replace_crashed().await;
+        tokio::time::sleep(ARRIVAL_INTERVAL).await;
     }
 }
 
-/// The requests in quarantine, as the entry shows them.
+/// Returns the requests in quarantine from the status of the entry.
 async fn quarantined(entry: &EntryProcess) -> String {
     let document = entry.document("/v1/status").await;
     let prints = document["quarantined"].as_array().cloned();
@@ -110,17 +110,17 @@
     prints.collect::<Vec<_>>().join(" ")
 }
 
-async fn ask(entry: &EntryProcess, object: &str, path: &str, id: &str) -> u16 {
+async fn send(entry: &EntryProcess, object: &str, path: &str, id: &str) -> u16 {
     let mut sender = entry.connect().await;
     let answer = exchange(&mut sender, request_for(object, "GET", path, id, b"")).await;
     answer.expect("an answer").status
 }
 
-/// Promise: a request that has ended three servers reaches hardly any more, at whichever
-/// entry it comes again, and nobody else is refused for it.
+/// A request that has crashed three servers reaches almost no further server, whichever entry
+/// receives it, and no other request is refused.
 #[tokio::test]
-async fn a_request_that_ends_servers_stops_at_three() {
-    let mut service = FragileService::new().await;
+async fn a_request_that_crashes_servers_is_quarantined_after_three() {
+    let mut service = CrashingService::new().await;
     let store = service.world.store.address();
     let first = EntryProcess::start_in("zone-a", "north", store, "n0", &[]);
     let seeds = [first.ip];
@@ -143,64 +143,67 @@
         entry.wait_ready().await;
     }
     let mut arrivals = 0;
-    let mut third_at = None;
-    while third_at.is_none_or(|at: tokio::time::Instant| at.elapsed() < SPREAD_TIME) {
+    let mut third_crash_at = None;
+    while third_crash_at.is_none_or(|at: tokio::time::Instant| at.elapsed() < PROPAGATION_TIME) {
         let entry = &entries[arrivals % entries.len()];
         let (fatal_id, other_id) = (format!("f{arrivals}"), format!("o{arrivals}"));
         let path = format!("/board/{}", arrivals % 5);
         tokio::join!(
-            ask(entry, "fatal", FATAL, &fatal_id),
-            ask(entry, "other", &path, &other_id),
+            send(entry, "fatal", FATAL, &fatal_id),
+            send(entry, "other", &path, &other_id),
         );
         arrivals += 1;
-        if service.ended() >= FREE_ENDS && third_at.is_none() {
-            third_at = Some(tokio::time::Instant::now());
+        if service.crashed() >= ALLOWED_CRASHES && third_crash_at.is_none() {
+            third_crash_at = Some(tokio::time::Instant::now());
         }
-        service.refill().await;
-        tokio::time::sleep(PAUSE).await;
+        service.replace_crashed().await;
+        tokio::time::sleep(ARRIVAL_INTERVAL).await;
     }
-    let before = service.sends();
+    let before = service.forwarded_count();
     for round in 0..3 {
         for (index, entry) in entries.iter().enumerate() {
-            ask(entry, "fatal", FATAL, &format!("late-{round}-{index}")).await;
+            send(entry, "fatal", FATAL, &format!("late-{round}-{index}")).await;
         }
-        service.refill().await;
+        service.replace_crashed().await;
     }
-    let late = service.sends() - before;
+    let late = service.forwarded_count() - before;
     assert!(
-        late <= LATE_SENDS,
-        "{late} sends after {before}, {} ended",
-        service.ended()
+        late <= MAX_LATE_SENDS,
+        "forwarded {late} times after {before}, {} servers crashed",
+        service.crashed()
     );
     for (index, entry) in entries.iter().enumerate() {
         for object in 0..5 {
             let path = format!("/board/{object}");
-            until("everybody else is served", async || {
-                ask(entry, "other", &path, &format!("after-{index}-{object}")).await == 200
+            until("other requests are served", async || {
+                send(entry, "other", &path, &format!("after-{index}-{object}")).await == 200
             })
             .await;
         }
     }
 }
 
-/// Promise: the refusal says that it has not run and when to come back, and shows in the
-/// entry's line, its metrics and its status.
+/// The refusal says that the request did not run and when to retry, and is visible in the log, the
+/// metrics and the status of the entry.
 #[tokio::test]
-async fn a_refused_request_is_told_why() {
-    let mut service = FragileService::new().await;
+async fn a_quarantined_request_gets_a_reason_and_a_retry_time() {
+    let mut service = CrashingService::new().await;
     let entry = EntryProcess::ready(&service.world, "n1").await;
-    until_refused(&mut service, &entry).await;
-    let sends = service.sends();
-    let other = ask(&entry, "other", FATAL, "other").await;
-    assert_eq!(other, 502, "another object is another request");
+    crash_until_quarantined(&mut service, &entry).await;
+    let forwarded_count = service.forwarded_count();
+    let other = send(&entry, "other", FATAL, "other").await;
+    assert_eq!(other, 502, "the fingerprint must depend on the object");
     let mut sender = entry.connect().await;
     let request = request_for("fatal", "GET", FATAL, "refused", b"");
     let answer = exchange(&mut sender, request).await.unwrap();
     assert_eq!(answer.status, 503);
     let seconds: f64 = answer.header("retry-after").parse().unwrap();
     assert!(seconds > 60.0, "{seconds}");
-    assert!(service.sends() > sends, "only the other one was sent");
-    until("it is logged", async || {
+    assert!(
+        service.forwarded_count() > forwarded_count,
+        "the request for the other object must be forwarded"
+    );
+    until("the refusal is logged", async || {
         let lines = entry.logged("\"refused\"");
         lines.iter().any(|line| line.contains("\"quarantined\""))
     })
@@ -216,7 +219,7 @@
     assert!(metrics.contains("laurelhill_refusals_total{reason=\"quarantined\"}"));
 }
 
-/// Sends a body of 2 MB in two pieces, the first of `first` bytes; the status line.
+/// Sends a body of 2 MB in two pieces, the first of `first` bytes, and returns the status line.
 async fn upload(entry: &EntryProcess, id: &str, first: usize) -> String {
     let body = vec![b'x'; 2_000_000];
     let mut stream = TcpStream::connect(entry.callers()).await.unwrap();
@@ -228,18 +231,17 @@
     stream.write_all(head.as_bytes()).await.unwrap();
     stream.write_all(&body[..first]).await.unwrap();
     tokio::time::sleep(Duration::from_millis(30)).await;
-    // A refused one is not read to its end.
+    // The entry doesn't read the whole body of a refused request.
     let _ = stream.write_all(&body[first..]).await;
     let mut line = String::new();
     let _ = BufReader::new(stream).read_line(&mut line).await;
     line
 }
 
-/// Promise: a body that is passed on in pieces, which differ each time, makes no other
-/// request of it.
+/// The fingerprint of a streamed upload doesn't depend on how much of its body arrives first.
 #[tokio::test]
-async fn a_large_upload_that_ends_servers_is_refused() {
-    let mut service = FragileService::new().await;
+async fn a_streamed_upload_that_crashes_servers_is_quarantined() {
+    let mut service = CrashingService::new().await;
     let desired = with_body_limit(desired_state(9, &[BOARD, DESK]), 8 << 20);
     service.world.store.put("op", "config", &desired);
     let entry = EntryProcess::ready(&service.world, "n1").await;
@@ -252,31 +254,31 @@
         if status.contains("503") && !quarantined(&entry).await.is_empty() {
             return;
         }
-        service.refill().await;
-        tokio::time::sleep(PAUSE).await;
+        service.replace_crashed().await;
+        tokio::time::sleep(ARRIVAL_INTERVAL).await;
     }
-    panic!("it is never refused");
+    panic!("the request is never refused");
 }
 
-/// Promise: a request that ends servers is still refused after all entries were lost.
+/// A request that crashes servers is still refused after all entries have been restarted.
 #[tokio::test]
-async fn a_quarantine_outlives_all_entries() {
-    let mut service = FragileService::new().await;
+async fn a_quarantine_survives_the_loss_of_all_entries() {
+    let mut service = CrashingService::new().await;
     let entry = EntryProcess::ready(&service.world, "n1").await;
-    until_refused(&mut service, &entry).await;
-    until("the store keeps it", async || {
+    crash_until_quarantined(&mut service, &entry).await;
+    until("the quarantine is stored", async || {
         let rows = service.world.store.row_versions("laurelhill-entries");
         rows.keys().any(|key| key.starts_with("quarantine/"))
     })
     .await;
     drop(entry);
-    service.refill().await;
-    let sends = service.sends();
+    service.replace_crashed().await;
+    let forwarded_count = service.forwarded_count();
     let entry = EntryProcess::ready(&service.world, "n2").await;
-    until("it is known again", async || {
+    until("the quarantine has been read", async || {
         !quarantined(&entry).await.is_empty()
     })
     .await;
-    assert_eq!(ask(&entry, "fatal", FATAL, "later").await, 503);
-    assert_eq!(service.sends(), sends);
+    assert_eq!(send(&entry, "fatal", FATAL, "later").await, 503);
+    assert_eq!(service.forwarded_count(), forwarded_count);
 }
--- a/bin/lh-entry/tests/tickets.rs
+++ b/bin/lh-entry/tests/tickets.rs
@@ -1,5 +1,4 @@
-//! The product's own interface: bookings run at most once, and every answer about
-//! them is true.
+//! The product's own interface: bookings run at most once, and callers are told their true outcome.
 
 mod own;
 mod world;
@@ -10,9 +9,9 @@
 use standin::{REQUEST_ID_HEADER, ServerMode};
 use world::{EntryProcess, until};
 
-const LONG: Duration = Duration::from_secs(300);
+const LONG_SERVICE_TIME: Duration = Duration::from_secs(300);
 
-/// The ticket with one digit of its signature changed.
+/// Returns the ticket with one digit of its signature changed.
 fn forge(ticket: &str) -> String {
     let mut parts: Vec<String> = ticket.split('~').map(str::to_owned).collect();
     let changed = if parts[3].starts_with('0') { "1" } else { "0" };
@@ -21,19 +20,19 @@
 }
 
 /// Name, path, headers and body.
-type BadCase<'a> = (&'a str, &'a str, Vec<(&'a str, &'a str)>, &'a [u8]);
+type InvalidCase<'a> = (&'a str, &'a str, Vec<(&'a str, &'a str)>, &'a [u8]);
 
-/// Promise: bad input gets a clear 4xx, was not run, and the process goes on.
+/// Invalid requests get a 4xx and do not run, and the entry continues to serve.
 #[tokio::test]
-async fn bad_input_is_refused_and_not_run() {
+async fn invalid_requests_get_4xx_and_do_not_run() {
     let world = OwnWorld::new(1, 3, SERVICE_TIME).await;
     world.apply(2, "100KB");
     let entry = world.entry("a", &[]).await;
     let ticket = ticket(&entry, "desk").await;
-    let stranger = ticket.replacen("a~", "ghost~", 1);
+    let foreign = ticket.replacen("a~", "ghost~", 1);
     let forged = forge(&ticket);
     let big = vec![0; 200 << 10];
-    let cases: [BadCase<'_>; 11] = [
+    let cases: [InvalidCase<'_>; 11] = [
         ("unknown service", "/nothing/x", vec![], b""),
         ("no service", "/", vec![], b""),
         ("body too large", "/board/x", vec![], &big),
@@ -78,7 +77,7 @@
             "ticket of a stranger",
             "/desk/x",
             vec![
-                ("laurelhill-ticket", &stranger),
+                ("laurelhill-ticket", &foreign),
                 ("laurelhill-number", "1"),
                 ("laurelhill-attempt", "1"),
             ],
@@ -98,7 +97,7 @@
     assert_eq!(good.outcome, "done");
 }
 
-/// Promise: a number that comes with another body is refused.
+/// A number that is used again with a different body is refused.
 #[tokio::test]
 async fn a_number_with_another_body_is_refused() {
     let world = OwnWorld::new(1, 3, SERVICE_TIME).await;
@@ -118,9 +117,9 @@
     assert_eq!(world.runs("k1"), 1);
 }
 
-/// Promise: a repeat gets the first run's answer, whole, and runs nothing.
+/// A repeat gets the complete response of the first run and does not run.
 #[tokio::test]
-async fn a_repeat_gets_the_first_answer() {
+async fn a_repeat_gets_the_stored_response() {
     let world = OwnWorld::new(2, 3, SERVICE_TIME).await;
     let entry = world.entry("a", &[]).await;
     let ticket = ticket(&entry, "desk").await;
@@ -136,9 +135,9 @@
     assert_eq!(world.runs("b2"), 1);
 }
 
-/// Promise: a run goes on when its caller leaves, and a repeat gets its answer.
+/// A run continues if its caller disconnects, and a repeat gets its response.
 #[tokio::test]
-async fn a_run_outlives_its_caller() {
+async fn a_request_continues_after_its_caller_disconnects() {
     let world = OwnWorld::new(1, 3, Duration::from_millis(300)).await;
     let entry = world.entry("a", &[]).await;
     let ticket = ticket(&entry, "desk").await;
@@ -148,7 +147,7 @@
     });
     until("the booking runs", async || world.runs("b1") == 1).await;
     caller.abort();
-    until("a repeat gets the answer", async || {
+    until("a repeat gets the response", async || {
         let repeat = book(entry.callers(), "b1", &ticket, 1, 2).await.unwrap();
         repeat.outcome == "done" && repeat.status == 200
     })
@@ -156,10 +155,10 @@
     assert_eq!(world.runs("b1"), 1);
 }
 
-/// Promise: when the entry dies in mid-request, a repeat elsewhere is "unknown" and not run.
+/// If the entry crashes during a request, a repeat at another entry is "unknown" and does not run.
 #[tokio::test]
-async fn a_booking_is_not_repeated_when_its_entry_dies() {
-    let world = OwnWorld::new(2, 3, LONG).await;
+async fn a_booking_is_not_repeated_after_its_entry_crashed() {
+    let world = OwnWorld::new(2, 3, LONG_SERVICE_TIME).await;
     let mut first = world.entry("a", &[]).await;
     let second = world.entry("b", &[&first]).await;
     knows(&second, 2).await;
@@ -170,9 +169,13 @@
     });
     until("the booking runs", async || world.runs("b1") == 1).await;
     first.child.kill().unwrap();
-    assert_eq!(sent.await.unwrap(), None, "the caller's connection breaks");
+    assert_eq!(
+        sent.await.unwrap(),
+        None,
+        "the connection to the caller must fail"
+    );
     let repeat = |address| book(address, "b1", &ticket, 1, 2);
-    // Known, but gone; then forgotten; then replaced by another run.
+    // The entry is still listed; then no longer listed; then replaced by another run.
     assert_eq!(repeat(second.callers()).await.unwrap().outcome, "unknown");
     knows(&second, 1).await;
     assert_eq!(repeat(second.callers()).await.unwrap().outcome, "unknown");
@@ -181,8 +184,8 @@
     assert_eq!(world.runs("b1"), 1);
 }
 
-/// Promise: a caller that sent its number nowhere before is told the truth about a stale
-/// ticket: not run.
+/// A caller with a stale ticket that states that it never sent its number before is told that the
+/// request did not run.
 #[tokio::test]
 async fn a_first_attempt_with_a_stale_ticket_is_not_run() {
     let world = OwnWorld::new(1, 3, SERVICE_TIME).await;
@@ -195,9 +198,9 @@
     assert_eq!(world.runs("b1"), 0);
 }
 
-/// Promise: a repeat at another instance is passed to the run that its ticket names.
+/// A repeat at another instance is forwarded to the run that its ticket names.
 #[tokio::test]
-async fn a_repeat_elsewhere_reaches_the_ticket_holder() {
+async fn a_repeat_is_forwarded_to_the_ticket_holder() {
     let world = OwnWorld::new(2, 3, SERVICE_TIME).await;
     let first = world.entry("a", &[]).await;
     let second = world.entry("b", &[&first]).await;
@@ -209,10 +212,9 @@
     assert_eq!(world.runs("b1"), 1);
 }
 
-/// Promise: the tickets of a look-up are good at the entries that it names, whoever
-/// answered it.
+/// The tickets from a look-up are valid at the entries that it names, whichever entry answered it.
 #[tokio::test]
-async fn tickets_of_any_look_up_are_good() {
+async fn tickets_are_valid_whichever_entry_answered_the_look_up() {
     let world = OwnWorld::new(1, 3, SERVICE_TIME).await;
     let first = world.entry("a", &[]).await;
     let second = world.entry("b", &[&first]).await;
@@ -227,10 +229,11 @@
     }
 }
 
-/// Promise: when the backend server dies in mid-run, the booking is unknown and never sent again.
+/// If the backend server crashes during a booking, its outcome is unknown and it is never sent
+/// again.
 #[tokio::test]
-async fn a_booking_is_not_sent_again_when_its_server_dies() {
-    let world = OwnWorld::new(2, 3, LONG).await;
+async fn a_booking_is_not_sent_again_after_its_server_crashed() {
+    let world = OwnWorld::new(2, 3, LONG_SERVICE_TIME).await;
     let entry = world.entry("a", &[]).await;
     let ticket = ticket(&entry, "desk").await;
     let sent = tokio::spawn({
@@ -238,7 +241,7 @@
         async move { book(address, "b1", &ticket, 1, 1).await }
     });
     until("the booking runs", async || world.runs("b1") == 1).await;
-    // The other server would take it.
+    // The other server would accept the booking.
     let server = world
         .backends
         .iter()
@@ -252,7 +255,7 @@
     assert_eq!(world.runs("b1"), 1);
 }
 
-/// Promise: "not run" is true for good: a refused number never runs, however late its copy comes.
+/// "Not run" is final: a refused number never runs, however late a copy of it arrives.
 #[tokio::test]
 async fn a_refused_booking_stays_refused() {
     let world = OwnWorld::new(1, 2, SERVICE_TIME).await;
@@ -269,7 +272,10 @@
     .await;
     let refused = book(entry.callers(), "b1", &ticket, 1, 1).await.unwrap();
     assert_eq!((refused.status, refused.outcome.as_str()), (503, "not-run"));
-    assert!(refused.retry_after.is_some(), "it says when to come back");
+    assert!(
+        refused.retry_after.is_some(),
+        "the refusal must contain a retry time"
+    );
     world.store.drop_row("op", "evacuate/zone-a");
     until("servers take requests again", async || {
         let headers = [(REQUEST_ID_HEADER, "probe")];
@@ -285,15 +291,15 @@
     assert_eq!(world.runs("b1"), 0);
 }
 
-/// Promise: tickets go on while the store is away: nothing is claimed there.
+/// Tickets work during a store outage, because they are not recorded in the store.
 #[tokio::test]
-async fn an_outage_stops_no_booking() {
+async fn bookings_work_during_a_store_outage() {
     let world = OwnWorld::new(2, 3, SERVICE_TIME).await;
     let entry = world.entry("a", &[]).await;
     world
         .store
         .set_faults(platform_standin::FaultPlan::outage());
-    until("the outage is seen", async || {
+    until("the outage is detected", async || {
         !entry.logged("dependency lost").is_empty()
     })
     .await;
@@ -305,10 +311,10 @@
     assert_eq!(world.runs("b1"), 1);
 }
 
-/// Promise: callers are told entries of their own region first, by what they say of
-/// themselves or by their address.
+/// Look-ups list the entries of the caller's region first. The region is taken from the query, or
+/// else derived from the caller's address.
 #[tokio::test]
-async fn callers_are_told_their_region_first() {
+async fn look_ups_list_the_callers_region_first() {
     let world = OwnWorld::new(1, 3, SERVICE_TIME).await;
     world
         .store
@@ -324,16 +330,16 @@
         !north.logged("client blocks in force").is_empty()
     })
     .await;
-    // Without a home, which entry comes first is drawn anew for each look-up.
+    // Without a home region, the order would be random for each look-up.
     for _ in 0..20 {
         assert_eq!(entries(&north, "board").await[0]["region"], "south");
     }
 }
 
-/// Promise: what one team has booked under a ticket is told to no other, and refuses nobody
-/// else; a ticket's entry sees for itself whose a passed-on request is.
+/// A team's bookings under a ticket are neither visible to other teams nor do they block them. The
+/// ticket's entry authenticates forwarded requests itself.
 #[tokio::test]
-async fn a_teams_bookings_are_its_own() {
+async fn bookings_are_private_to_their_team() {
     let world = OwnWorld::new(1, 3, SERVICE_TIME).await;
     world.apply_teams(2, ["red-key-1", "blue-key-1"]);
     let first = world.entry("a", &[]).await;
@@ -352,7 +358,7 @@
     assert_eq!(
         world.runs("b1"),
         1,
-        "the other team got the first one's answer"
+        "the other team got the first team's response"
     );
     let nobody = book(here, "n1", &ticket, 1, 2).await.unwrap();
     assert_eq!((nobody.status, world.runs("n1")), (401, 0));
