--- a/bin/lhctl/src/apply.rs
+++ b/bin/lhctl/src/apply.rs
@@ -8,7 +8,7 @@
 
 use crate::cli::{ApplyArguments, PlatformArguments};
 use crate::error::{Error, Result};
-use crate::platform::ConfigDesk;
+use crate::platform::ConfigClient;
 use crate::status;
 
 /// Checks a folder.
@@ -47,12 +47,12 @@
 pub(crate) async fn diff(folder: &Path, platform: &PlatformArguments, json: bool) -> Result<()> {
     let bundle = ConfigBundle::from_folder(folder)?;
     bundle.deployment()?;
-    let present = ConfigDesk::new(platform.platform).present().await?;
-    let Some((head, before)) = present else {
+    let current = ConfigClient::new(platform.platform).current().await?;
+    let Some((head, current_bundle)) = current else {
         println!("nothing is in force yet; everything would be new");
         return Ok(());
     };
-    let changes = conf::diff(&before, &bundle)?;
+    let changes = conf::diff(&current_bundle, &bundle)?;
     if json {
         println!(
             "{}",
@@ -74,49 +74,53 @@
 pub(crate) async fn apply(arguments: &ApplyArguments, json: bool) -> Result<()> {
     let head = publish(arguments).await?;
     let wait = &arguments.wait;
-    let took = if wait.wait {
-        Some(status::wait_for(&wait.instances.instances, head.version, wait.seconds).await?)
+    let elapsed = if wait.wait {
+        Some(
+            status::wait_until_in_force(&wait.instances.instances, head.version, wait.seconds)
+                .await?,
+        )
     } else {
         None
     };
-    show(&head, took, json);
+    print_outcome(&head, elapsed, json);
     Ok(())
 }
 
 /// Makes a folder the next version.
 pub(crate) async fn publish(arguments: &ApplyArguments) -> Result<ConfigHead> {
     let bundle = ConfigBundle::from_folder(&arguments.folder)?;
-    let desk = ConfigDesk::new(arguments.platform.platform);
-    let present = desk.present().await?;
-    let (version, before) = match &present {
-        Some((head, before)) => (head.version, Some(before)),
+    let config_client = ConfigClient::new(arguments.platform.platform);
+    let current = config_client.current().await?;
+    let (version, current_bundle) = match &current {
+        Some((head, current_bundle)) => (head.version, Some(current_bundle)),
         None => (0, None),
     };
     let edited = arguments.edited.unwrap_or(version);
     bundle.deployment()?;
-    if before == Some(&bundle) {
+    if current_bundle == Some(&bundle) {
         return Err(Error::Refused(
             "nothing differs from what is in force".to_owned(),
         ));
     }
-    desk.publish(edited, before, &bundle, &arguments.author)
+    config_client
+        .publish(edited, current_bundle, &bundle, &arguments.author)
         .await
 }
 
-fn show(head: &ConfigHead, took: Option<Duration>, json: bool) {
+fn print_outcome(head: &ConfigHead, elapsed: Option<Duration>, json: bool) {
     if json {
-        let took_ms = took.map(|took| took.as_millis() as u64);
+        let elapsed_ms = elapsed.map(|elapsed| elapsed.as_millis() as u64);
         println!(
             "{}",
-            serde_json::json!({"version": head.version, "in_force_after_ms": took_ms})
+            serde_json::json!({"version": head.version, "in_force_after_ms": elapsed_ms})
         );
         return;
     }
-    match took {
-        Some(took) => println!(
+    match elapsed {
+        Some(elapsed) => println!(
             "version {} is in force everywhere after {} ms",
             head.version,
-            took.as_millis()
+            elapsed.as_millis()
         ),
         None => println!("version {} is accepted", head.version),
     }
--- a/bin/lhctl/src/drain.rs
+++ b/bin/lhctl/src/drain.rs
@@ -4,11 +4,11 @@
 
 use crate::cli::DrainArguments;
 use crate::error::{Error, Result};
-use crate::platform::ConfigDesk;
+use crate::platform::ConfigClient;
 
 /// Whether a drain is set or taken back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Direction {
+pub(crate) enum DrainAction {
     /// Give no new work.
     Drain,
     /// Give work again.
@@ -18,17 +18,22 @@
 /// Changes one drain.
 pub(crate) async fn change(
     arguments: &DrainArguments,
-    direction: Direction,
+    action: DrainAction,
     json: bool,
 ) -> Result<()> {
-    let desk = ConfigDesk::new(arguments.platform.platform);
-    let domains = domains(&desk, arguments).await?;
-    let evacuated = desk.operator().await?.evacuated;
-    let drain = direction == Direction::Drain;
+    let config_client = ConfigClient::new(arguments.platform.platform);
+    let domains = target_domains(&config_client, arguments).await?;
+    let evacuated = config_client.operator_state().await?.evacuated;
+    let drain = action == DrainAction::Drain;
     let changed: Vec<&str> = domains
         .iter()
         .map(String::as_str)
-        .filter(|domain| evacuated.iter().any(|known| known == domain) != drain)
+        .filter(|domain| {
+            evacuated
+                .iter()
+                .any(|evacuated_domain| evacuated_domain == domain)
+                != drain
+        })
         .collect();
     if changed.is_empty() {
         let state = if drain {
@@ -41,30 +46,33 @@
             arguments.kind, arguments.name
         )));
     }
-    desk.evacuate(&changed, drain).await?;
+    config_client.evacuate(&changed, drain).await?;
     if json {
         println!(
             "{}",
             serde_json::json!({"domains": changed, "drained": drain})
         );
     } else {
-        let what = if drain {
+        let effect = if drain {
             "gets no new work"
         } else {
             "may get work again"
         };
-        println!("{} {what}", changed.join(", "));
+        println!("{} {effect}", changed.join(", "));
     }
     Ok(())
 }
 
 /// The failure domains that are meant.
-async fn domains(desk: &ConfigDesk, arguments: &DrainArguments) -> Result<Vec<String>> {
+async fn target_domains(
+    config_client: &ConfigClient,
+    arguments: &DrainArguments,
+) -> Result<Vec<String>> {
     let name = arguments.name.as_str();
     match arguments.kind.as_str() {
         "domain" => Ok(vec![name.to_owned()]),
         "region" => {
-            let deployment = deployment(desk).await?;
+            let deployment = current_deployment(config_client).await?;
             let region = deployment
                 .regions
                 .get(name)
@@ -78,8 +86,8 @@
     }
 }
 
-async fn deployment(desk: &ConfigDesk) -> Result<Deployment> {
-    let Some((_, bundle)) = desk.present().await? else {
+async fn current_deployment(config_client: &ConfigClient) -> Result<Deployment> {
+    let Some((_, bundle)) = config_client.current().await? else {
         return Err(Error::Refused(
             "no configuration is known; apply a folder first".to_owned(),
         ));
--- a/bin/lhctl/src/error.rs
+++ b/bin/lhctl/src/error.rs
@@ -17,10 +17,10 @@
             display("{}", detail)
         }
         /// Somebody else changed the configuration first.
-        Raced(edited: u64, present: u64, author: String, changes: String) {
+        VersionConflict(base_version: u64, current_version: u64, author: String, changes: String) {
             display("version {} was edited, but {} made version {} meanwhile; nothing was written. \
                      Changed under you:\n{}Merge that into your files and apply again with --edited {}",
-                    edited, author, present, changes, present)
+                    base_version, author, current_version, changes, current_version)
         }
         /// The change is refused.
         Refused(detail: String) {
@@ -36,9 +36,9 @@
                      was made (token {}); otherwise apply again", cause, token)
         }
         /// The change is made, but not in force everywhere yet.
-        NotEverywhere(version: u64, missing: String) {
+        PartiallyInForce(version: u64, pending: String) {
             display("version {} is accepted, but not yet in force at: {}. Run `lhctl status` later; \
-                     do not apply again", version, missing)
+                     do not apply again", version, pending)
         }
         /// A process can't be set up or a file written.
         System(cause: std::io::Error) {
--- a/bin/lhctl/src/explain.rs
+++ b/bin/lhctl/src/explain.rs
@@ -9,8 +9,8 @@
 
 /// Shows the look-up's answer, and what the entry makes of the service's servers.
 pub(crate) async fn show(service: &str, lookup: SocketAddr, json: bool) -> Result<()> {
-    let found = fetch(lookup, &format!("/v1/entries?service={service}")).await;
-    let Some(found) = found.filter(|found| found["entries"].is_array()) else {
+    let answer = fetch(lookup, &format!("/v1/entries?service={service}")).await;
+    let Some(answer) = answer.filter(|answer| answer["entries"].is_array()) else {
         return Err(Error::Refused(format!(
             "{lookup} has no answer for '{service}'"
         )));
@@ -21,15 +21,15 @@
     if json {
         println!(
             "{}",
-            serde_json::json!({"entries": found["entries"], "servers": status["servers"]})
+            serde_json::json!({"entries": answer["entries"], "servers": status["servers"]})
         );
         return Ok(());
     }
     println!(
         "callers that look up at {lookup} (version {}) use, in order:",
-        found["version"]
+        answer["version"]
     );
-    for entry in list(&found["entries"]) {
+    for entry in items(&answer["entries"]) {
         println!(
             "  {} in {} at {}",
             text(entry, "instance"),
@@ -38,28 +38,28 @@
         );
     }
     println!("{} knows these servers:", text(&status, "instance"));
-    for server in list(&status["servers"]) {
-        println!("  {}", line(server));
+    for server in items(&status["servers"]) {
+        println!("  {}", format_server(server));
     }
     Ok(())
 }
 
-fn line(server: &Value) -> String {
-    let figure = |key: &str| server[key].as_f64().unwrap_or(0.0);
+fn format_server(server: &Value) -> String {
+    let number = |key: &str| server[key].as_f64().unwrap_or(0.0);
     format!(
         "{} in {}: {}, {:.1} requests at {} slots ({} from here), {:.0}% failures, {:.1} times the usual time",
         text(server, "server"),
         text(server, "domain"),
         text(server, "state"),
-        figure("occupancy"),
+        number("occupancy"),
         server["slots"],
         server["in_flight"],
-        figure("failure_rate") * 100.0,
-        figure("speed"),
+        number("failure_rate") * 100.0,
+        number("speed"),
     )
 }
 
-fn list(value: &Value) -> impl Iterator<Item = &Value> {
+fn items(value: &Value) -> impl Iterator<Item = &Value> {
     value.as_array().into_iter().flatten()
 }
 
--- a/bin/lhctl/src/lib.rs
+++ b/bin/lhctl/src/lib.rs
@@ -36,9 +36,11 @@
         cli::Command::Check { folder } => apply::check(&folder, json),
         cli::Command::Diff { folder, platform } => apply::diff(&folder, &platform, json).await,
         cli::Command::Apply(change) => apply::apply(&change, json).await,
-        cli::Command::Drain(target) => drain::change(&target, drain::Direction::Drain, json).await,
+        cli::Command::Drain(target) => {
+            drain::change(&target, drain::DrainAction::Drain, json).await
+        }
         cli::Command::Undrain(target) => {
-            drain::change(&target, drain::Direction::Undrain, json).await
+            drain::change(&target, drain::DrainAction::Undrain, json).await
         }
         cli::Command::Quarantines { platform } => quarantine::list(platform.platform, json).await,
         cli::Command::Lift { print, platform } => {
--- a/bin/lhctl/src/platform.rs
+++ b/bin/lhctl/src/platform.rs
@@ -17,25 +17,25 @@
 use crate::error::{Error, Result};
 
 /// Longest wait for an answer of the store.
-const PATIENCE: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Reads and publishes whole sets of files.
-pub(crate) struct ConfigDesk {
+pub(crate) struct ConfigClient {
     configs: ConfigStore<PlatformClient>,
     address: SocketAddr,
 }
 
 /// What the operator's rows say now.
-pub(crate) struct OperatorView {
+pub(crate) struct OperatorState {
     /// Version of the desired state in force; 0 before the first.
     pub(crate) version: u64,
     /// Failure domains that are evacuated.
     pub(crate) evacuated: Vec<String>,
 }
 
-impl ConfigDesk {
+impl ConfigClient {
     pub(crate) fn new(address: SocketAddr) -> Self {
-        let client = PlatformClient::new(address).with_answer_timeout(PATIENCE);
+        let client = PlatformClient::new(address).with_answer_timeout(ANSWER_TIMEOUT);
         Self {
             configs: ConfigStore::new(client),
             address,
@@ -43,48 +43,48 @@
     }
 
     /// The head and its files; `None` before the first version.
-    pub(crate) async fn present(&self) -> Result<Option<(ConfigHead, ConfigBundle)>> {
-        let present = self.configs.current().await?;
-        Ok(present.map(|StoredConfig { head, files }| (head, ConfigBundle { files })))
+    pub(crate) async fn current(&self) -> Result<Option<(ConfigHead, ConfigBundle)>> {
+        let current = self.configs.current().await?;
+        Ok(current.map(|StoredConfig { head, files }| (head, ConfigBundle { files })))
     }
 
     /// What the operator's rows say now.
-    pub(crate) async fn operator(&self) -> Result<OperatorView> {
-        let rows = StoreClient::new(self.address, PATIENCE)
+    pub(crate) async fn operator_state(&self) -> Result<OperatorState> {
+        let rows = StoreClient::new(self.address, ANSWER_TIMEOUT)
             .read_operator()
             .await
             .map_err(store::Error::from)?;
-        let mut view = OperatorView {
+        let mut operator_state = OperatorState {
             version: 0,
             evacuated: Vec::new(),
         };
         for change in rows.changes {
             match change {
-                OperatorChange::Desired(state) => view.version = state.version,
-                OperatorChange::Evacuate(domain) => view.evacuated.push(domain),
+                OperatorChange::Desired(state) => operator_state.version = state.version,
+                OperatorChange::Evacuate(domain) => operator_state.evacuated.push(domain),
                 OperatorChange::Restore(_)
                 | OperatorChange::Rollout(_)
                 | OperatorChange::CancelRollout(_) => {}
             }
         }
-        Ok(view)
+        Ok(operator_state)
     }
 
-    /// Publishes `bundle` as the version after `edited`.
+    /// Publishes `bundle` as the version after `base_version`.
     pub(crate) async fn publish(
         &self,
-        edited: u64,
-        before: Option<&ConfigBundle>,
+        base_version: u64,
+        current_bundle: Option<&ConfigBundle>,
         bundle: &ConfigBundle,
         author: &str,
     ) -> Result<ConfigHead> {
         // Somebody may have set a desired state without these files.
-        let in_force = self.operator().await?.version;
-        let version = edited.max(in_force) + 1;
+        let in_force = self.operator_state().await?.version;
+        let version = base_version.max(in_force) + 1;
         let token = format!("{:032x}", rand::random::<u128>());
-        let writes = in_force_writes(bundle, version, in_force)?;
+        let writes = activation_writes(bundle, version, in_force)?;
         let change = ConfigChange {
-            base_version: edited,
+            base_version,
             version,
             files: &bundle.files,
             author,
@@ -93,7 +93,9 @@
         };
         match self.configs.publish(&change).await {
             Ok(PublishOutcome::Accepted(head)) => Ok(head),
-            Ok(PublishOutcome::Conflict(head)) => Err(self.raced(edited, before, head).await),
+            Ok(PublishOutcome::Conflict(head)) => Err(self
+                .version_conflict(base_version, current_bundle, head)
+                .await),
             Err(cause @ store::Error::Unknown(_)) => Err(Error::Unknown(cause, token)),
             Err(cause) => Err(Error::Unavailable(cause)),
         }
@@ -114,31 +116,33 @@
     }
 
     /// Tells the loser of a race what changed under them.
-    async fn raced(
+    async fn version_conflict(
         &self,
-        edited: u64,
-        before: Option<&ConfigBundle>,
+        base_version: u64,
+        current_bundle: Option<&ConfigBundle>,
         head: Option<ConfigHead>,
     ) -> Error {
         let Some(head) = head else {
-            return Error::Raced(edited, 0, "somebody".to_owned(), String::new());
+            return Error::VersionConflict(base_version, 0, "somebody".to_owned(), String::new());
         };
         let mut changes = String::new();
-        if let (Some(before), Ok(Some((_, now)))) = (before, self.present().await) {
-            for change in conf::diff(before, &now).unwrap_or_default() {
+        if let (Some(current_bundle), Ok(Some((_, latest_bundle)))) =
+            (current_bundle, self.current().await)
+        {
+            for change in conf::diff(current_bundle, &latest_bundle).unwrap_or_default() {
                 changes.push_str(&format!("  {change}\n"));
             }
         }
-        Error::Raced(edited, head.version, head.author, changes)
+        Error::VersionConflict(base_version, head.version, head.author, changes)
     }
 }
 
 /// The writes that make entries follow `bundle`: its desired state, and the client
 /// blocks of each region.
-fn in_force_writes(bundle: &ConfigBundle, version: u64, base: u64) -> Result<Vec<RowWrite>> {
+fn activation_writes(bundle: &ConfigBundle, version: u64, in_force: u64) -> Result<Vec<RowWrite>> {
     let deployment = bundle.deployment()?;
     let state = deployment.desired_state(version);
-    let mut writes = state_writes(&state, base).map_err(store::Error::from)?;
+    let mut writes = state_writes(&state, in_force).map_err(store::Error::from)?;
     let blocks: BTreeMap<String, String> = deployment
         .regions
         .values()
--- a/bin/lhctl/src/quarantine.rs
+++ b/bin/lhctl/src/quarantine.rs
@@ -9,11 +9,11 @@
 use crate::error::{Error, Result};
 
 /// Longest wait for an answer of the store.
-const PATIENCE: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Prints the requests in quarantine, as the store keeps them.
 pub(crate) async fn list(platform: SocketAddr, json: bool) -> Result<()> {
-    let rows = read(&client(platform)).await?;
+    let rows = read_quarantines(&client(platform)).await?;
     for (_, row) in &rows {
         let state = if row.lifted {
             "lifted"
@@ -35,23 +35,23 @@
 }
 
 /// Lifts the quarantine of the request whose print begins with `print`.
-pub(crate) async fn lift(platform: SocketAddr, print: &str, json: bool) -> Result<()> {
+pub(crate) async fn lift(platform: SocketAddr, prefix: &str, json: bool) -> Result<()> {
     let client = client(platform);
-    let rows = read(&client).await?;
-    let mut found = rows
+    let rows = read_quarantines(&client).await?;
+    let mut matching = rows
         .iter()
-        .filter(|(_, row)| row.print.starts_with(print) && !row.lifted);
-    let Some((kept, row)) = found.next() else {
+        .filter(|(_, row)| row.print.starts_with(prefix) && !row.lifted);
+    let Some((stored, row)) = matching.next() else {
         return Err(Error::Refused(format!(
-            "no request with the print {print} is in quarantine; 'lhctl quarantines' lists them"
+            "no request with the print {prefix} is in quarantine; 'lhctl quarantines' lists them"
         )));
     };
-    if found.next().is_some() {
+    if matching.next().is_some() {
         return Err(Error::Refused(format!(
-            "more than one print begins with {print}; give more of it"
+            "more than one print begins with {prefix}; give more of it"
         )));
     }
-    let write = QuarantineRow::lift_write(&row.print).with_expected(kept.revision);
+    let write = QuarantineRow::lift_write(&row.print).with_expected(stored.revision);
     if client.commit(&[write]).await? == CommitOutcome::Conflict {
         return Err(Error::Refused(
             "the row changed meanwhile; run the same again".to_owned(),
@@ -66,11 +66,11 @@
 }
 
 fn client(platform: SocketAddr) -> PlatformClient {
-    PlatformClient::new(platform).with_answer_timeout(PATIENCE)
+    PlatformClient::new(platform).with_answer_timeout(ANSWER_TIMEOUT)
 }
 
-async fn read(client: &PlatformClient) -> Result<Vec<(Row, QuarantineRow)>> {
+async fn read_quarantines(client: &PlatformClient) -> Result<Vec<(Row, QuarantineRow)>> {
     let rows = client.list(ENTRY_TABLE).await?;
-    let read = |row: Row| QuarantineRow::read(&row).map(|read| (row, read));
-    Ok(rows.into_iter().filter_map(read).collect())
+    let decode = |row: Row| QuarantineRow::read(&row).map(|quarantine| (row, quarantine));
+    Ok(rows.into_iter().filter_map(decode).collect())
 }
--- a/bin/lhctl/src/revoke.rs
+++ b/bin/lhctl/src/revoke.rs
@@ -10,18 +10,18 @@
 use crate::status::fetch;
 
 /// Time between two looks.
-const LOOK_PERIOD: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// An entry that hasn't heard.
 #[derive(Debug, Clone)]
-struct DarkEntry {
+struct StaleEntry {
     name: String,
     /// Why it is thought so.
-    why: String,
+    reason: String,
 }
 
 /// Waits until all entries have the version in force, and tells of those that don't.
-pub(crate) async fn follow(wait: &WaitArguments, version: u64, json: bool) -> Result<()> {
+pub(crate) async fn report_progress(wait: &WaitArguments, version: u64, json: bool) -> Result<()> {
     let instances = &wait.instances.instances;
     if instances.is_empty() {
         if !json {
@@ -29,85 +29,86 @@
         }
         return Ok(());
     }
-    let begun = Instant::now();
-    let mut heard: Vec<String> = Vec::new();
-    let mut left: Vec<SocketAddr> = instances.clone();
-    let mut dark = Vec::new();
-    while !left.is_empty() && (dark.is_empty() || begun.elapsed().as_secs() < wait.seconds) {
-        let (mut still, mut present) = (Vec::new(), Vec::new());
-        for address in left {
-            match look(address, version).await {
-                Ok(name) => heard.push(name),
+    let started = Instant::now();
+    let mut updated: Vec<String> = Vec::new();
+    let mut pending: Vec<SocketAddr> = instances.clone();
+    let mut stale = Vec::new();
+    while !pending.is_empty() && (stale.is_empty() || started.elapsed().as_secs() < wait.seconds) {
+        let (mut still_pending, mut still_stale) = (Vec::new(), Vec::new());
+        for address in pending {
+            match check_entry(address, version).await {
+                Ok(name) => updated.push(name),
                 Err(entry) => {
-                    still.push(address);
-                    present.push(entry);
+                    still_pending.push(address);
+                    still_stale.push(entry);
                 }
             }
         }
-        (left, dark) = (still, present);
-        if !left.is_empty() {
-            tokio::time::sleep(LOOK_PERIOD).await;
+        (pending, stale) = (still_pending, still_stale);
+        if !pending.is_empty() {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
-    show(version, &heard, &dark, json);
-    if dark.is_empty() {
+    print_report(version, &updated, &stale, json);
+    if stale.is_empty() {
         return Ok(());
     }
-    let names: Vec<&str> = dark.iter().map(|entry| entry.name.as_str()).collect();
-    Err(Error::NotEverywhere(version, names.join(", ")))
+    let names: Vec<&str> = stale.iter().map(|entry| entry.name.as_str()).collect();
+    Err(Error::PartiallyInForce(version, names.join(", ")))
 }
 
-async fn look(address: SocketAddr, version: u64) -> std::result::Result<String, DarkEntry> {
+async fn check_entry(address: SocketAddr, version: u64) -> std::result::Result<String, StaleEntry> {
     let Some(status) = fetch(address, "/v1/status").await else {
-        return Err(DarkEntry {
+        return Err(StaleEntry {
             name: address.to_string(),
-            why: "it doesn't answer here; if it runs it serves the key until its own knowledge is \
+            reason:
+                "it doesn't answer here; if it runs it serves the key until its own knowledge is \
                   older than the bound `revoke`, where that binds entries that hear nothing"
-                .to_owned(),
+                    .to_owned(),
         });
     };
     let name = status["instance"].as_str().unwrap_or("?").to_owned();
     if status["version"]
         .as_u64()
-        .is_some_and(|known| known >= version)
+        .is_some_and(|in_force| in_force >= version)
     {
         return Ok(name);
     }
-    Err(DarkEntry {
+    Err(StaleEntry {
         name,
-        why: until(&status),
+        reason: describe_exposure(&status),
     })
 }
 
 /// Until when an entry that hasn't heard may serve the key.
-fn until(status: &Value) -> String {
+fn describe_exposure(status: &Value) -> String {
     if status["serves_keys"] == false {
         return "it has heard nothing for too long and serves no key".to_owned();
     }
     let age = status["keys_age_ms"].as_u64();
     match (status["revoke_ms"].as_u64(), age) {
-        (Some(bound), Some(age)) => format!(
+        (Some(max_age), Some(age)) => format!(
             "it heard {age} ms ago and serves no key in {} ms unless it hears before",
-            bound.saturating_sub(age)
+            max_age.saturating_sub(age)
         ),
         _ => "it goes on with what it knows; nothing bounds that".to_owned(),
     }
 }
 
-fn show(version: u64, heard: &[String], dark: &[DarkEntry], json: bool) {
+fn print_report(version: u64, updated: &[String], stale: &[StaleEntry], json: bool) {
     if json {
-        let dark: Vec<Value> = dark
+        let stale: Vec<Value> = stale
             .iter()
-            .map(|entry| json!({"instance": entry.name, "why": entry.why}))
+            .map(|entry| json!({"instance": entry.name, "why": entry.reason}))
             .collect();
         println!(
             "{}",
-            json!({"version": version, "heard": heard, "dark": dark})
+            json!({"version": version, "heard": updated, "dark": stale})
         );
         return;
     }
-    println!("heard by {}: {}", heard.len(), heard.join(" "));
-    for entry in dark {
-        println!("not yet by {}: {}", entry.name, entry.why);
+    println!("heard by {}: {}", updated.len(), updated.join(" "));
+    for entry in stale {
+        println!("not yet by {}: {}", entry.name, entry.reason);
     }
 }
--- a/bin/lhctl/src/rollout.rs
+++ b/bin/lhctl/src/rollout.rs
@@ -15,9 +15,9 @@
 use crate::error::{Error, Result};
 
 /// Longest wait for an answer of the store.
-const PATIENCE: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Shortest time for a rollout: a version has to answer some requests before it is trusted.
-const SHORTEST: Duration = Duration::from_secs(5);
+const MIN_ROLLOUT_DURATION: Duration = Duration::from_secs(5);
 
 /// Does what `command` says.
 pub(crate) async fn run(command: &RolloutCommand, json: bool) -> Result<()> {
@@ -49,17 +49,17 @@
             "'{within}' is no time; write a number and its unit, as in 90s"
         )));
     };
-    if duration < SHORTEST {
+    if duration < MIN_ROLLOUT_DURATION {
         return Err(Error::Usage(format!(
             "{within} is too short to judge a version; give {} s or more",
-            SHORTEST.as_secs()
+            MIN_ROLLOUT_DURATION.as_secs()
         )));
     }
-    let known = services(platform).await?;
-    if !known.iter().any(|name| name == service) {
+    let service_names = read_service_names(platform).await?;
+    if !service_names.iter().any(|name| name == service) {
         return Err(Error::Refused(format!(
             "no service '{service}' is in the desired state; there are: {}",
-            known.join(", ")
+            service_names.join(", ")
         )));
     }
     let write = order_write(service, version, duration).map_err(store::Error::from)?;
@@ -77,7 +77,7 @@
 }
 
 async fn status(platform: SocketAddr, service: Option<&str>, json: bool) -> Result<()> {
-    let orders = orders(platform).await?;
+    let orders = read_orders(platform).await?;
     let rows = client(platform).list(STATUS_TABLE).await?;
     let mut shown = 0;
     for row in &rows {
@@ -110,7 +110,7 @@
 }
 
 async fn abort(platform: SocketAddr, service: &str, json: bool) -> Result<()> {
-    let orders = orders(platform).await?;
+    let orders = read_orders(platform).await?;
     if !orders.iter().any(|order| order.service == service) {
         return Err(Error::Refused(format!(
             "no rollout of '{service}' is ordered; 'lhctl rollout status' lists them"
@@ -135,14 +135,14 @@
     Ok(())
 }
 
-async fn operator_rows(platform: SocketAddr) -> Result<Vec<OperatorChange>> {
-    let mut client = StoreClient::new(platform, PATIENCE);
+async fn read_operator_changes(platform: SocketAddr) -> Result<Vec<OperatorChange>> {
+    let mut client = StoreClient::new(platform, ANSWER_TIMEOUT);
     let rows = client.read_operator().await.map_err(store::Error::from)?;
     Ok(rows.changes)
 }
 
-async fn orders(platform: SocketAddr) -> Result<Vec<RolloutOrder>> {
-    let rows = operator_rows(platform).await?;
+async fn read_orders(platform: SocketAddr) -> Result<Vec<RolloutOrder>> {
+    let rows = read_operator_changes(platform).await?;
     let orders = rows.into_iter().filter_map(|change| match change {
         OperatorChange::Rollout(order) => Some(order),
         _ => None,
@@ -150,9 +150,9 @@
     Ok(orders.collect())
 }
 
-async fn services(platform: SocketAddr) -> Result<Vec<String>> {
+async fn read_service_names(platform: SocketAddr) -> Result<Vec<String>> {
     let mut names = Vec::new();
-    for change in operator_rows(platform).await? {
+    for change in read_operator_changes(platform).await? {
         if let OperatorChange::Desired(state) = change {
             names.extend(state.services.into_iter().map(|service| service.name));
         }
@@ -170,5 +170,5 @@
 }
 
 fn client(platform: SocketAddr) -> PlatformClient {
-    PlatformClient::new(platform).with_answer_timeout(PATIENCE)
+    PlatformClient::new(platform).with_answer_timeout(ANSWER_TIMEOUT)
 }
--- a/bin/lhctl/src/status.rs
+++ b/bin/lhctl/src/status.rs
@@ -14,9 +14,9 @@
 use crate::error::{Error, Result};
 
 /// Time between two looks.
-const LOOK_PERIOD: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Longest wait for one answer.
-const ANSWER_TIME: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Fetches a JSON document from `address`.
 pub(crate) async fn fetch(address: SocketAddr, path: &str) -> Option<Value> {
@@ -25,41 +25,41 @@
         .uri(format!("http://{address}{path}"))
         .body(Empty::<Bytes>::new())
         .ok()?;
-    let asking = async {
+    let exchange = async {
         let response = client.request(request).await.ok()?;
         let body = response.into_body().collect().await.ok()?.to_bytes();
         serde_json::from_slice(&body).ok()
     };
-    tokio::time::timeout(ANSWER_TIME, asking).await.ok()?
+    tokio::time::timeout(ANSWER_TIMEOUT, exchange).await.ok()?
 }
 
 /// Waits until `version` or a later one is in force at every instance.
-pub(crate) async fn wait_for(
+pub(crate) async fn wait_until_in_force(
     instances: &[SocketAddr],
     version: u64,
     seconds: u64,
 ) -> Result<Duration> {
-    let began = Instant::now();
-    let mut missing: Vec<SocketAddr> = instances.to_vec();
-    while !missing.is_empty() {
-        let mut still = Vec::new();
-        for address in missing {
+    let started = Instant::now();
+    let mut pending: Vec<SocketAddr> = instances.to_vec();
+    while !pending.is_empty() {
+        let mut still_pending = Vec::new();
+        for address in pending {
             let status = fetch(address, "/v1/status").await;
             let in_force = status.and_then(|status| status["version"].as_u64());
             if in_force.is_none_or(|in_force| in_force < version) {
-                still.push(address);
+                still_pending.push(address);
             }
         }
-        missing = still;
-        if began.elapsed() > Duration::from_secs(seconds) && !missing.is_empty() {
-            let names: Vec<_> = missing.iter().map(ToString::to_string).collect();
-            return Err(Error::NotEverywhere(version, names.join(", ")));
+        pending = still_pending;
+        if started.elapsed() > Duration::from_secs(seconds) && !pending.is_empty() {
+            let names: Vec<_> = pending.iter().map(ToString::to_string).collect();
+            return Err(Error::PartiallyInForce(version, names.join(", ")));
         }
-        if !missing.is_empty() {
-            tokio::time::sleep(LOOK_PERIOD).await;
+        if !pending.is_empty() {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
-    Ok(began.elapsed())
+    Ok(started.elapsed())
 }
 
 /// Shows what instances have in force.
@@ -69,34 +69,34 @@
             "name the look-up addresses with --instances".to_owned(),
         ));
     }
-    let mut silent = Vec::new();
-    let mut all = Vec::new();
+    let mut unreachable = Vec::new();
+    let mut statuses = Vec::new();
     for address in &arguments.instances {
         match fetch(*address, "/v1/status").await {
-            Some(status) => all.push(status),
-            None => silent.push(address.to_string()),
+            Some(status) => statuses.push(status),
+            None => unreachable.push(address.to_string()),
         }
     }
     if json {
         println!(
             "{}",
-            serde_json::json!({"instances": all, "silent": silent})
+            serde_json::json!({"instances": statuses, "silent": unreachable})
         );
     } else {
-        for status in &all {
-            println!("{}", line(status));
+        for status in &statuses {
+            println!("{}", format_status(status));
         }
     }
-    if silent.is_empty() {
+    if unreachable.is_empty() {
         return Ok(());
     }
     Err(Error::Refused(format!(
         "no answer from {}",
-        silent.join(", ")
+        unreachable.join(", ")
     )))
 }
 
-fn line(status: &Value) -> String {
+fn format_status(status: &Value) -> String {
     let text = |key: &str| status[key].as_str().unwrap_or("?").to_owned();
     let mut servers = 0;
     let mut open = 0;
--- a/bin/lhctl/src/team.rs
+++ b/bin/lhctl/src/team.rs
@@ -17,7 +17,7 @@
 /// Random bytes of a key.
 const KEY_BYTES: usize = 24;
 /// Keys that a team has at most: the one in use, and the one that takes its place.
-const KEYS_MOST: usize = 2;
+const MAX_KEYS_PER_TEAM: usize = 2;
 
 /// Lists the teams of `folder`.
 pub(crate) fn list(folder: &Path, json: bool) -> Result<()> {
@@ -34,21 +34,21 @@
 /// Shows the team `name` of `folder`.
 pub(crate) fn show(folder: &Path, name: &str, json: bool) -> Result<()> {
     let bundle = ConfigBundle::from_folder(folder)?;
-    print_team(&find(&bundle, name)?, json);
+    print_team(&find_team(&bundle, name)?, json);
     Ok(())
 }
 
 /// Makes a further key of the team `name`, writes its digest into `folder` and shows the key.
 pub(crate) fn rotate(folder: &Path, name: &str, json: bool) -> Result<()> {
     let bundle = ConfigBundle::from_folder(folder)?;
-    let team = find(&bundle, name)?;
-    if team.keys.len() >= KEYS_MOST {
+    let team = find_team(&bundle, name)?;
+    if team.keys.len() >= MAX_KEYS_PER_TEAM {
         return Err(Error::Refused(format!(
             "team {name} has {} keys; revoke one that is no longer in use first",
             team.keys.len()
         )));
     }
-    let key = new_key();
+    let key = generate_key();
     let digest = KeyDigest::of(key.as_bytes());
     let text = digest.to_text();
     change_keys(folder, &bundle, name, |keys| edit::with_item(keys, &text))?;
@@ -72,7 +72,7 @@
 pub(crate) async fn revoke(arguments: &RevokeArguments, json: bool) -> Result<()> {
     let change: &ApplyArguments = &arguments.change;
     let bundle = ConfigBundle::from_folder(&change.folder)?;
-    let team = find(&bundle, &arguments.team)?;
+    let team = find_team(&bundle, &arguments.team)?;
     let digest = find_key(&team, &arguments.key)?;
     let text = digest.to_text();
     change_keys(&change.folder, &bundle, &team.name, |keys| {
@@ -85,10 +85,10 @@
             head.version, team.name
         );
     }
-    revoke::follow(&change.wait, head.version, json).await
+    revoke::report_progress(&change.wait, head.version, json).await
 }
 
-fn find(bundle: &ConfigBundle, name: &str) -> Result<TeamSpec> {
+fn find_team(bundle: &ConfigBundle, name: &str) -> Result<TeamSpec> {
     let deployment = bundle.deployment()?;
     let team = deployment.teams.get(name).cloned();
     team.ok_or_else(|| {
@@ -99,14 +99,14 @@
 }
 
 fn find_key(team: &TeamSpec, key: &str) -> Result<KeyDigest> {
-    let begins = |digest: &&KeyDigest| {
+    let has_prefix = |digest: &&KeyDigest| {
         digest
             .to_text()
             .trim_start_matches("sha256:")
             .starts_with(key)
     };
-    let mut found = team.keys.iter().filter(begins);
-    match (found.next(), found.next()) {
+    let mut matching = team.keys.iter().filter(has_prefix);
+    match (matching.next(), matching.next()) {
         (Some(digest), None) => Ok(*digest),
         (None, _) => Err(Error::Usage(format!(
             "team {} has no key whose digest begins with {key}; `lhctl team show` lists them",
@@ -127,8 +127,8 @@
     change: impl Fn(&str) -> String,
 ) -> Result<()> {
     let header = format!("team {team}");
-    let place = bundle.locate_key(&header, "keys")?;
-    let Some((file, keys)) = place else {
+    let location = bundle.locate_key(&header, "keys")?;
+    let Some((file, keys)) = location else {
         return Err(Error::Usage(format!("no file has the section [{header}]")));
     };
     let text = bundle.files.get(&file).map_or("", String::as_str);
@@ -142,7 +142,7 @@
     Ok(())
 }
 
-fn new_key() -> String {
+fn generate_key() -> String {
     let mut bytes = [0; KEY_BYTES];
     rand::rng().fill_bytes(&mut bytes);
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
--- a/bin/lhctl/src/trace.rs
+++ b/bin/lhctl/src/trace.rs
@@ -11,9 +11,9 @@
 use crate::error::{Error, Result};
 
 /// Events of the same entry up to this long before the request are told, in ms.
-const BEFORE: i64 = 5000;
+const EVENTS_BEFORE_MS: i64 = 5000;
 /// And up to this long after its answer.
-const AFTER: i64 = 1000;
+const EVENTS_AFTER_MS: i64 = 1000;
 /// Events that are told only if they concern a server that the request met.
 const SERVER_EVENTS: [&str; 7] = [
     "server joined",
@@ -65,11 +65,11 @@
         )));
     }
     for request in requests {
-        let around = events_around(request, &lines);
+        let events = nearby_events(request, &lines);
         if json {
-            print_json(request, &around);
+            print_json(request, &events);
         } else {
-            print!("{}", story(request, &around));
+            print!("{}", format_explanation(request, &events));
         }
     }
     Ok(())
@@ -78,18 +78,18 @@
 fn read_lines(logs: &[PathBuf]) -> Result<Vec<LogLine>> {
     let mut lines = Vec::new();
     if logs.is_empty() {
-        collect_lines(std::io::stdin().lock(), &mut lines)?;
+        parse_lines(std::io::stdin().lock(), &mut lines)?;
     }
     for path in logs {
         let file = std::fs::File::open(path).map_err(|cause| {
             Error::Usage(format!("can't read the log {}: {cause}", path.display()))
         })?;
-        collect_lines(BufReader::new(file), &mut lines)?;
+        parse_lines(BufReader::new(file), &mut lines)?;
     }
     Ok(lines)
 }
 
-fn collect_lines(source: impl BufRead, lines: &mut Vec<LogLine>) -> Result<()> {
+fn parse_lines(source: impl BufRead, lines: &mut Vec<LogLine>) -> Result<()> {
     for line in source.lines() {
         let line = line?;
         // A collector may put its own words before the line.
@@ -103,35 +103,37 @@
     Ok(())
 }
 
-fn events_around(request: &LogLine, lines: &[LogLine]) -> Vec<LogLine> {
-    let begun = request.time() - request.number("took_ms");
-    let servers = servers_met(request);
-    let mut around: Vec<LogLine> = lines
+fn nearby_events(request: &LogLine, lines: &[LogLine]) -> Vec<LogLine> {
+    let started = request.time() - request.number("took_ms");
+    let servers = attempted_servers(request);
+    let mut events: Vec<LogLine> = lines
         .iter()
         .filter(|line| line.text("event") != "request" && line.text("node") == request.text("node"))
-        .filter(|line| (begun - BEFORE..=request.time() + AFTER).contains(&line.time()))
         .filter(|line| {
-            let about_server = SERVER_EVENTS.contains(&line.text("event"));
-            !about_server || servers.contains(line.text("server"))
+            (started - EVENTS_BEFORE_MS..=request.time() + EVENTS_AFTER_MS).contains(&line.time())
+        })
+        .filter(|line| {
+            let is_server_event = SERVER_EVENTS.contains(&line.text("event"));
+            !is_server_event || servers.contains(line.text("server"))
         })
         .cloned()
         .collect();
-    around.sort_by_key(LogLine::time);
-    around
+    events.sort_by_key(LogLine::time);
+    events
 }
 
-fn servers_met(request: &LogLine) -> BTreeSet<&str> {
+fn attempted_servers(request: &LogLine) -> BTreeSet<&str> {
     let attempts = request.text("attempts").split("; ");
     attempts
         .filter_map(|attempt| attempt.split('(').next())
         .collect()
 }
 
-fn story(request: &LogLine, around: &[LogLine]) -> String {
-    let mut story = String::new();
-    let begun = request.time() - request.number("took_ms");
+fn format_explanation(request: &LogLine, events: &[LogLine]) -> String {
+    let mut text = String::new();
+    let started = request.time() - request.number("took_ms");
     let _ = writeln!(
-        story,
+        text,
         "request {} at entry {}, route {}{}",
         request.text("request"),
         request.text("node"),
@@ -142,8 +144,8 @@
         }
     );
     let _ = writeln!(
-        story,
-        "  {begun} read{}; desired state {} as shown {} ms before the answer, servers as read {} ms before",
+        text,
+        "  {started} read{}; desired state {} as shown {} ms before the answer, servers as read {} ms before",
         if request.0["returning"] == true {
             ", after an earlier refusal"
         } else {
@@ -158,14 +160,14 @@
         .split("; ")
         .filter(|text| !text.is_empty())
     {
-        let _ = writeln!(story, "  sent to {attempt}");
+        let _ = writeln!(text, "  sent to {attempt}");
     }
     if !request.text("reason").is_empty() {
         let reason = request.text("reason");
         let _ = writeln!(
-            story,
+            text,
             "  refused ({reason}{}), {}",
-            meaning(reason),
+            describe_reason(reason),
             match request.number("back_in_ms") {
                 0 => "not asked to come back".to_owned(),
                 wait => format!("asked to come back in {wait} ms"),
@@ -173,30 +175,30 @@
         );
     }
     let _ = writeln!(
-        story,
+        text,
         "  {} answered {} ({}) after {} ms",
         request.time(),
         request.number("status"),
         request.text("outcome"),
         request.number("took_ms")
     );
-    if !around.is_empty() {
-        let _ = writeln!(story, "  around it at the same entry:");
+    if !events.is_empty() {
+        let _ = writeln!(text, "  around it at the same entry:");
     }
-    for event in around {
+    for event in events {
         let _ = writeln!(
-            story,
+            text,
             "    {} {}{}",
             event.time(),
             event.text("event"),
-            fields(event)
+            format_fields(event)
         );
     }
-    story
+    text
 }
 
 /// What a refusal at the door means.
-fn meaning(reason: &str) -> &'static str {
+fn describe_reason(reason: &str) -> &'static str {
     match reason {
         "key-missing" => ": the request has no key, and its route isn't public",
         "key-malformed" => ": the credential isn't one key in the platform's scheme",
@@ -211,7 +213,7 @@
     }
 }
 
-fn fields(event: &LogLine) -> String {
+fn format_fields(event: &LogLine) -> String {
     let mut fields = String::new();
     let Some(map) = event.0.as_object() else {
         return fields;
@@ -224,10 +226,10 @@
     fields
 }
 
-fn print_json(request: &LogLine, around: &[LogLine]) {
-    let around: Vec<&Value> = around.iter().map(|line| &line.0).collect();
+fn print_json(request: &LogLine, events: &[LogLine]) {
+    let events: Vec<&Value> = events.iter().map(|line| &line.0).collect();
     println!(
         "{}",
-        serde_json::json!({"request": request.0, "around": around})
+        serde_json::json!({"request": request.0, "around": events})
     );
 }
