--- a/bin/lhctl/tests/common/mod.rs
+++ b/bin/lhctl/tests/common/mod.rs
@@ -9,18 +9,18 @@
 
 pub const BASE: &str = "[deployment]\nname = demo\n[region north]\ndomains = n-1\n\
                     [service board]\nrepeat = idempotent\n";
-pub fn folder(site: &str) -> TempDir {
+pub fn settings_folder(overlay: &str) -> TempDir {
     let folder = tempfile::tempdir().unwrap();
     std::fs::write(folder.path().join("base.ini"), BASE).unwrap();
-    std::fs::write(folder.path().join("north.ini"), site).unwrap();
+    std::fs::write(folder.path().join("north.ini"), overlay).unwrap();
     folder
 }
 
-pub async fn lhctl(platform: SocketAddr, words: &[&str]) -> (i32, String) {
-    let words: Vec<String> = words.iter().map(|word| (*word).to_owned()).collect();
+pub async fn run_lhctl(platform: SocketAddr, args: &[&str]) -> (i32, String) {
+    let args: Vec<String> = args.iter().map(|arg| (*arg).to_owned()).collect();
     let run = move || -> Output {
         Command::new(env!("CARGO_BIN_EXE_lhctl"))
-            .args(&words)
+            .args(&args)
             .env("LAURELHILL_PLATFORM", platform.to_string())
             .output()
             .unwrap()
--- a/bin/lhctl/tests/teams.rs
+++ b/bin/lhctl/tests/teams.rs
@@ -1,20 +1,20 @@
 //! Teams and keys in the operators' tool, against the platform's stand-in.
 
-mod tool;
+mod common;
 
 use std::net::SocketAddr;
 
+use common::{path, run_lhctl, settings_folder};
 use platform_standin::FakeStore;
 use serde_json::{Value, json};
 use team::key::KeyDigest;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
-use tool::{folder, lhctl, path};
 
 const TEAMS: &str = "; who asks\n[team red]\nrate = 5\n\n[team blue]\n";
 
 /// An entry that answers each question with `status`.
-async fn entry(status: Value) -> SocketAddr {
+async fn serve_status(status: Value) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
@@ -43,21 +43,21 @@
 /// changed; the former one is revoked by the beginning of its digest. Nothing else of the
 /// files changes, and no key in the clear is written anywhere.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_is_rotated() {
+async fn keys_are_rotated_and_revoked() {
     let store = FakeStore::start().await;
     let address = store.address();
-    let folder = folder(TEAMS);
+    let folder = settings_folder(TEAMS);
     let rotate = ["team", "rotate", path(&folder), "red"];
     let mut keys = Vec::new();
     for _ in 0..2 {
-        let (code, text) = lhctl(address, &rotate).await;
+        let (code, text) = run_lhctl(address, &rotate).await;
         assert_eq!(code, 0, "{text}");
         keys.push(text.lines().next().unwrap().to_owned());
     }
-    let (code, text) = lhctl(address, &rotate).await;
+    let (code, text) = run_lhctl(address, &rotate).await;
     assert!(code == 1 && text.contains("has 2 keys"), "{text}");
     assert_ne!(keys[0], keys[1]);
-    assert_eq!(lhctl(address, &["apply", path(&folder)]).await.0, 0);
+    assert_eq!(run_lhctl(address, &["apply", path(&folder)]).await.0, 0);
     let row = store.row("op", "config").unwrap().to_string();
     let written = std::fs::read_to_string(folder.path().join("north.ini")).unwrap();
     assert!(written.starts_with("; who asks\n[team red]\n") && written.contains("rate = 5"));
@@ -67,13 +67,13 @@
         assert!(!row.contains(key.as_str()) && !written.contains(key.as_str()));
     }
     let former = KeyDigest::of(keys[0].as_bytes()).to_string();
-    let (_, text) = lhctl(address, &["team", "show", path(&folder), "red"]).await;
+    let (_, text) = run_lhctl(address, &["team", "show", path(&folder), "red"]).await;
     assert!(
         text.contains(&former) && text.contains("5 requests a second"),
         "{text}"
     );
     let revoke = ["team", "revoke", "red", &former, path(&folder)];
-    let (code, text) = lhctl(address, &revoke).await;
+    let (code, text) = run_lhctl(address, &revoke).await;
     assert!(
         code == 0 && text.contains("version 2 takes the key"),
         "{text}"
@@ -81,29 +81,29 @@
     let row = store.row("op", "config").unwrap().to_string();
     assert!(!row.contains(&KeyDigest::of(keys[0].as_bytes()).to_text()));
     assert!(row.contains(&KeyDigest::of(keys[1].as_bytes()).to_text()));
-    assert_eq!(lhctl(address, &revoke).await.0, 2);
+    assert_eq!(run_lhctl(address, &revoke).await.0, 2);
 }
 
 /// Promise: who revokes a key is told which entries have heard, which haven't, and until when
 /// these may serve it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_revocation_tells_who_has_heard() {
+async fn revoke_reports_which_entries_are_updated() {
     let store = FakeStore::start().await;
     let address = store.address();
-    let folder = folder(&format!(
+    let folder = settings_folder(&format!(
         "[team red]\nkeys = {}\n",
         KeyDigest::of(b"k").to_text()
     ));
-    assert_eq!(lhctl(address, &["apply", path(&folder)]).await.0, 0);
-    let heard = entry(status("n1", 2, 100)).await;
-    let behind = entry(status("n2", 1, 3200)).await;
-    let dark = entry(status("n3", 1, 9000)).await;
-    let gone = TcpListener::bind("127.0.0.1:0")
+    assert_eq!(run_lhctl(address, &["apply", path(&folder)]).await.0, 0);
+    let updated = serve_status(status("n1", 2, 100)).await;
+    let outdated = serve_status(status("n2", 1, 3200)).await;
+    let expired = serve_status(status("n3", 1, 9000)).await;
+    let unreachable = TcpListener::bind("127.0.0.1:0")
         .await
         .unwrap()
         .local_addr()
         .unwrap();
-    let instances = [heard, behind, dark, gone]
+    let instances = [updated, outdated, expired, unreachable]
         .map(|address| address.to_string())
         .join(",");
     let key = KeyDigest::of(b"k").to_string();
@@ -119,7 +119,7 @@
         "--instances",
         &instances,
     ];
-    let (code, text) = lhctl(address, &revoke).await;
+    let (code, text) = run_lhctl(address, &revoke).await;
     assert_eq!(code, 1, "{text}");
     assert!(text.contains("heard by 1: n1"), "{text}");
     assert!(
@@ -135,21 +135,21 @@
 
 /// Promise: teams, keys and folders that aren't there are named.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_is_not_there_is_named() {
+async fn unknown_teams_and_keys_are_reported() {
     let address = FakeStore::start().await.address();
-    let folder = folder(TEAMS);
-    let (_, text) = lhctl(address, &["team", "list", path(&folder)]).await;
+    let folder = settings_folder(TEAMS);
+    let (_, text) = run_lhctl(address, &["team", "list", path(&folder)]).await;
     assert!(
         text.contains("blue: no bound") && text.contains("keys none"),
         "{text}"
     );
-    let (code, text) = lhctl(address, &["team", "rotate", path(&folder), "grey"]).await;
+    let (code, text) = run_lhctl(address, &["team", "rotate", path(&folder), "grey"]).await;
     assert!(
         code == 2 && text.contains("no section [team grey]"),
         "{text}"
     );
     let revoke = ["team", "revoke", "red", "ab", path(&folder)];
-    let (code, text) = lhctl(address, &revoke).await;
+    let (code, text) = run_lhctl(address, &revoke).await;
     assert!(
         code == 2 && text.contains("no key whose digest begins with ab"),
         "{text}"
--- a/bin/lhctl/tests/trace.rs
+++ b/bin/lhctl/tests/trace.rs
@@ -16,9 +16,9 @@
     "\nnot a line of ours\n",
 );
 
-fn explain(words: &[&str]) -> Output {
+fn explain(args: &[&str]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_lhctl"))
-        .args(words)
+        .args(args)
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -36,7 +36,7 @@
 /// Promise: the story names where the request went, what came of it, and what the
 /// same entry saw of the servers that it met and of what it depends on.
 #[test]
-fn a_request_is_explained() {
+fn explain_request_reports_attempts_outcome_and_events() {
     let output = explain(&["explain-request", "r7"]);
     let text = String::from_utf8_lossy(&output.stdout);
     for part in [
@@ -55,7 +55,7 @@
 
 /// Promise: an id without a line is said so, with what to do.
 #[test]
-fn an_unknown_id_is_said_so() {
+fn explain_request_rejects_an_unknown_id() {
     let output = explain(&["explain-request", "r8"]);
     assert_eq!(output.status.code(), Some(1));
     let text = String::from_utf8_lossy(&output.stderr);
