--- a/bin/lhctl/src/apply.rs
+++ b/bin/lhctl/src/apply.rs
@@ -1,4 +1,4 @@
-//! `check`, `diff` and `apply`.
+//! The commands `check`, `diff` and `apply`.
 
 use std::path::Path;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use crate::platform::ConfigClient;
 use crate::status;
 
-/// Checks a folder.
+/// Validates the configuration in `folder` and prints a summary.
 pub(crate) fn check(folder: &Path, json: bool) -> Result<()> {
     let bundle = ConfigBundle::from_folder(folder)?;
     let deployment = bundle.deployment()?;
@@ -43,13 +43,13 @@
     Ok(())
 }
 
-/// Shows what applying a folder would change.
+/// Prints the differences between the current configuration and `folder`.
 pub(crate) async fn diff(folder: &Path, platform: &PlatformArguments, json: bool) -> Result<()> {
     let bundle = ConfigBundle::from_folder(folder)?;
     bundle.deployment()?;
     let current = ConfigClient::new(platform.platform).current().await?;
     let Some((head, current_bundle)) = current else {
-        println!("nothing is in force yet; everything would be new");
+        println!("no configuration has been applied yet; all of it would be new");
         return Ok(());
     };
     let changes = conf::diff(&current_bundle, &bundle)?;
@@ -60,7 +60,7 @@
         );
         return Ok(());
     }
-    println!("against version {} by {}:", head.version, head.author);
+    println!("changes from version {} by {}:", head.version, head.author);
     for change in &changes {
         println!("  {change}");
     }
@@ -70,7 +70,7 @@
     Ok(())
 }
 
-/// Makes a folder the next version, and waits where that is asked for.
+/// Publishes a folder as the next version; with `--wait`, waits until it is in force.
 pub(crate) async fn apply(arguments: &ApplyArguments, json: bool) -> Result<()> {
     let head = publish(arguments).await?;
     let wait = &arguments.wait;
@@ -86,7 +86,7 @@
     Ok(())
 }
 
-/// Makes a folder the next version.
+/// Publishes a folder as the next version.
 pub(crate) async fn publish(arguments: &ApplyArguments) -> Result<ConfigHead> {
     let bundle = ConfigBundle::from_folder(&arguments.folder)?;
     let config_client = ConfigClient::new(arguments.platform.platform);
@@ -99,7 +99,7 @@
     bundle.deployment()?;
     if current_bundle == Some(&bundle) {
         return Err(Error::Refused(
-            "nothing differs from what is in force".to_owned(),
+            "the folder doesn't differ from the current configuration".to_owned(),
         ));
     }
     config_client
@@ -118,7 +118,7 @@
     }
     match elapsed {
         Some(elapsed) => println!(
-            "version {} is in force everywhere after {} ms",
+            "version {} is in force on all instances after {} ms",
             head.version,
             elapsed.as_millis()
         ),
--- a/bin/lhctl/src/cli.rs
+++ b/bin/lhctl/src/cli.rs
@@ -8,10 +8,10 @@
 
 use crate::error::Result;
 
-/// laurelhill: the operators' tool.
+/// Operator tool for laurelhill.
 ///
-/// Exit codes: 0 done, 1 refused or not done, 2 wrong usage or settings, 3 outcome
-/// unknown; the message then says what to run next.
+/// Exit codes: 0 success, 1 refused or not completed, 2 invalid usage or settings, 3 outcome
+/// unknown; the error message then says what to run next.
 #[derive(Debug, Parser)]
 #[command(version, about)]
 pub(crate) struct Arguments {
@@ -24,69 +24,69 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
-    /// Check base and overlays together; nothing is written.
+    /// Validate the base and its overlays without writing anything.
     Check {
-        /// Folder with the base and the overlays.
+        /// Folder with the base and its overlays.
         folder: PathBuf,
     },
     /// Show what applying a folder would change.
     Diff {
-        /// Folder with the base and the overlays.
+        /// Folder with the base and its overlays.
         folder: PathBuf,
         #[command(flatten)]
         platform: PlatformArguments,
     },
-    /// Make a folder's base and overlays the next version.
+    /// Publish a folder's base and overlays as the next version.
     Apply(ApplyArguments),
-    /// Give the servers of a failure domain or region no new work.
+    /// Stop sending new requests to the backend servers of a failure domain or region.
     Drain(DrainArguments),
-    /// Take a drain back.
+    /// End the drain of a failure domain or region.
     Undrain(DrainArguments),
-    /// List the requests that entries refuse since servers ended under them.
+    /// List quarantined requests, which are refused because servers crashed while handling them.
     Quarantines {
         #[command(flatten)]
         platform: PlatformArguments,
     },
-    /// Let a request in quarantine be served again.
+    /// End the quarantine of a request.
     Lift {
-        /// The request's print, or how it begins, as logs show it.
+        /// The request's fingerprint as shown in the log, or a unique prefix of it.
         print: String,
         #[command(flatten)]
         platform: PlatformArguments,
     },
-    /// Move a service to another version.
+    /// Roll out another version of a service.
     Rollout {
         #[command(subcommand)]
         command: RolloutCommand,
     },
-    /// Show teams, and change their keys.
+    /// Show teams and manage their keys.
     Team {
         #[command(subcommand)]
         command: TeamCommand,
     },
-    /// Show what instances have in force.
+    /// Show the state of instances, including the version in force.
     Status {
         #[command(flatten)]
         instances: InstanceArguments,
     },
-    /// Show why a service's traffic is where it is.
+    /// Show where a service's traffic is sent, with the state of its backend servers.
     Explain {
         /// The service.
         service: String,
-        /// Where an entry answers look-ups.
+        /// Look-up address of an entry.
         #[arg(long, value_name = "ADDRESS")]
         lookup: SocketAddr,
     },
-    /// Tell what became of a request, from the entries' log lines.
+    /// Explain what happened to a request, from the entries' logs.
     ExplainRequest {
-        /// The request's id.
+        /// The request's ID.
         id: String,
-        /// Files with log lines of any entries; standard input if there are none.
+        /// Log files of entries; standard input if none are given.
         logs: Vec<PathBuf>,
     },
-    /// Print the tables of the settings page.
+    /// Print the settings reference in Markdown.
     Settings,
-    /// Print a shell's completions.
+    /// Print a completion script for a shell.
     Completions {
         /// The shell.
         shell: Shell,
@@ -97,27 +97,28 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum RolloutCommand {
-    /// Move a service's traffic to servers of a version, which run beside the others.
+    /// Shift a service's traffic gradually to the backend servers of another version, which run
+    /// alongside those of the current one.
     Start {
         /// The service.
         service: String,
-        /// The version that is to get its traffic.
+        /// The target version.
         #[arg(long = "to", value_name = "VERSION")]
         version: String,
-        /// Time within which it is to have all of it, as in 90s.
+        /// Time within which all traffic is shifted, such as 90s.
         #[arg(long, value_name = "TIME")]
         within: String,
         #[command(flatten)]
         platform: PlatformArguments,
     },
-    /// Show how far rollouts are.
+    /// Show the progress of rollouts.
     Status {
-        /// The service; without it, all.
+        /// The service; all services if omitted.
         service: Option<String>,
         #[command(flatten)]
         platform: PlatformArguments,
     },
-    /// Take a rollout back that isn't over.
+    /// Abort a rollout that is still running and return to the previous version.
     Abort {
         /// The service.
         service: String,
@@ -130,25 +131,26 @@
 pub(crate) enum TeamCommand {
     /// List the teams of a folder.
     List {
-        /// Folder with the base and the overlays.
+        /// Folder with the base and its overlays.
         folder: PathBuf,
     },
     /// Show a team.
     Show {
-        /// Folder with the base and the overlays.
+        /// Folder with the base and its overlays.
         folder: PathBuf,
         /// The team.
         team: String,
     },
-    /// Make a further key of a team: it is shown once, its digest is written into the folder.
+    /// Generate an additional key for a team; the key is shown only once, and its digest is
+    /// written to the folder.
     Rotate {
-        /// Folder with the base and the overlays.
+        /// Folder with the base and its overlays.
         folder: PathBuf,
         /// The team.
         team: String,
     },
-    /// Take a key away: write that into the folder, apply it, and tell which instances have
-    /// heard and until when others may serve the key.
+    /// Revoke a key: remove it from the folder, apply the folder, and report which instances
+    /// have the change in force and until when the others may accept the key.
     Revoke(RevokeArguments),
 }
 
@@ -156,7 +158,7 @@
 pub(crate) struct RevokeArguments {
     /// The team.
     pub(crate) team: String,
-    /// How the key's digest begins, as `team show` lists it.
+    /// Prefix of the key's digest, as listed by `team show`.
     pub(crate) key: String,
     #[command(flatten)]
     pub(crate) change: ApplyArguments,
@@ -164,7 +166,7 @@
 
 #[derive(Debug, Clone, Args)]
 pub(crate) struct PlatformArguments {
-    /// The platform's address.
+    /// Address of the platform's store.
     #[arg(long, env = "LAURELHILL_PLATFORM", value_name = "ADDRESS")]
     pub(crate) platform: SocketAddr,
 }
@@ -178,7 +180,7 @@
 
 #[derive(Debug, Clone, Args)]
 pub(crate) struct WaitArguments {
-    /// Wait until the version is in force at every one of --instances.
+    /// Wait until the version is in force on all --instances.
     #[arg(long, requires = "instances")]
     pub(crate) wait: bool,
     /// Longest wait in seconds.
@@ -190,14 +192,14 @@
 
 #[derive(Debug, Clone, Args)]
 pub(crate) struct ApplyArguments {
-    /// Folder with the base and the overlays.
+    /// Folder with the base and its overlays.
     pub(crate) folder: PathBuf,
     #[command(flatten)]
     pub(crate) platform: PlatformArguments,
-    /// The version that was edited; without it, the one in force now.
+    /// The version that the edited files are based on; defaults to the current version.
     #[arg(long)]
     pub(crate) edited: Option<u64>,
-    /// Who makes the change.
+    /// The author of the change.
     #[arg(long, env = "USER", default_value = "operator")]
     pub(crate) author: String,
     #[command(flatten)]
@@ -206,21 +208,19 @@
 
 #[derive(Debug, Clone, Args)]
 pub(crate) struct DrainArguments {
-    /// domain or region.
+    /// What to drain: domain or region.
     pub(crate) kind: String,
-    /// Its name.
+    /// Name of the failure domain or region.
     pub(crate) name: String,
     #[command(flatten)]
     pub(crate) platform: PlatformArguments,
 }
 
-/// Prints completions.
 pub(crate) fn completions(shell: Shell) {
     let mut command = Arguments::command();
     clap_complete::generate(shell, &mut command, "lhctl", &mut std::io::stdout());
 }
 
-/// Prints the manual page.
 pub(crate) fn manual() -> Result<()> {
     clap_mangen::Man::new(Arguments::command()).render(&mut std::io::stdout())?;
     Ok(())
--- a/bin/lhctl/src/drain.rs
+++ b/bin/lhctl/src/drain.rs
@@ -1,4 +1,5 @@
-//! `drain` and `undrain`: failure domains, and whole regions, that get no new work.
+//! The commands `drain` and `undrain`, which stop and resume sending new requests to the
+//! backend servers of a failure domain or of all failure domains of a region.
 
 use conf::Deployment;
 
@@ -6,16 +7,17 @@
 use crate::error::{Error, Result};
 use crate::platform::ConfigClient;
 
-/// Whether a drain is set or taken back.
+/// Whether to begin or to end a drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum DrainAction {
-    /// Give no new work.
+    /// Stop sending new requests.
     Drain,
-    /// Give work again.
+    /// Send requests again.
     Undrain,
 }
 
-/// Changes one drain.
+/// Begins or ends the drain of a failure domain or region. Refused if all of its failure
+/// domains are in the requested state already.
 pub(crate) async fn change(
     arguments: &DrainArguments,
     action: DrainAction,
@@ -37,7 +39,7 @@
         .collect();
     if changed.is_empty() {
         let state = if drain {
-            "drained already"
+            "already drained"
         } else {
             "not drained"
         };
@@ -54,16 +56,16 @@
         );
     } else {
         let effect = if drain {
-            "gets no new work"
+            "gets no new requests"
         } else {
-            "may get work again"
+            "may get requests again"
         };
         println!("{} {effect}", changed.join(", "));
     }
     Ok(())
 }
 
-/// The failure domains that are meant.
+/// The failure domains that the command line selects.
 async fn target_domains(
     config_client: &ConfigClient,
     arguments: &DrainArguments,
@@ -73,15 +75,14 @@
         "domain" => Ok(vec![name.to_owned()]),
         "region" => {
             let deployment = current_deployment(config_client).await?;
-            let region = deployment
-                .regions
-                .get(name)
-                .ok_or_else(|| Error::Refused(format!("no region '{name}' is configured")))?;
+            let region = deployment.regions.get(name).ok_or_else(|| {
+                Error::Refused(format!("there is no region '{name}' in the configuration"))
+            })?;
             Ok(region.domains.iter().map(ToString::to_string).collect())
         }
         other => Err(Error::Usage(format!(
-            "'{other}' can't be drained; write domain or region. A backend server says itself \
-             that it leaves, and an instance is stopped with SIGTERM"
+            "can't drain a '{other}'; use domain or region. A backend server announces itself that \
+             it is leaving, and an instance is stopped with SIGTERM"
         ))),
     }
 }
@@ -89,7 +90,7 @@
 async fn current_deployment(config_client: &ConfigClient) -> Result<Deployment> {
     let Some((_, bundle)) = config_client.current().await? else {
         return Err(Error::Refused(
-            "no configuration is known; apply a folder first".to_owned(),
+            "no configuration has been applied yet; apply a folder first".to_owned(),
         ));
     };
     Ok(bundle.deployment()?)
--- a/bin/lhctl/src/error.rs
+++ b/bin/lhctl/src/error.rs
@@ -1,46 +1,46 @@
-//! Errors that end the program.
+//! Errors of the commands, and their exit classes.
 
 use kernel::ExitClass;
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why the command was not done.
+    /// Why a command failed.
     #[derive(Debug)]
     pub enum Error {
-        /// The settings are wrong.
+        /// The settings are invalid.
         Settings(cause: conf::Error) {
             display("{}", cause)
             from()
         }
-        /// The usage is wrong.
+        /// The command line is invalid.
         Usage(detail: String) {
             display("{}", detail)
         }
-        /// Somebody else changed the configuration first.
+        /// The configuration was changed since the version that the edit is based on.
         VersionConflict(base_version: u64, current_version: u64, author: String, changes: String) {
-            display("version {} was edited, but {} made version {} meanwhile; nothing was written. \
-                     Changed under you:\n{}Merge that into your files and apply again with --edited {}",
+            display("the edit is based on version {}, but {} has published version {} since; nothing \
+                     was written. Concurrent changes:\n{}Merge them into your files and apply again with --edited {}",
                     base_version, author, current_version, changes, current_version)
         }
-        /// The change is refused.
+        /// The change was refused.
         Refused(detail: String) {
             display("{}", detail)
         }
         /// The platform can't be reached, and nothing was written.
         Unavailable(cause: store::Error) {
-            display("{}; nothing was written, try again", cause)
+            display("{}; nothing was written; try again", cause)
         }
-        /// Nobody knows whether the change was made.
+        /// It is unknown whether the change was made.
         Unknown(cause: store::Error, token: String) {
             display("{}. Run `lhctl diff` with the same folder: if it shows no difference, the change \
                      was made (token {}); otherwise apply again", cause, token)
         }
-        /// The change is made, but not in force everywhere yet.
+        /// The change was made, but isn't in force on all instances yet.
         PartiallyInForce(version: u64, pending: String) {
-            display("version {} is accepted, but not yet in force at: {}. Run `lhctl status` later; \
+            display("version {} was accepted, but isn't in force yet on: {}. Run `lhctl status` later; \
                      do not apply again", version, pending)
         }
-        /// A process can't be set up or a file written.
+        /// The runtime can't be started, or an input or output operation failed.
         System(cause: std::io::Error) {
             display("{}", cause)
             from()
@@ -49,7 +49,7 @@
 }
 
 impl Error {
-    /// The kind of end that this error means.
+    /// The exit class of the program for this error.
     pub fn class(&self) -> ExitClass {
         match self {
             Self::Settings(_) | Self::Usage(_) => ExitClass::Settings,
@@ -65,5 +65,5 @@
     }
 }
 
-/// Result of the program.
+/// Result of a command.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/bin/lhctl/src/explain.rs
+++ b/bin/lhctl/src/explain.rs
@@ -1,4 +1,5 @@
-//! `explain`: why a service's traffic is where it is.
+//! The command `explain`: shows where a service's traffic is sent, and the load and health
+//! of its backend servers.
 
 use std::net::SocketAddr;
 
@@ -7,12 +8,13 @@
 use crate::error::{Error, Result};
 use crate::status::fetch;
 
-/// Shows the look-up's answer, and what the entry makes of the service's servers.
+/// Prints the entries that the look-up at `lookup` returns, and the backend servers of
+/// `service` as seen by the entry that answers there.
 pub(crate) async fn show(service: &str, lookup: SocketAddr, json: bool) -> Result<()> {
     let answer = fetch(lookup, &format!("/v1/entries?service={service}")).await;
     let Some(answer) = answer.filter(|answer| answer["entries"].is_array()) else {
         return Err(Error::Refused(format!(
-            "{lookup} has no answer for '{service}'"
+            "no answer from {lookup} for service '{service}'"
         )));
     };
     let status = fetch(lookup, &format!("/v1/status?service={service}"))
@@ -26,7 +28,7 @@
         return Ok(());
     }
     println!(
-        "callers that look up at {lookup} (version {}) use, in order:",
+        "entries returned by {lookup} (version {}), in order of preference:",
         answer["version"]
     );
     for entry in items(&answer["entries"]) {
@@ -37,7 +39,7 @@
             text(entry, "address")
         );
     }
-    println!("{} knows these servers:", text(&status, "instance"));
+    println!("backend servers known to {}:", text(&status, "instance"));
     for server in items(&status["servers"]) {
         println!("  {}", format_server(server));
     }
@@ -47,7 +49,8 @@
 fn format_server(server: &Value) -> String {
     let number = |key: &str| server[key].as_f64().unwrap_or(0.0);
     format!(
-        "{} in {}: {}, {:.1} requests at {} slots ({} from here), {:.0}% failures, {:.1} times the usual time",
+        "{} in {}: {}, {:.1} requests on {} slots ({} from this entry), {:.0}% failures, \
+         {:.1} times the usual time",
         text(server, "server"),
         text(server, "domain"),
         text(server, "state"),
--- a/bin/lhctl/src/lib.rs
+++ b/bin/lhctl/src/lib.rs
@@ -1,5 +1,5 @@
-//! The operators' tool: check, compare, apply and drain configurations, and see why
-//! traffic is where it is.
+//! Operator tool: validates, compares and applies configurations, drains failure domains,
+//! manages rollouts, team keys and quarantines, and shows where traffic is sent and why.
 
 mod apply;
 mod cli;
@@ -18,10 +18,10 @@
 
 pub use error::{Error, Result};
 
-/// Reads the command line and does what it says.
+/// Parses the command line and runs the command.
 ///
 /// # Errors
-/// Where the settings are wrong, the change is refused, or its outcome is unknown.
+/// If the command fails or is refused, or if its outcome is unknown.
 pub fn run() -> Result<()> {
     let arguments = cli::Arguments::parse();
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/bin/lhctl/src/main.rs
+++ b/bin/lhctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `lhctl`.
+//! Entry point of `lhctl`.
 
 use std::process::ExitCode;
 
--- a/bin/lhctl/src/platform.rs
+++ b/bin/lhctl/src/platform.rs
@@ -1,5 +1,5 @@
-//! The configuration as the platform's store has it: the files that operators edit,
-//! the desired state that they stand for, and the evacuations.
+//! Access to the configuration in the platform's store: the files that operators edit, the
+//! desired state derived from them, and the evacuated failure domains.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,20 +16,20 @@
 
 use crate::error::{Error, Result};
 
-/// Longest wait for an answer of the store.
+/// Longest time to wait for an answer from the store.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Reads and publishes whole sets of files.
+/// Reads and publishes configurations, each a complete set of files.
 pub(crate) struct ConfigClient {
     configs: ConfigStore<PlatformClient>,
     address: SocketAddr,
 }
 
-/// What the operator's rows say now.
+/// Current content of the rows written by operators.
 pub(crate) struct OperatorState {
-    /// Version of the desired state in force; 0 before the first.
+    /// Version of the desired state; 0 if there is none.
     pub(crate) version: u64,
-    /// Failure domains that are evacuated.
+    /// Evacuated failure domains.
     pub(crate) evacuated: Vec<String>,
 }
 
@@ -42,13 +42,13 @@
         }
     }
 
-    /// The head and its files; `None` before the first version.
+    /// Reads the current head and its files; `None` if nothing has been published.
     pub(crate) async fn current(&self) -> Result<Option<(ConfigHead, ConfigBundle)>> {
         let current = self.configs.current().await?;
         Ok(current.map(|StoredConfig { head, files }| (head, ConfigBundle { files })))
     }
 
-    /// What the operator's rows say now.
+    /// Reads the rows written by operators.
     pub(crate) async fn operator_state(&self) -> Result<OperatorState> {
         let rows = StoreClient::new(self.address, ANSWER_TIMEOUT)
             .read_operator()
@@ -70,7 +70,8 @@
         Ok(operator_state)
     }
 
-    /// Publishes `bundle` as the version after `base_version`.
+    /// Publishes `bundle` as a new version if `base_version` is still the current one.
+    /// Otherwise the error lists what has changed since the caller read `current_bundle`.
     pub(crate) async fn publish(
         &self,
         base_version: u64,
@@ -78,7 +79,8 @@
         bundle: &ConfigBundle,
         author: &str,
     ) -> Result<ConfigHead> {
-        // Somebody may have set a desired state without these files.
+        // The desired state may have been set directly, without configuration files; its
+        // version must not decrease.
         let in_force = self.operator_state().await?.version;
         let version = base_version.max(in_force) + 1;
         let token = format!("{:032x}", rand::random::<u128>());
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Evacuates failure domains, or takes that back.
+    /// Evacuates failure domains, or ends their evacuation, in one transaction.
     pub(crate) async fn evacuate(&self, domains: &[&str], evacuated: bool) -> Result<()> {
         let writes: Vec<RowWrite> = domains
             .iter()
@@ -110,12 +112,14 @@
         match self.configs.platform().commit(&writes).await? {
             CommitOutcome::Done => Ok(()),
             CommitOutcome::Conflict => Err(Error::Refused(
-                "the store refused the change; run it again".to_owned(),
+                "the store refused the change because of a conflict; run the command again"
+                    .to_owned(),
             )),
         }
     }
 
-    /// Tells the loser of a race what changed under them.
+    /// The error for a change that lost against a concurrent one, with the differences between
+    /// `current_bundle` and the latest configuration.
     async fn version_conflict(
         &self,
         base_version: u64,
@@ -137,8 +141,8 @@
     }
 }
 
-/// The writes that make entries follow `bundle`: its desired state, and the client
-/// blocks of each region.
+/// The writes that put `bundle` in force: its desired state, which replaces the version
+/// `in_force`, and the client blocks of each region.
 fn activation_writes(bundle: &ConfigBundle, version: u64, in_force: u64) -> Result<Vec<RowWrite>> {
     let deployment = bundle.deployment()?;
     let state = deployment.desired_state(version);
--- a/bin/lhctl/src/quarantine.rs
+++ b/bin/lhctl/src/quarantine.rs
@@ -1,4 +1,5 @@
-//! `quarantines` and `lift`: requests that entries refuse since servers ended under them.
+//! The commands `quarantines` and `lift`, for requests that entries refuse because backend
+//! servers crashed while handling them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,10 +9,10 @@
 
 use crate::error::{Error, Result};
 
-/// Longest wait for an answer of the store.
+/// Longest time to wait for an answer from the store.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Prints the requests in quarantine, as the store keeps them.
+/// Prints the quarantine rows in the store, including lifted ones.
 pub(crate) async fn list(platform: SocketAddr, json: bool) -> Result<()> {
     let rows = read_quarantines(&client(platform)).await?;
     for (_, row) in &rows {
@@ -34,7 +35,8 @@
     Ok(())
 }
 
-/// Lifts the quarantine of the request whose print begins with `print`.
+/// Lifts the quarantine of the request whose fingerprint begins with `prefix`. Refused unless
+/// exactly one quarantined request matches.
 pub(crate) async fn lift(platform: SocketAddr, prefix: &str, json: bool) -> Result<()> {
     let client = client(platform);
     let rows = read_quarantines(&client).await?;
@@ -43,24 +45,26 @@
         .filter(|(_, row)| row.print.starts_with(prefix) && !row.lifted);
     let Some((stored, row)) = matching.next() else {
         return Err(Error::Refused(format!(
-            "no request with the print {prefix} is in quarantine; 'lhctl quarantines' lists them"
+            "no quarantined request has a fingerprint that begins with {prefix}; \
+             'lhctl quarantines' lists them"
         )));
     };
     if matching.next().is_some() {
         return Err(Error::Refused(format!(
-            "more than one print begins with {prefix}; give more of it"
+            "several quarantined requests have fingerprints that begin with {prefix}; use a \
+             longer prefix"
         )));
     }
     let write = QuarantineRow::lift_write(&row.print).with_expected(stored.revision);
     if client.commit(&[write]).await? == CommitOutcome::Conflict {
         return Err(Error::Refused(
-            "the row changed meanwhile; run the same again".to_owned(),
+            "the row was changed concurrently; run the command again".to_owned(),
         ));
     }
     if json {
         println!("{}", serde_json::json!({"lifted": row.print}));
     } else {
-        println!("{} is served again within 15 s", row.print);
+        println!("{} will be accepted again within 15 s", row.print);
     }
     Ok(())
 }
--- a/bin/lhctl/src/status.rs
+++ b/bin/lhctl/src/status.rs
@@ -1,4 +1,4 @@
-//! `status`, and waiting until a version is in force.
+//! The command `status`, and waiting until a version is in force.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,12 +13,12 @@
 use crate::cli::InstanceArguments;
 use crate::error::{Error, Result};
 
-/// Time between two looks.
+/// Time between two rounds of status requests.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Longest wait for one answer.
+/// Longest time to wait for an answer from an instance.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Fetches a JSON document from `address`.
+/// Fetches a JSON document from `address`; `None` if there is no valid answer in time.
 pub(crate) async fn fetch(address: SocketAddr, path: &str) -> Option<Value> {
     let client = Client::builder(TokioExecutor::new()).build_http();
     let request = Request::builder()
@@ -33,7 +33,8 @@
     tokio::time::timeout(ANSWER_TIMEOUT, exchange).await.ok()?
 }
 
-/// Waits until `version` or a later one is in force at every instance.
+/// Waits until `version` or a later one is in force on all instances, for at most `seconds`.
+/// Returns the time that it took.
 pub(crate) async fn wait_until_in_force(
     instances: &[SocketAddr],
     version: u64,
@@ -62,11 +63,11 @@
     Ok(started.elapsed())
 }
 
-/// Shows what instances have in force.
+/// Prints the status of the instances; fails if any doesn't answer.
 pub(crate) async fn show(arguments: &InstanceArguments, json: bool) -> Result<()> {
     if arguments.instances.is_empty() {
         return Err(Error::Usage(
-            "name the look-up addresses with --instances".to_owned(),
+            "give the look-up addresses of entries with --instances".to_owned(),
         ));
     }
     let mut unreachable = Vec::new();
--- a/bin/lhctl/tests/common/mod.rs
+++ b/bin/lhctl/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the operators' tool on a folder of settings.
+//! Helpers that run `lhctl` on a configuration folder.
 #![allow(dead_code, unreachable_pub, missing_docs)]
 
 use std::net::SocketAddr;
@@ -9,6 +9,8 @@
 
 pub const BASE: &str = "[deployment]\nname = demo\n[region north]\ndomains = n-1\n\
                     [service board]\nrepeat = idempotent\n";
+
+/// Creates a configuration folder with [`BASE`] and `overlay`.
 pub fn settings_folder(overlay: &str) -> TempDir {
     let folder = tempfile::tempdir().unwrap();
     std::fs::write(folder.path().join("base.ini"), BASE).unwrap();
@@ -16,6 +18,7 @@
     folder
 }
 
+/// Runs `lhctl`; returns its exit code, and standard output followed by standard error.
 pub async fn run_lhctl(platform: SocketAddr, args: &[&str]) -> (i32, String) {
     let args: Vec<String> = args.iter().map(|arg| (*arg).to_owned()).collect();
     let run = move || -> Output {
--- a/bin/lhctl/tests/program.rs
+++ b/bin/lhctl/tests/program.rs
@@ -1,4 +1,4 @@
-//! The operators' tool from outside, against the platform's stand-in.
+//! Runs `lhctl` against a fake of the platform's store.
 
 mod common;
 
@@ -7,7 +7,8 @@
 
 const OVERLAY: &str = "[pool board n-1]\nservers = 127.0.0.1:1, 127.0.0.1:2\nslots = 3\n";
 
-/// Promise: a quarantine is listed, lifted by the beginning of its print, and only once.
+/// Quarantines are listed, and lifted by a fingerprint prefix that matches exactly one of them.
+/// Lifting one that is lifted already is refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn quarantines_are_listed_and_lifted_by_prefix() {
     let store = FakeStore::start().await;
@@ -28,8 +29,8 @@
     assert_eq!(text.matches(" lifted for").count(), 1, "{text}");
 }
 
-/// Promise: what is applied is the desired state that entries follow, and a drain
-/// lives on when another folder is applied.
+/// `apply` writes the desired state that entries follow. Drains are stored separately, so
+/// applying another folder doesn't end them.
 #[tokio::test(flavor = "multi_thread")]
 async fn drains_survive_an_apply() {
     let store = FakeStore::start().await;
@@ -47,7 +48,7 @@
     assert_eq!(run_lhctl(address, &["drain", "domain", "n-1"]).await.0, 0);
     assert!(store.row("op", "evacuate/n-1").is_some());
     let (code, text) = run_lhctl(address, &["drain", "region", "north"]).await;
-    assert!(code == 1 && text.contains("drained already"), "{text}");
+    assert!(code == 1 && text.contains("already drained"), "{text}");
     let second = settings_folder(&OVERLAY.replace("slots = 3", "slots = 4"));
     let (_, text) = run_lhctl(address, &["diff", path(&second)]).await;
     assert!(
@@ -65,7 +66,8 @@
     assert_eq!(run_lhctl(address, &["undrain", "domain", "n-1"]).await.0, 1);
 }
 
-/// Promise: a desired state that somebody set without the files is never undercut.
+/// If the desired state was set directly, without configuration files, `apply` takes a higher
+/// version. Entries would ignore a lower one.
 #[tokio::test(flavor = "multi_thread")]
 async fn apply_takes_a_version_above_the_desired_state() {
     let store = FakeStore::start().await;
@@ -77,7 +79,7 @@
     assert_eq!(store.row("op", "config").unwrap()["baseVersion"], 40);
 }
 
-/// Promise: the loser of a race is told what changed under them, and nothing is written.
+/// An edit of an outdated version is rejected with the author and number of the current one.
 #[tokio::test(flavor = "multi_thread")]
 async fn apply_reports_a_version_conflict() {
     let store = FakeStore::start().await;
@@ -90,10 +92,10 @@
     let third = settings_folder(&OVERLAY.replace("slots = 3", "slots = 5"));
     let (code, text) = run_lhctl(address, &["apply", path(&third), "--edited", "1"]).await;
     assert_eq!(code, 1);
-    assert!(text.contains("anna made version 2"), "{text}");
+    assert!(text.contains("anna has published version 2"), "{text}");
 }
 
-/// Promise: in an outage the exit code is 1 and nothing is written.
+/// During an outage of the store `apply` exits with 1 and writes nothing.
 #[tokio::test(flavor = "multi_thread")]
 async fn apply_fails_without_writing_during_an_outage() {
     let store = FakeStore::start().await;
@@ -104,8 +106,8 @@
     assert!(store.row("op", "config").is_none());
 }
 
-/// Promise: a lost answer is settled by reading back; where that can't be done either,
-/// the exit code is 3, with what to run next.
+/// If the store's answer is lost, the outcome is determined by reading back. If that fails too,
+/// the exit code is 3 and the message says what to run next.
 #[tokio::test(flavor = "multi_thread")]
 async fn apply_resolves_lost_answers_or_reports_unknown_outcome() {
     let store = FakeStore::start().await;
@@ -119,7 +121,7 @@
     assert!(code == 3 && text.contains("lhctl diff"), "{code}: {text}");
 }
 
-/// Wrong settings and usage end with 2.
+/// Invalid settings and invalid usage exit with 2.
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_settings_and_usage_exit_with_2() {
     let store = FakeStore::start().await;
