--- a/bin/lhctl/src/revoke.rs
+++ b/bin/lhctl/src/revoke.rs
@@ -1,4 +1,5 @@
-//! Which entries have heard that a key was taken away, and until when the others may serve it.
+//! Reports which entries have a key's revocation in force, and until when the others may still
+//! accept the key.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -9,23 +10,24 @@
 use crate::error::{Error, Result};
 use crate::status::fetch;
 
-/// Time between two looks.
+/// Time between two status requests to an entry.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// An entry that hasn't heard.
+/// An entry on which the revocation isn't in force yet.
 #[derive(Debug, Clone)]
 struct StaleEntry {
     name: String,
-    /// Why it is thought so.
+    /// What is known about it, and until when it may accept the key.
     reason: String,
 }
 
-/// Waits until all entries have the version in force, and tells of those that don't.
+/// Polls the entries until `version` is in force on all of them or the wait ends, and reports
+/// both groups. Fails if it isn't in force on all of them.
 pub(crate) async fn report_progress(wait: &WaitArguments, version: u64, json: bool) -> Result<()> {
     let instances = &wait.instances.instances;
     if instances.is_empty() {
         if !json {
-            println!("name entries with --instances to be told which have heard");
+            println!("use --instances to see on which entries the revocation is in force");
         }
         return Ok(());
     }
@@ -62,8 +64,8 @@
         return Err(StaleEntry {
             name: address.to_string(),
             reason:
-                "it doesn't answer here; if it runs it serves the key until its own knowledge is \
-                  older than the bound `revoke`, where that binds entries that hear nothing"
+                "no answer; if it is running, it accepts the key until its information on keys is \
+                 older than the bound `revoke`, or without limit if `revoke_cut_off` is false"
                     .to_owned(),
         });
     };
@@ -80,18 +82,19 @@
     })
 }
 
-/// Until when an entry that hasn't heard may serve the key.
+/// Describes until when an entry without the revocation may accept the key.
 fn describe_exposure(status: &Value) -> String {
     if status["serves_keys"] == false {
-        return "it has heard nothing for too long and serves no key".to_owned();
+        return "its information on keys is too old, so it accepts no key".to_owned();
     }
     let age = status["keys_age_ms"].as_u64();
     match (status["revoke_ms"].as_u64(), age) {
         (Some(max_age), Some(age)) => format!(
-            "it heard {age} ms ago and serves no key in {} ms unless it hears before",
+            "its information on keys is {age} ms old; it stops accepting keys in {} ms unless \
+             updated",
             max_age.saturating_sub(age)
         ),
-        _ => "it goes on with what it knows; nothing bounds that".to_owned(),
+        _ => "it keeps accepting the key until updated; no limit applies".to_owned(),
     }
 }
 
@@ -107,8 +110,8 @@
         );
         return;
     }
-    println!("heard by {}: {}", updated.len(), updated.join(" "));
+    println!("in force on {}: {}", updated.len(), updated.join(" "));
     for entry in stale {
-        println!("not yet by {}: {}", entry.name, entry.reason);
+        println!("not yet on {}: {}", entry.name, entry.reason);
     }
 }
--- a/bin/lhctl/src/rollout.rs
+++ b/bin/lhctl/src/rollout.rs
@@ -1,4 +1,4 @@
-//! `rollout`: moves a service to another version, shows how far that is, and takes it back.
+//! The command `rollout`: starts, shows and aborts rollouts of a service to another version.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,12 +14,12 @@
 use crate::cli::RolloutCommand;
 use crate::error::{Error, Result};
 
-/// Longest wait for an answer of the store.
+/// Longest time to wait for an answer from the store.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Shortest time for a rollout: a version has to answer some requests before it is trusted.
+/// Shortest duration of a rollout: the new version must answer some requests before it can be
+/// judged.
 const MIN_ROLLOUT_DURATION: Duration = Duration::from_secs(5);
 
-/// Does what `command` says.
 pub(crate) async fn run(command: &RolloutCommand, json: bool) -> Result<()> {
     match command {
         RolloutCommand::Start {
@@ -46,19 +46,19 @@
 ) -> Result<()> {
     let Some(duration) = parse_span(within) else {
         return Err(Error::Usage(format!(
-            "'{within}' is no time; write a number and its unit, as in 90s"
+            "'{within}' is not a duration; use a number with a unit, such as 90s"
         )));
     };
     if duration < MIN_ROLLOUT_DURATION {
         return Err(Error::Usage(format!(
-            "{within} is too short to judge a version; give {} s or more",
+            "{within} is too short to judge a version; use {} s or more",
             MIN_ROLLOUT_DURATION.as_secs()
         )));
     }
     let service_names = read_service_names(platform).await?;
     if !service_names.iter().any(|name| name == service) {
         return Err(Error::Refused(format!(
-            "no service '{service}' is in the desired state; there are: {}",
+            "there is no service '{service}' in the desired state; its services are: {}",
             service_names.join(", ")
         )));
     }
@@ -69,8 +69,8 @@
         println!("{order}");
     } else {
         println!(
-            "{service} moves to {version} within {within}; 'lhctl rollout status {service}' \
-             shows how far it is"
+            "rolling out {version} of {service} within {within}; 'lhctl rollout status {service}' \
+             shows the progress"
         );
     }
     Ok(())
@@ -104,7 +104,7 @@
         }
     }
     if shown == 0 && !json {
-        println!("no rollout was begun");
+        println!("no rollout has started");
     }
     Ok(())
 }
@@ -113,7 +113,7 @@
     let orders = read_orders(platform).await?;
     if !orders.iter().any(|order| order.service == service) {
         return Err(Error::Refused(format!(
-            "no rollout of '{service}' is ordered; 'lhctl rollout status' lists them"
+            "there is no rollout of '{service}' to abort; 'lhctl rollout status' lists rollouts"
         )));
     }
     let row = client(platform)
@@ -123,14 +123,15 @@
     let status = status.map_err(store::Error::from)?.flatten();
     if status.is_some_and(|(_, status)| status.phase.is_final()) {
         return Err(Error::Refused(format!(
-            "the rollout of '{service}' is over; order the former version to go back to it"
+            "the rollout of '{service}' has ended; to go back, start a rollout to the previous \
+             version"
         )));
     }
     commit(platform, order_delete(service)).await?;
     if json {
         println!("{}", serde_json::json!({"aborted": service}));
     } else {
-        println!("{service} goes back to its former version");
+        println!("{service} returns to its previous version");
     }
     Ok(())
 }
@@ -164,7 +165,7 @@
     match client(platform).commit(&[write]).await? {
         CommitOutcome::Done => Ok(()),
         CommitOutcome::Conflict => Err(Error::Refused(
-            "the store refused the change; run it again".to_owned(),
+            "the store refused the change because of a conflict; run the command again".to_owned(),
         )),
     }
 }
--- a/bin/lhctl/src/team.rs
+++ b/bin/lhctl/src/team.rs
@@ -1,5 +1,5 @@
-//! `team`: teams, and their keys in a folder of settings. A key is shown once, when it is
-//! made; what is written and compared is its digest.
+//! The command `team`: shows the teams in a configuration folder and manages their keys. A key
+//! is shown only once, when it is generated; only its digest is stored and compared.
 
 use std::path::Path;
 
@@ -14,12 +14,12 @@
 use crate::error::{Error, Result};
 use crate::revoke;
 
-/// Random bytes of a key.
+/// Number of random bytes in a key.
 const KEY_BYTES: usize = 24;
-/// Keys that a team has at most: the one in use, and the one that takes its place.
+/// Largest number of keys of a team: the one in use and its replacement.
 const MAX_KEYS_PER_TEAM: usize = 2;
 
-/// Lists the teams of `folder`.
+/// Prints all teams in `folder`.
 pub(crate) fn list(folder: &Path, json: bool) -> Result<()> {
     let deployment = ConfigBundle::from_folder(folder)?.deployment()?;
     for team in deployment.teams.values() {
@@ -31,20 +31,21 @@
     Ok(())
 }
 
-/// Shows the team `name` of `folder`.
+/// Prints the team `name` in `folder`.
 pub(crate) fn show(folder: &Path, name: &str, json: bool) -> Result<()> {
     let bundle = ConfigBundle::from_folder(folder)?;
     print_team(&find_team(&bundle, name)?, json);
     Ok(())
 }
 
-/// Makes a further key of the team `name`, writes its digest into `folder` and shows the key.
+/// Generates an additional key for the team `name`, writes its digest to `folder` and prints
+/// the key.
 pub(crate) fn rotate(folder: &Path, name: &str, json: bool) -> Result<()> {
     let bundle = ConfigBundle::from_folder(folder)?;
     let team = find_team(&bundle, name)?;
     if team.keys.len() >= MAX_KEYS_PER_TEAM {
         return Err(Error::Refused(format!(
-            "team {name} has {} keys; revoke one that is no longer in use first",
+            "team {name} already has {} keys; first revoke one that is no longer in use",
             team.keys.len()
         )));
     }
@@ -61,14 +62,15 @@
     }
     println!("{key}");
     eprintln!(
-        "This is the new key of team {name}, shown this once; its digest {digest} is in the folder. \
-         Run `lhctl apply`, hand the key out, then `lhctl team revoke` the former one."
+        "This is the new key of team {name}. It is not shown again; its digest {digest} was \
+         written to the folder. Run `lhctl apply`, hand out the key, then run `lhctl team revoke` for the \
+         previous one."
     );
     Ok(())
 }
 
-/// Takes the key whose digest begins with `key` away from the team, applies the folder and
-/// tells which entries have heard.
+/// Removes the key with the given digest prefix from the team, applies the folder and reports
+/// on which entries the change is in force.
 pub(crate) async fn revoke(arguments: &RevokeArguments, json: bool) -> Result<()> {
     let change: &ApplyArguments = &arguments.change;
     let bundle = ConfigBundle::from_folder(&change.folder)?;
@@ -81,7 +83,7 @@
     let head = apply::publish(change).await?;
     if !json {
         println!(
-            "version {} takes the key {digest} away from team {}",
+            "version {} revokes the key {digest} of team {}",
             head.version, team.name
         );
     }
@@ -93,7 +95,7 @@
     let team = deployment.teams.get(name).cloned();
     team.ok_or_else(|| {
         Error::Usage(format!(
-            "there is no section [team {name}]; `lhctl team list` names all"
+            "there is no section [team {name}]; `lhctl team list` lists all teams"
         ))
     })
 }
@@ -113,13 +115,14 @@
             team.name
         ))),
         (Some(_), Some(_)) => Err(Error::Usage(format!(
-            "more than one key of team {} begins with {key}; give more of it",
+            "several keys of team {} have a digest that begins with {key}; use a longer prefix",
             team.name
         ))),
     }
 }
 
-/// Changes the list of keys where the folder's files write it.
+/// Changes the team's list of keys in the file that defines it, provided that the resulting
+/// configuration is valid.
 fn change_keys(
     folder: &Path,
     bundle: &ConfigBundle,
@@ -134,7 +137,7 @@
     let text = bundle.files.get(&file).map_or("", String::as_str);
     let Some(text) = edit::set_key(text, &header, "keys", &change(&keys)) else {
         return Err(Error::Usage(format!(
-            "{file}: no section [{header}] to write in"
+            "{file}: there is no section [{header}] to write to"
         )));
     };
     bundle.clone().with_file(&file, &text).deployment()?;
@@ -161,22 +164,19 @@
         println!("{line}");
         return;
     }
-    let quota = team.quota.map_or("no bound".to_owned(), |quota| {
-        format!(
-            "{} requests a second and {} on top",
-            quota.rate, quota.burst
-        )
+    let quota = team.quota.map_or("no quota".to_owned(), |quota| {
+        format!("{} requests per second, burst {}", quota.rate, quota.burst)
     });
     let priority = team
         .priority
-        .map_or("of its services".to_owned(), |rank| rank.to_string());
+        .map_or("of the service".to_owned(), |rank| rank.to_string());
     let regions = if team.home_regions.is_empty() {
         "all".to_owned()
     } else {
         team.home_regions.join(" ")
     };
     println!(
-        "{}: {quota}, rank {priority}, regions {regions}, keys {}",
+        "{}: {quota}, priority {priority}, regions {regions}, keys {}",
         team.name,
         if keys.is_empty() {
             "none".to_owned()
--- a/bin/lhctl/src/trace.rs
+++ b/bin/lhctl/src/trace.rs
@@ -1,5 +1,5 @@
-//! Tells the story of one request from the entries' log lines: what decided it, what
-//! came of it, and what its entry saw around that time.
+//! The command `explain-request`: reconstructs from the entries' logs how a request was handled,
+//! what its outcome was, and which events its entry logged around that time.
 
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
@@ -10,11 +10,11 @@
 
 use crate::error::{Error, Result};
 
-/// Events of the same entry up to this long before the request are told, in ms.
+/// How long before the start of a request events of its entry are included, in milliseconds.
 const EVENTS_BEFORE_MS: i64 = 5000;
-/// And up to this long after its answer.
+/// How long after the answer events of its entry are included, in milliseconds.
 const EVENTS_AFTER_MS: i64 = 1000;
-/// Events that are told only if they concern a server that the request met.
+/// Events that are included only for servers that the request was sent to.
 const SERVER_EVENTS: [&str; 7] = [
     "server joined",
     "server is leaving",
@@ -25,7 +25,7 @@
     "server broke off requests and runs on",
 ];
 
-/// One log line.
+/// A log line, parsed as JSON.
 #[derive(Debug, Clone)]
 struct LogLine(Value);
 
@@ -50,18 +50,18 @@
     }
 }
 
-/// Prints the story of the request `id` from the lines in `logs`.
+/// Prints what the lines in `logs` say about the request `id`.
 ///
 /// # Errors
-/// Where a file can't be read, or no line is about the request.
+/// If a file can't be read, or if no line is about the request.
 pub(crate) fn explain(id: &str, logs: &[PathBuf], json: bool) -> Result<()> {
     let lines = read_lines(logs)?;
     let mut requests: Vec<&LogLine> = lines.iter().filter(|line| line.is_request(id)).collect();
     requests.sort_by_key(|line| line.time());
     if requests.is_empty() {
         return Err(Error::Refused(format!(
-            "no line is about request {id}; give the logs of all entries, and look for \
-             \"lines left out\" around its time"
+            "no line is about request {id}; pass the logs of all entries, and check for \
+             \"lines left out\" around the time of the request"
         )));
     }
     for request in requests {
@@ -92,7 +92,7 @@
 fn parse_lines(source: impl BufRead, lines: &mut Vec<LogLine>) -> Result<()> {
     for line in source.lines() {
         let line = line?;
-        // A collector may put its own words before the line.
+        // Log collectors may prefix lines with text of their own.
         let Some(start) = line.find('{') else {
             continue;
         };
@@ -145,9 +145,10 @@
     );
     let _ = writeln!(
         text,
-        "  {started} read{}; desired state {} as shown {} ms before the answer, servers as read {} ms before",
+        "  {started} read{}; desired state {} confirmed {} ms before the answer, server registry read \
+         {} ms before it",
         if request.0["returning"] == true {
-            ", after an earlier refusal"
+            ", as a retry after a refusal"
         } else {
             ""
         },
@@ -169,8 +170,8 @@
             "  refused ({reason}{}), {}",
             describe_reason(reason),
             match request.number("back_in_ms") {
-                0 => "not asked to come back".to_owned(),
-                wait => format!("asked to come back in {wait} ms"),
+                0 => "caller not asked to retry".to_owned(),
+                wait => format!("caller asked to retry in {wait} ms"),
             }
         );
     }
@@ -183,7 +184,7 @@
         request.number("took_ms")
     );
     if !events.is_empty() {
-        let _ = writeln!(text, "  around it at the same entry:");
+        let _ = writeln!(text, "  events at the same entry around that time:");
     }
     for event in events {
         let _ = writeln!(
@@ -197,18 +198,18 @@
     text
 }
 
-/// What a refusal at the door means.
+/// Explains why a request was refused before it was sent to a server.
 fn describe_reason(reason: &str) -> &'static str {
     match reason {
         "key-missing" => ": the request has no key, and its route isn't public",
-        "key-malformed" => ": the credential isn't one key in the platform's scheme",
-        "key-unknown" => ": no team held this key in the desired state named above",
+        "key-malformed" => ": the credentials aren't a single key in the platform's scheme",
+        "key-unknown" => ": no team had this key in the desired state given above",
         "key-unheard" => {
-            ": no team held this key as far as the entry knew, which was too long ago to deny it"
+            ": the entry knew no team with this key, but its information was too old to reject it"
         }
-        "keys-stale" => ": the entry had heard too long ago which keys hold",
-        "quota" => ": the team asked for more than its quota, over all entries",
-        "no-home" => ": the homes of team and route have no region in common",
+        "keys-stale" => ": the entry's information on valid keys was too old",
+        "quota" => ": the team exceeded its quota across all entries",
+        "no-home" => ": the regions allowed for the team and for the route don't overlap",
         _ => "",
     }
 }
