--- a/bin/lhctl/src/apply.rs
+++ b/bin/lhctl/src/apply.rs
@@ -91,11 +91,11 @@
     let bundle = ConfigBundle::from_folder(&arguments.folder)?;
     let config_client = ConfigClient::new(arguments.platform.platform);
     let current = config_client.current().await?;
-    let (version, current_bundle) = match &current {
+    let (current_version, current_bundle) = match &current {
         Some((head, current_bundle)) => (head.version, Some(current_bundle)),
         None => (0, None),
     };
-    let edited = arguments.edited.unwrap_or(version);
+    let base_version = arguments.edited.unwrap_or(current_version);
     bundle.deployment()?;
     if current_bundle == Some(&bundle) {
         return Err(Error::Refused(
@@ -103,7 +103,7 @@
         ));
     }
     config_client
-        .publish(edited, current_bundle, &bundle, &arguments.author)
+        .publish(base_version, current_bundle, &bundle, &arguments.author)
         .await
 }
 
--- a/bin/lhctl/src/drain.rs
+++ b/bin/lhctl/src/drain.rs
@@ -30,12 +30,7 @@
     let changed: Vec<&str> = domains
         .iter()
         .map(String::as_str)
-        .filter(|domain| {
-            evacuated
-                .iter()
-                .any(|evacuated_domain| evacuated_domain == domain)
-                != drain
-        })
+        .filter(|domain| evacuated.iter().any(|name| name == domain) != drain)
         .collect();
     if changed.is_empty() {
         let state = if drain {
--- a/bin/lhctl/src/team.rs
+++ b/bin/lhctl/src/team.rs
@@ -63,8 +63,8 @@
     println!("{key}");
     eprintln!(
         "This is the new key of team {name}. It is not shown again; its digest {digest} was \
-         written to the folder. Run `lhctl apply`, hand out the key, then run `lhctl team revoke` for the \
-         previous one."
+         written to the folder. Run `lhctl apply`, hand out the key, then run \
+         `lhctl team revoke` for the previous one."
     );
     Ok(())
 }
--- a/bin/lhctl/src/trace.rs
+++ b/bin/lhctl/src/trace.rs
@@ -145,8 +145,8 @@
     );
     let _ = writeln!(
         text,
-        "  {started} read{}; desired state {} confirmed {} ms before the answer, server registry read \
-         {} ms before it",
+        "  {started} read{}; desired state {} confirmed {} ms before the answer, server registry \
+         read {} ms before it",
         if request.0["returning"] == true {
             ", as a retry after a refusal"
         } else {
