--- a/bin/lhctl/src/drain.rs
+++ b/bin/lhctl/src/drain.rs
@@ -1,38 +1,40 @@
-//! `drain` and `undrain`: failure domains, and whole regions, that get no new work.
+//! The commands `drain` and `undrain`, which stop and resume sending new requests to the
+//! backend servers of a failure domain or of all failure domains of a region.
 
 use conf::Deployment;
 
 use crate::cli::DrainArguments;
 use crate::error::{Error, Result};
-use crate::platform::ConfigDesk;
+use crate::platform::ConfigClient;
 
-/// Whether a drain is set or taken back.
+/// Whether to begin or to end a drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Direction {
-    /// Give no new work.
+pub(crate) enum DrainAction {
+    /// Stop sending new requests.
     Drain,
-    /// Give work again.
+    /// Send requests again.
     Undrain,
 }
 
-/// Changes one drain.
+/// Begins or ends the drain of a failure domain or region. Refused if all of its failure
+/// domains are in the requested state already.
 pub(crate) async fn change(
     arguments: &DrainArguments,
-    direction: Direction,
+    action: DrainAction,
     json: bool,
 ) -> Result<()> {
-    let desk = ConfigDesk::new(arguments.platform.platform);
-    let domains = domains(&desk, arguments).await?;
-    let evacuated = desk.operator().await?.evacuated;
-    let drain = direction == Direction::Drain;
+    let config_client = ConfigClient::new(arguments.platform.platform);
+    let domains = target_domains(&config_client, arguments).await?;
+    let evacuated = config_client.operator_state().await?.evacuated;
+    let drain = action == DrainAction::Drain;
     let changed: Vec<&str> = domains
         .iter()
         .map(String::as_str)
-        .filter(|domain| evacuated.iter().any(|known| known == domain) != drain)
+        .filter(|domain| evacuated.iter().any(|name| name == domain) != drain)
         .collect();
     if changed.is_empty() {
         let state = if drain {
-            "drained already"
+            "already drained"
         } else {
             "not drained"
         };
@@ -41,47 +43,49 @@
             arguments.kind, arguments.name
         )));
     }
-    desk.evacuate(&changed, drain).await?;
+    config_client.evacuate(&changed, drain).await?;
     if json {
         println!(
             "{}",
             serde_json::json!({"domains": changed, "drained": drain})
         );
     } else {
-        let what = if drain {
-            "gets no new work"
+        let effect = if drain {
+            "gets no new requests"
         } else {
-            "may get work again"
+            "may get requests again"
         };
-        println!("{} {what}", changed.join(", "));
+        println!("{} {effect}", changed.join(", "));
     }
     Ok(())
 }
 
-/// The failure domains that are meant.
-async fn domains(desk: &ConfigDesk, arguments: &DrainArguments) -> Result<Vec<String>> {
+/// The failure domains that the command line selects.
+async fn target_domains(
+    config_client: &ConfigClient,
+    arguments: &DrainArguments,
+) -> Result<Vec<String>> {
     let name = arguments.name.as_str();
     match arguments.kind.as_str() {
         "domain" => Ok(vec![name.to_owned()]),
         "region" => {
-            let deployment = deployment(desk).await?;
-            let region = deployment
-                .regions
-                .get(name)
-                .ok_or_else(|| Error::Refused(format!("no region '{name}' is configured")))?;
+            let deployment = current_deployment(config_client).await?;
+            let region = deployment.regions.get(name).ok_or_else(|| {
+                Error::Refused(format!("there is no region '{name}' in the configuration"))
+            })?;
             Ok(region.domains.iter().map(ToString::to_string).collect())
         }
         other => Err(Error::Usage(format!(
-            "'{other}' can't be drained; write domain or region. A backend server says itself \
-             that it leaves, and an instance is stopped with SIGTERM"
+            "can't drain a '{other}'; use domain or region. A backend server announces itself that \
+             it is leaving, and an instance is stopped with SIGTERM"
         ))),
     }
 }
 
-async fn deployment(desk: &ConfigDesk) -> Result<Deployment> {
-    let Some((_, bundle)) = desk.present().await? else {
+async fn current_deployment(config_client: &ConfigClient) -> Result<Deployment> {
+    let Some((_, bundle)) = config_client.current().await? else {
         return Err(Error::Refused(
-            "no configuration is known; apply a folder first".to_owned(),
+            "no configuration has been applied yet; apply a folder first".to_owned(),
         ));
     };
     Ok(bundle.deployment()?)
--- a/bin/lhctl/src/platform.rs
+++ b/bin/lhctl/src/platform.rs
@@ -1,5 +1,5 @@
-//! The configuration as the platform's store has it: the files that operators edit,
-//! the desired state that they stand for, and the evacuations.
+//! Access to the configuration in the platform's store: the files that operators edit, the
+//! desired state derived from them, and the evacuated failure domains.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,75 +16,77 @@
 
 use crate::error::{Error, Result};
 
-/// Longest wait for an answer of the store.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Longest time to wait for an answer from the store.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Reads and publishes whole sets of files.
-pub(crate) struct ConfigDesk {
+/// Reads and publishes configurations, each a complete set of files.
+pub(crate) struct ConfigClient {
     configs: ConfigStore<PlatformClient>,
     address: SocketAddr,
 }
 
-/// What the operator's rows say now.
-pub(crate) struct OperatorView {
-    /// Version of the desired state in force; 0 before the first.
+/// Current content of the rows written by operators.
+pub(crate) struct OperatorState {
+    /// Version of the desired state; 0 if there is none.
     pub(crate) version: u64,
-    /// Failure domains that are evacuated.
+    /// Evacuated failure domains.
     pub(crate) evacuated: Vec<String>,
 }
 
-impl ConfigDesk {
+impl ConfigClient {
     pub(crate) fn new(address: SocketAddr) -> Self {
-        let client = PlatformClient::new(address).with_answer_timeout(PATIENCE);
+        let client = PlatformClient::new(address).with_answer_timeout(ANSWER_TIMEOUT);
         Self {
             configs: ConfigStore::new(client),
             address,
         }
     }
 
-    /// The head and its files; `None` before the first version.
-    pub(crate) async fn present(&self) -> Result<Option<(ConfigHead, ConfigBundle)>> {
-        let present = self.configs.current().await?;
-        Ok(present.map(|StoredConfig { head, files }| (head, ConfigBundle { files })))
+    /// Reads the current head and its files; `None` if nothing has been published.
+    pub(crate) async fn current(&self) -> Result<Option<(ConfigHead, ConfigBundle)>> {
+        let current = self.configs.current().await?;
+        Ok(current.map(|StoredConfig { head, files }| (head, ConfigBundle { files })))
     }
 
-    /// What the operator's rows say now.
-    pub(crate) async fn operator(&self) -> Result<OperatorView> {
-        let rows = StoreClient::new(self.address, PATIENCE)
+    /// Reads the rows written by operators.
+    pub(crate) async fn operator_state(&self) -> Result<OperatorState> {
+        let rows = StoreClient::new(self.address, ANSWER_TIMEOUT)
             .read_operator()
             .await
             .map_err(store::Error::from)?;
-        let mut view = OperatorView {
+        let mut operator_state = OperatorState {
             version: 0,
             evacuated: Vec::new(),
         };
         for change in rows.changes {
             match change {
-                OperatorChange::Desired(state) => view.version = state.version,
-                OperatorChange::Evacuate(domain) => view.evacuated.push(domain),
+                OperatorChange::Desired(state) => operator_state.version = state.version,
+                OperatorChange::Evacuate(domain) => operator_state.evacuated.push(domain),
                 OperatorChange::Restore(_)
                 | OperatorChange::Rollout(_)
                 | OperatorChange::CancelRollout(_) => {}
             }
         }
-        Ok(view)
+        Ok(operator_state)
     }
 
-    /// Publishes `bundle` as the version after `edited`.
+    /// Publishes `bundle` as a new version if `base_version` is still the current one.
+    /// Otherwise the error lists what has changed since the caller read `current_bundle`.
     pub(crate) async fn publish(
         &self,
-        edited: u64,
-        before: Option<&ConfigBundle>,
+        base_version: u64,
+        current_bundle: Option<&ConfigBundle>,
         bundle: &ConfigBundle,
         author: &str,
     ) -> Result<ConfigHead> {
-        // Somebody may have set a desired state without these files.
-        let in_force = self.operator().await?.version;
-        let version = edited.max(in_force) + 1;
+        // The desired state may have been set directly, without configuration files; its
+        // version must not decrease.
+        let in_force = self.operator_state().await?.version;
+        let version = base_version.max(in_force) + 1;
         let token = format!("{:032x}", rand::random::<u128>());
-        let writes = in_force_writes(bundle, version, in_force)?;
+        let writes = activation_writes(bundle, version, in_force)?;
         let change = ConfigChange {
-            base_version: edited,
+            base_version,
             version,
             files: &bundle.files,
             author,
@@ -93,13 +95,15 @@
         };
         match self.configs.publish(&change).await {
             Ok(PublishOutcome::Accepted(head)) => Ok(head),
-            Ok(PublishOutcome::Conflict(head)) => Err(self.raced(edited, before, head).await),
+            Ok(PublishOutcome::Conflict(head)) => Err(self
+                .version_conflict(base_version, current_bundle, head)
+                .await),
             Err(cause @ store::Error::Unknown(_)) => Err(Error::Unknown(cause, token)),
             Err(cause) => Err(Error::Unavailable(cause)),
         }
     }
 
-    /// Evacuates failure domains, or takes that back.
+    /// Evacuates failure domains, or ends their evacuation, in one transaction.
     pub(crate) async fn evacuate(&self, domains: &[&str], evacuated: bool) -> Result<()> {
         let writes: Vec<RowWrite> = domains
             .iter()
@@ -108,37 +112,41 @@
         match self.configs.platform().commit(&writes).await? {
             CommitOutcome::Done => Ok(()),
             CommitOutcome::Conflict => Err(Error::Refused(
-                "the store refused the change; run it again".to_owned(),
+                "the store refused the change because of a conflict; run the command again"
+                    .to_owned(),
             )),
         }
     }
 
-    /// Tells the loser of a race what changed under them.
-    async fn raced(
+    /// The error for a change that lost against a concurrent one, with the differences between
+    /// `current_bundle` and the latest configuration.
+    async fn version_conflict(
         &self,
-        edited: u64,
-        before: Option<&ConfigBundle>,
+        base_version: u64,
+        current_bundle: Option<&ConfigBundle>,
         head: Option<ConfigHead>,
     ) -> Error {
         let Some(head) = head else {
-            return Error::Raced(edited, 0, "somebody".to_owned(), String::new());
+            return Error::VersionConflict(base_version, 0, "somebody".to_owned(), String::new());
         };
         let mut changes = String::new();
-        if let (Some(before), Ok(Some((_, now)))) = (before, self.present().await) {
-            for change in conf::diff(before, &now).unwrap_or_default() {
+        if let (Some(current_bundle), Ok(Some((_, latest_bundle)))) =
+            (current_bundle, self.current().await)
+        {
+            for change in conf::diff(current_bundle, &latest_bundle).unwrap_or_default() {
                 changes.push_str(&format!("  {change}\n"));
             }
         }
-        Error::Raced(edited, head.version, head.author, changes)
+        Error::VersionConflict(base_version, head.version, head.author, changes)
     }
 }
 
-/// The writes that make entries follow `bundle`: its desired state, and the client
-/// blocks of each region.
-fn in_force_writes(bundle: &ConfigBundle, version: u64, base: u64) -> Result<Vec<RowWrite>> {
+/// The writes that put `bundle` in force: its desired state, which replaces the version
+/// `in_force`, and the client blocks of each region.
+fn activation_writes(bundle: &ConfigBundle, version: u64, in_force: u64) -> Result<Vec<RowWrite>> {
     let deployment = bundle.deployment()?;
     let state = deployment.desired_state(version);
-    let mut writes = state_writes(&state, base).map_err(store::Error::from)?;
+    let mut writes = state_writes(&state, in_force).map_err(store::Error::from)?;
     let blocks: BTreeMap<String, String> = deployment
         .regions
         .values()
--- a/bin/lhctl/src/rollout.rs
+++ b/bin/lhctl/src/rollout.rs
@@ -1,4 +1,4 @@
-//! `rollout`: moves a service to another version, shows how far that is, and takes it back.
+//! The command `rollout`: starts, shows and aborts rollouts of a service to another version.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,12 +14,12 @@
 use crate::cli::RolloutCommand;
 use crate::error::{Error, Result};
 
-/// Longest wait for an answer of the store.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// Shortest time for a rollout: a version has to answer some requests before it is trusted.
-const SHORTEST: Duration = Duration::from_secs(5);
+/// Longest time to wait for an answer from the store.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Shortest duration of a rollout: the new version must answer some requests before it can be
+/// judged.
+const MIN_ROLLOUT_DURATION: Duration = Duration::from_secs(5);
 
-/// Does what `command` says.
 pub(crate) async fn run(command: &RolloutCommand, json: bool) -> Result<()> {
     match command {
         RolloutCommand::Start {
@@ -46,20 +46,20 @@
 ) -> Result<()> {
     let Some(duration) = parse_span(within) else {
         return Err(Error::Usage(format!(
-            "'{within}' is no time; write a number and its unit, as in 90s"
+            "'{within}' is not a duration; use a number with a unit, such as 90s"
         )));
     };
-    if duration < SHORTEST {
+    if duration < MIN_ROLLOUT_DURATION {
         return Err(Error::Usage(format!(
-            "{within} is too short to judge a version; give {} s or more",
-            SHORTEST.as_secs()
+            "{within} is too short to judge a version; use {} s or more",
+            MIN_ROLLOUT_DURATION.as_secs()
         )));
     }
-    let known = services(platform).await?;
-    if !known.iter().any(|name| name == service) {
+    let service_names = read_service_names(platform).await?;
+    if !service_names.iter().any(|name| name == service) {
         return Err(Error::Refused(format!(
-            "no service '{service}' is in the desired state; there are: {}",
-            known.join(", ")
+            "there is no service '{service}' in the desired state; its services are: {}",
+            service_names.join(", ")
         )));
     }
     let write = order_write(service, version, duration).map_err(store::Error::from)?;
@@ -69,15 +69,15 @@
         println!("{order}");
     } else {
         println!(
-            "{service} moves to {version} within {within}; 'lhctl rollout status {service}' \
-             shows how far it is"
+            "rolling out {version} of {service} within {within}; 'lhctl rollout status {service}' \
+             shows the progress"
         );
     }
     Ok(())
 }
 
 async fn status(platform: SocketAddr, service: Option<&str>, json: bool) -> Result<()> {
-    let orders = orders(platform).await?;
+    let orders = read_orders(platform).await?;
     let rows = client(platform).list(STATUS_TABLE).await?;
     let mut shown = 0;
     for row in &rows {
@@ -104,16 +104,16 @@
         }
     }
     if shown == 0 && !json {
-        println!("no rollout was begun");
+        println!("no rollout has started");
     }
     Ok(())
 }
 
 async fn abort(platform: SocketAddr, service: &str, json: bool) -> Result<()> {
-    let orders = orders(platform).await?;
+    let orders = read_orders(platform).await?;
     if !orders.iter().any(|order| order.service == service) {
         return Err(Error::Refused(format!(
-            "no rollout of '{service}' is ordered; 'lhctl rollout status' lists them"
+            "there is no rollout of '{service}' to abort; 'lhctl rollout status' lists rollouts"
         )));
     }
     let row = client(platform)
@@ -123,26 +123,27 @@
     let status = status.map_err(store::Error::from)?.flatten();
     if status.is_some_and(|(_, status)| status.phase.is_final()) {
         return Err(Error::Refused(format!(
-            "the rollout of '{service}' is over; order the former version to go back to it"
+            "the rollout of '{service}' has ended; to go back, start a rollout to the previous \
+             version"
         )));
     }
     commit(platform, order_delete(service)).await?;
     if json {
         println!("{}", serde_json::json!({"aborted": service}));
     } else {
-        println!("{service} goes back to its former version");
+        println!("{service} returns to its previous version");
     }
     Ok(())
 }
 
-async fn operator_rows(platform: SocketAddr) -> Result<Vec<OperatorChange>> {
-    let mut client = StoreClient::new(platform, PATIENCE);
+async fn read_operator_changes(platform: SocketAddr) -> Result<Vec<OperatorChange>> {
+    let mut client = StoreClient::new(platform, ANSWER_TIMEOUT);
     let rows = client.read_operator().await.map_err(store::Error::from)?;
     Ok(rows.changes)
 }
 
-async fn orders(platform: SocketAddr) -> Result<Vec<RolloutOrder>> {
-    let rows = operator_rows(platform).await?;
+async fn read_orders(platform: SocketAddr) -> Result<Vec<RolloutOrder>> {
+    let rows = read_operator_changes(platform).await?;
     let orders = rows.into_iter().filter_map(|change| match change {
         OperatorChange::Rollout(order) => Some(order),
         _ => None,
@@ -150,9 +151,9 @@
     Ok(orders.collect())
 }
 
-async fn services(platform: SocketAddr) -> Result<Vec<String>> {
+async fn read_service_names(platform: SocketAddr) -> Result<Vec<String>> {
     let mut names = Vec::new();
-    for change in operator_rows(platform).await? {
+    for change in read_operator_changes(platform).await? {
         if let OperatorChange::Desired(state) = change {
             names.extend(state.services.into_iter().map(|service| service.name));
         }
@@ -164,11 +165,11 @@
     match client(platform).commit(&[write]).await? {
         CommitOutcome::Done => Ok(()),
         CommitOutcome::Conflict => Err(Error::Refused(
-            "the store refused the change; run it again".to_owned(),
+            "the store refused the change because of a conflict; run the command again".to_owned(),
         )),
     }
 }
 
 fn client(platform: SocketAddr) -> PlatformClient {
-    PlatformClient::new(platform).with_answer_timeout(PATIENCE)
+    PlatformClient::new(platform).with_answer_timeout(ANSWER_TIMEOUT)
 }
