--- a/bin/lh-load/src/lib.rs
+++ b/bin/lh-load/src/lib.rs
@@ -23,7 +23,7 @@
     let arguments = Arguments::parse();
     match arguments.pattern {
         Some(LoadPattern::Quota) => {
-            quota::play(arguments.seeds);
+            quota::run(arguments.seeds);
             return Ok(());
         }
         Some(LoadPattern::Rollout) => {
--- a/crates/emulate/src/quota/mod.rs
+++ b/crates/emulate/src/quota/mod.rs
@@ -2,12 +2,12 @@
 //! entries that let requests in, words among them that take their time and get lost, cuts,
 //! restarts, teams that ask for many times their usual.
 
-mod play;
-mod report;
-mod ways;
-mod world;
+mod outcome;
+mod scenario;
+mod simulation;
+mod strategies;
 
-pub use play::{QuotaChange, QuotaPlay, TeamLoad};
-pub use report::QuotaReport;
-pub use ways::{EntryQuota, EqualParts, LeasedParts, ToldCounts};
-pub use world::play_quota;
+pub use outcome::QuotaOutcome;
+pub use scenario::{QuotaChange, QuotaScenario, TeamLoad};
+pub use simulation::simulate_quotas;
+pub use strategies::{EqualShares, LeasedShares, QuotaStrategy, SharedCounts};
--- a/crates/emulate/src/quota/report.rs
+++ b/crates/emulate/src/quota/outcome.rs
@@ -8,7 +8,7 @@
 /// What came of a play, for the teams that asked for their usual and for those that asked
 /// for more.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct QuotaReport {
+pub struct QuotaOutcome {
     /// The window in which a team exceeded its quota most, as a share of what was allowed
     /// there, tolerance included.
     pub worst: f64,
@@ -19,7 +19,7 @@
     /// Requests of such teams that were let in, as a share of what their quotas allow.
     pub hot_served: f64,
     /// Words that an entry sent, a second.
-    pub words: f64,
+    pub messages: f64,
     /// Bytes that an entry sent, a second.
     pub bytes: f64,
 }
@@ -28,56 +28,56 @@
 #[derive(Debug, Clone, Default)]
 pub(crate) struct TeamLog {
     /// When its requests were let in, in seconds, and the rate that was set then.
-    pub(crate) let_in: Vec<f64>,
+    pub(crate) admitted: Vec<f64>,
     /// Quotas as they were set: from when on, and for how long the one before still counts.
     pub(crate) quotas: Vec<(f64, TeamQuota)>,
-    pub(crate) owed: u32,
+    pub(crate) within_quota: u32,
     pub(crate) refused: u32,
 }
 
 impl TeamLog {
     /// The largest share of what was allowed that was let in, over all windows.
-    pub(crate) fn worst(&self, bounds: &QuotaBounds) -> f64 {
+    pub(crate) fn worst_share(&self, bounds: &QuotaBounds) -> f64 {
         let window = bounds.window.as_secs_f64();
-        let mut worst = 0.0_f64;
+        let mut worst_share = 0.0_f64;
         let mut first = 0;
-        for (last, at) in self.let_in.iter().enumerate() {
-            while self.let_in[first] <= at - window {
+        for (last, at) in self.admitted.iter().enumerate() {
+            while self.admitted[first] <= at - window {
                 first += 1;
             }
             let allowed = self.allowed(bounds, *at);
-            worst = worst.max((last + 1 - first) as f64 / allowed);
+            worst_share = worst_share.max((last + 1 - first) as f64 / allowed);
         }
-        worst
+        worst_share
     }
 
     /// A lower quota binds a window after it has been set.
     fn allowed(&self, bounds: &QuotaBounds, at: f64) -> f64 {
         let window = bounds.window.as_secs_f64();
-        let mut most = 0.0_f64;
+        let mut largest = 0.0_f64;
         for (index, (_, quota)) in self.quotas.iter().enumerate() {
             let ends = self
                 .quotas
                 .get(index + 1)
                 .map(|(from, _)| from + 2.0 * window);
             if ends.is_none_or(|ends| at < ends) {
-                let whole = quota.rate * window + quota.burst;
-                most = most.max(whole * (1.0 + bounds.excess) + bounds.slack);
+                let per_window = quota.rate * window + quota.burst;
+                largest = largest.max(per_window * (1.0 + bounds.excess) + bounds.slack);
             }
         }
-        most
+        largest
     }
 }
 
 /// The quota as it is meant: who is let in by it is owed an answer.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct TrueBucket {
+pub(crate) struct ReferenceBucket {
     pub(crate) quota: TeamQuota,
     level: f64,
     at: f64,
 }
 
-impl TrueBucket {
+impl ReferenceBucket {
     pub(crate) fn new(quota: TeamQuota) -> Self {
         Self {
             quota,
@@ -91,15 +91,15 @@
         let filled = self.level + self.quota.rate * (at - self.at);
         self.level = filled.min(self.quota.burst.max(1.0));
         self.at = at;
-        let is_within = self.level >= 1.0;
-        if is_within {
+        let is_admitted = self.level >= 1.0;
+        if is_admitted {
             self.level -= 1.0;
         }
-        is_within
+        is_admitted
     }
 }
 
 /// Seconds as a duration.
-pub(crate) fn span(seconds: f64) -> Duration {
+pub(crate) fn duration_from_secs(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
--- a/crates/emulate/src/quota/play.rs
+++ b/crates/emulate/src/quota/scenario.rs
@@ -9,9 +9,9 @@
     /// The team.
     pub spec: TeamSpec,
     /// Requests a second.
-    pub usual: f64,
+    pub base_rate: f64,
     /// The one entry that its callers use; `None` where they use all alike.
-    pub at: Option<usize>,
+    pub entry: Option<usize>,
 }
 
 /// What changes, in seconds from the start.
@@ -22,14 +22,14 @@
         /// The team.
         team: usize,
         /// How many times.
-        times: f64,
+        factor: f64,
         /// From when on.
         from: f64,
         /// Until when.
         until: f64,
     },
     /// Each of the first entries hears nobody and is heard by nobody; callers still reach it.
-    Cut {
+    Partition {
         /// How many.
         count: usize,
         /// From when on.
@@ -42,10 +42,10 @@
         /// When.
         at: f64,
         /// How long they are away.
-        away: f64,
+        downtime: f64,
     },
     /// The operator sets another rate and burst.
-    Set {
+    SetQuota {
         /// The team.
         team: usize,
         /// When.
@@ -54,7 +54,7 @@
         rate: f64,
     },
     /// The team's callers all use one entry from now on.
-    Move {
+    MoveCallers {
         /// The team.
         team: usize,
         /// When.
@@ -66,7 +66,7 @@
 
 /// One play.
 #[derive(Debug, Clone)]
-pub struct QuotaPlay {
+pub struct QuotaScenario {
     /// Entries that get requests.
     pub entries: usize,
     /// Seed of all chances.
@@ -80,32 +80,34 @@
     /// What changes.
     pub changes: Vec<QuotaChange>,
     /// Share of the words that get lost.
-    pub loses: f64,
+    pub loss: f64,
 }
 
 /// Quota of a team, as a multiple of its usual rate.
-const QUOTA_TIMES: f64 = 1.6;
+const QUOTA_FACTOR: f64 = 1.6;
 /// How much less each team asks than the one before it.
-const FALL: f64 = 0.93;
+const RATE_DECAY: f64 = 0.93;
 
-impl QuotaPlay {
+impl QuotaScenario {
     /// `count` teams, a few of them large, that ask together for `rate` requests a second of
     /// `entries` entries, for 20 s.
     pub fn new(seed: u64, entries: usize, count: usize, rate: f64) -> Self {
-        let weights: Vec<f64> = (0..count).map(|team| FALL.powi(team as i32)).collect();
-        let whole: f64 = weights.iter().sum();
+        let weights: Vec<f64> = (0..count)
+            .map(|team| RATE_DECAY.powi(team as i32))
+            .collect();
+        let total: f64 = weights.iter().sum();
         let teams = weights.iter().enumerate().map(|(index, weight)| {
-            let usual = rate * weight / whole;
+            let base_rate = rate * weight / total;
             TeamLoad {
                 spec: TeamSpec {
                     name: format!("team-{index:03}"),
                     keys: Vec::new(),
                     priority: None,
-                    quota: TeamQuota::new(QUOTA_TIMES * usual, QUOTA_TIMES * usual),
+                    quota: TeamQuota::new(QUOTA_FACTOR * base_rate, QUOTA_FACTOR * base_rate),
                     home_regions: Vec::new(),
                 },
-                usual,
-                at: None,
+                base_rate,
+                entry: None,
             }
         });
         Self {
@@ -119,7 +121,7 @@
             },
             teams: teams.collect(),
             changes: Vec::new(),
-            loses: 0.02,
+            loss: 0.02,
         }
     }
 
--- a/crates/emulate/src/quota/ways.rs
+++ b/crates/emulate/src/quota/strategies.rs
@@ -11,9 +11,9 @@
 pub(crate) const REGIONS: usize = 3;
 
 /// One entry's part in keeping quotas.
-pub trait EntryQuota {
+pub trait QuotaStrategy {
     /// What it tells others.
-    type Word: Clone;
+    type Message: Clone;
 
     /// Takes in the teams.
     fn set_teams(&mut self, now: Instant, teams: &[TeamSpec]);
@@ -28,21 +28,21 @@
     fn admit(&mut self, now: Instant, team: &str) -> Result<(), Duration>;
 
     /// What it tells now, and how many bytes that takes.
-    fn word(&mut self, now: Instant) -> (Self::Word, usize);
+    fn next_message(&mut self, now: Instant) -> (Self::Message, usize);
 
     /// Whether the entry `to` is told that.
-    fn is_told(&self, to: u64, word: &Self::Word) -> bool;
+    fn is_recipient(&self, to: u64, message: &Self::Message) -> bool;
 
     /// Takes in a word of the entry `peer`.
-    fn on_word(&mut self, now: Instant, peer: u64, word: &Self::Word);
+    fn on_message(&mut self, now: Instant, peer: u64, message: &Self::Message);
 }
 
 /// The decisions of the daemon.
 #[derive(Debug)]
-pub struct ToldCounts(pub QuotaLimiter);
+pub struct SharedCounts(pub QuotaLimiter);
 
-impl EntryQuota for ToldCounts {
-    type Word = QuotaReport;
+impl QuotaStrategy for SharedCounts {
+    type Message = QuotaReport;
 
     fn set_teams(&mut self, now: Instant, teams: &[TeamSpec]) {
         self.0.set_teams(now, teams);
@@ -57,32 +57,32 @@
         self.0.admit(now, team)
     }
 
-    fn word(&mut self, now: Instant) -> (QuotaReport, usize) {
-        let word = self.0.report(now);
+    fn next_message(&mut self, now: Instant) -> (QuotaReport, usize) {
+        let message = self.0.report(now);
         // Run, age and set of teams take about 16 bytes, a count 4.
-        let bytes = 16 + 4 * word.counts.len();
-        (word, bytes)
+        let bytes = 16 + 4 * message.counts.len();
+        (message, bytes)
     }
 
-    fn is_told(&self, _: u64, _: &QuotaReport) -> bool {
+    fn is_recipient(&self, _: u64, _: &QuotaReport) -> bool {
         true
     }
 
-    fn on_word(&mut self, now: Instant, peer: u64, word: &QuotaReport) {
-        self.0.on_report(now, peer, word);
+    fn on_message(&mut self, now: Instant, peer: u64, message: &QuotaReport) {
+        self.0.on_report(now, peer, message);
     }
 }
 
 /// A plain bucket.
 #[derive(Debug, Clone, Copy)]
-struct PlainBucket {
+struct LocalBucket {
     rate: f64,
     burst: f64,
     level: f64,
     at: Instant,
 }
 
-impl PlainBucket {
+impl LocalBucket {
     fn new(now: Instant, rate: f64, burst: f64) -> Self {
         Self {
             rate,
@@ -92,21 +92,21 @@
         }
     }
 
-    fn set(&mut self, now: Instant, rate: f64, burst: f64) {
-        self.fill(now);
+    fn set_limits(&mut self, now: Instant, rate: f64, burst: f64) {
+        self.refill(now);
         self.rate = rate;
         self.burst = burst.max(1.0);
         self.level = self.level.min(self.burst);
     }
 
-    fn fill(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.level = (self.level + self.rate * passed).min(self.burst);
+    fn refill(&mut self, now: Instant) {
+        let elapsed = now.saturating_duration_since(self.at).as_secs_f64();
+        self.level = (self.level + self.rate * elapsed).min(self.burst);
         self.at = now;
     }
 
     fn take(&mut self, now: Instant) -> Result<(), Duration> {
-        self.fill(now);
+        self.refill(now);
         if self.level >= 1.0 {
             self.level -= 1.0;
             return Ok(());
@@ -118,41 +118,41 @@
 
 /// Each entry has the same part of each quota, whoever asks where.
 #[derive(Debug, Default)]
-pub struct EqualParts {
+pub struct EqualShares {
     entries: usize,
     quotas: HashMap<String, TeamQuota>,
-    buckets: HashMap<String, PlainBucket>,
+    buckets: HashMap<String, LocalBucket>,
 }
 
-impl EqualParts {
-    fn part(&self) -> f64 {
+impl EqualShares {
+    fn share(&self) -> f64 {
         1.0 / (self.entries + 1) as f64
     }
 }
 
-impl EntryQuota for EqualParts {
-    type Word = ();
+impl QuotaStrategy for EqualShares {
+    type Message = ();
 
     fn set_teams(&mut self, now: Instant, teams: &[TeamSpec]) {
-        let part = self.part();
+        let share = self.share();
         for team in teams {
             let Some(quota) = team.quota else {
                 continue;
             };
             self.quotas.insert(team.name.clone(), quota);
-            let (rate, burst) = (quota.rate * part, quota.burst * part);
+            let (rate, burst) = (quota.rate * share, quota.burst * share);
             let bucket = self.buckets.entry(team.name.clone());
-            let bucket = bucket.or_insert_with(|| PlainBucket::new(now, rate, burst));
-            bucket.set(now, rate, burst);
+            let bucket = bucket.or_insert_with(|| LocalBucket::new(now, rate, burst));
+            bucket.set_limits(now, rate, burst);
         }
     }
 
     fn set_entries(&mut self, now: Instant, entries: &[u64]) {
         self.entries = entries.len();
-        let part = self.part();
+        let share = self.share();
         for (name, bucket) in &mut self.buckets {
             if let Some(quota) = self.quotas.get(name) {
-                bucket.set(now, quota.rate * part, quota.burst * part);
+                bucket.set_limits(now, quota.rate * share, quota.burst * share);
             }
         }
     }
@@ -163,27 +163,27 @@
             .map_or(Ok(()), |bucket| bucket.take(now))
     }
 
-    fn word(&mut self, _: Instant) -> ((), usize) {
+    fn next_message(&mut self, _: Instant) -> ((), usize) {
         ((), 0)
     }
 
-    fn is_told(&self, _: u64, (): &()) -> bool {
+    fn is_recipient(&self, _: u64, (): &()) -> bool {
         false
     }
 
-    fn on_word(&mut self, _: Instant, _: u64, (): &()) {}
+    fn on_message(&mut self, _: Instant, _: u64, (): &()) {}
 }
 
 /// Part of a quota that is always each entry's own.
-const OWN_SHARE: f64 = 0.2;
+const GUARANTEED_SHARE: f64 = 0.2;
 /// A lease ends after this time unless it is renewed.
-const LEASE_TIME: Duration = Duration::from_millis(1000);
+const LEASE_DURATION: Duration = Duration::from_millis(1000);
 /// Weight of the newest demand.
 const DEMAND_WEIGHT: f64 = 0.3;
 
 /// What entries and the lead that leases parts tell each other.
 #[derive(Debug, Clone)]
-pub enum LeaseWord {
+pub enum LeaseMessage {
     /// Requests of each team since the last word.
     Demand(Vec<(String, u32)>),
     /// Parts of each team's quota, by entry.
@@ -193,18 +193,18 @@
 /// Parts are leased by demand from one lead of all; without a lease an entry has a part that
 /// is always its own.
 #[derive(Debug)]
-pub struct LeasedParts {
+pub struct LeasedShares {
     own: u64,
     lead: u64,
     entries: usize,
     quotas: HashMap<String, TeamQuota>,
-    buckets: HashMap<String, PlainBucket>,
-    asked: HashMap<String, u32>,
+    buckets: HashMap<String, LocalBucket>,
+    requested: HashMap<String, u32>,
     leases: HashMap<String, (f64, Instant)>,
     demand: HashMap<String, HashMap<u64, f64>>,
 }
 
-impl LeasedParts {
+impl LeasedShares {
     /// The part of the entry `own` where `lead` leases.
     pub fn new(own: u64, lead: u64) -> Self {
         Self {
@@ -213,47 +213,48 @@
             entries: 0,
             quotas: HashMap::new(),
             buckets: HashMap::new(),
-            asked: HashMap::new(),
+            requested: HashMap::new(),
             leases: HashMap::new(),
             demand: HashMap::new(),
         }
     }
 
-    fn part(&self, now: Instant, team: &str) -> f64 {
-        let own = OWN_SHARE / (self.entries + 1) as f64;
-        let lease = self.leases.get(team).filter(|(_, ends)| now < *ends);
-        own + lease.map_or(0.0, |(part, _)| part * (1.0 - OWN_SHARE))
+    fn share(&self, now: Instant, team: &str) -> f64 {
+        let own = GUARANTEED_SHARE / (self.entries + 1) as f64;
+        let lease = self.leases.get(team).filter(|(_, expires)| now < *expires);
+        own + lease.map_or(0.0, |(share, _)| share * (1.0 - GUARANTEED_SHARE))
     }
 
-    fn learn(&mut self, peer: u64, asked: &[(String, u32)]) {
-        for (team, count) in asked {
+    fn record_demand(&mut self, peer: u64, requested: &[(String, u32)]) {
+        for (team, count) in requested {
             let demand = self.demand.entry(team.clone()).or_default();
-            let known = demand.entry(peer).or_default();
-            *known += DEMAND_WEIGHT * (f64::from(*count) - *known);
+            let average = demand.entry(peer).or_default();
+            *average += DEMAND_WEIGHT * (f64::from(*count) - *average);
         }
     }
 
     fn grants(&self) -> HashMap<u64, Vec<(String, f64)>> {
         let mut grants: HashMap<u64, Vec<(String, f64)>> = HashMap::new();
         for (team, demand) in &self.demand {
-            let whole: f64 = demand.values().sum();
-            for (peer, asked) in demand {
-                let part = if whole > 0.0 { asked / whole } else { 0.0 };
-                grants.entry(*peer).or_default().push((team.clone(), part));
+            let total: f64 = demand.values().sum();
+            for (peer, requested) in demand {
+                let share = if total > 0.0 { requested / total } else { 0.0 };
+                grants.entry(*peer).or_default().push((team.clone(), share));
             }
         }
         grants
     }
 
-    fn take_grants(&mut self, now: Instant, grants: &[(String, f64)]) {
-        for (team, part) in grants {
-            self.leases.insert(team.clone(), (*part, now + LEASE_TIME));
+    fn apply_grants(&mut self, now: Instant, grants: &[(String, f64)]) {
+        for (team, share) in grants {
+            self.leases
+                .insert(team.clone(), (*share, now + LEASE_DURATION));
         }
     }
 }
 
-impl EntryQuota for LeasedParts {
-    type Word = LeaseWord;
+impl QuotaStrategy for LeasedShares {
+    type Message = LeaseMessage;
 
     fn set_teams(&mut self, _: Instant, teams: &[TeamSpec]) {
         for team in teams {
@@ -271,52 +272,52 @@
         let Some(quota) = self.quotas.get(team).copied() else {
             return Ok(());
         };
-        *self.asked.entry(team.to_owned()).or_default() += 1;
-        let part = self.part(now, team);
-        let (rate, burst) = (quota.rate * part, quota.burst * part);
+        *self.requested.entry(team.to_owned()).or_default() += 1;
+        let share = self.share(now, team);
+        let (rate, burst) = (quota.rate * share, quota.burst * share);
         let bucket = self.buckets.entry(team.to_owned());
-        let bucket = bucket.or_insert_with(|| PlainBucket::new(now, rate, burst));
-        bucket.set(now, rate, burst);
+        let bucket = bucket.or_insert_with(|| LocalBucket::new(now, rate, burst));
+        bucket.set_limits(now, rate, burst);
         bucket.take(now)
     }
 
-    fn word(&mut self, now: Instant) -> (LeaseWord, usize) {
-        let mut asked: Vec<(String, u32)> = self.asked.drain().collect();
-        asked.sort_unstable();
+    fn next_message(&mut self, now: Instant) -> (LeaseMessage, usize) {
+        let mut requested: Vec<(String, u32)> = self.requested.drain().collect();
+        requested.sort_unstable();
         // Teams that nobody asks for any more fade out.
-        let known: Vec<String> = self.quotas.keys().cloned().collect();
-        let silent = known
+        let known_teams: Vec<String> = self.quotas.keys().cloned().collect();
+        let idle = known_teams
             .into_iter()
-            .filter(|name| !asked.iter().any(|(team, _)| team == name));
-        let silent: Vec<(String, u32)> = silent.map(|name| (name, 0)).collect();
-        let bytes = 16 + 4 * asked.len();
-        asked.extend(silent);
+            .filter(|name| !requested.iter().any(|(team, _)| team == name));
+        let idle: Vec<(String, u32)> = idle.map(|name| (name, 0)).collect();
+        let bytes = 16 + 4 * requested.len();
+        requested.extend(idle);
         if self.own != self.lead {
-            return (LeaseWord::Demand(asked), bytes);
+            return (LeaseMessage::Demand(requested), bytes);
         }
-        self.learn(self.own, &asked);
+        self.record_demand(self.own, &requested);
         let grants = self.grants();
         if let Some(own) = grants.get(&self.own).cloned() {
-            self.take_grants(now, &own);
+            self.apply_grants(now, &own);
         }
         let bytes = 16 + 6 * self.demand.len();
-        (LeaseWord::Grants(grants), bytes)
+        (LeaseMessage::Grants(grants), bytes)
     }
 
-    fn is_told(&self, to: u64, word: &LeaseWord) -> bool {
-        match word {
-            LeaseWord::Demand(_) => to == self.lead,
-            LeaseWord::Grants(_) => true,
+    fn is_recipient(&self, to: u64, message: &LeaseMessage) -> bool {
+        match message {
+            LeaseMessage::Demand(_) => to == self.lead,
+            LeaseMessage::Grants(_) => true,
         }
     }
 
-    fn on_word(&mut self, now: Instant, peer: u64, word: &LeaseWord) {
-        match word {
-            LeaseWord::Demand(asked) => self.learn(peer, asked),
-            LeaseWord::Grants(grants) => {
+    fn on_message(&mut self, now: Instant, peer: u64, message: &LeaseMessage) {
+        match message {
+            LeaseMessage::Demand(requested) => self.record_demand(peer, requested),
+            LeaseMessage::Grants(grants) => {
                 if let Some(own) = grants.get(&self.own) {
                     let own = own.clone();
-                    self.take_grants(now, &own);
+                    self.apply_grants(now, &own);
                 }
             }
         }
--- a/crates/emulate/tests/quotas.rs
+++ b/crates/emulate/tests/quotas.rs
@@ -1,7 +1,8 @@
 //! What teams may ask for, over all entries, in virtual time.
 
 use emulate::quota::{
-    EqualParts, LeasedParts, QuotaChange, QuotaPlay, QuotaReport, ToldCounts, play_quota,
+    EqualShares, LeasedShares, QuotaChange, QuotaOutcome, QuotaScenario, SharedCounts,
+    simulate_quotas,
 };
 use team::quota::QuotaLimiter;
 
@@ -9,20 +10,20 @@
 const CALM_REFUSED: f64 = 0.01;
 const HOT: QuotaChange = QuotaChange::Hot {
     team: 0,
-    times: 7.5,
+    factor: 7.5,
     from: 3.0,
     until: 9.0,
 };
 
-fn play(entries: usize) -> QuotaPlay {
-    let mut play = QuotaPlay::new(1, entries, 40, 120.0 * entries as f64);
-    play.seconds = 14.0;
-    play
+fn scenario(entries: usize) -> QuotaScenario {
+    let mut scenario = QuotaScenario::new(1, entries, 40, 120.0 * entries as f64);
+    scenario.seconds = 14.0;
+    scenario
 }
 
-fn told(play: &QuotaPlay) -> QuotaReport {
-    play_quota(play, |now, _, run| {
-        ToldCounts(QuotaLimiter::new(now, play.bounds, run, true))
+fn shared(scenario: &QuotaScenario) -> QuotaOutcome {
+    simulate_quotas(scenario, |now, _, run| {
+        SharedCounts(QuotaLimiter::new(now, scenario.bounds, run, true))
     })
 }
 
@@ -31,11 +32,14 @@
 #[test]
 fn a_hot_team_keeps_to_its_quota_and_harms_nobody() {
     for entries in [9, 30, 90] {
-        let report = told(&play(entries).with(HOT));
-        assert!(report.worst <= 1.0, "{entries}: {report:?}");
-        assert!(report.calm_refused < CALM_REFUSED, "{entries}: {report:?}");
+        let outcome = shared(&scenario(entries).with(HOT));
+        assert!(outcome.worst <= 1.0, "{entries}: {outcome:?}");
+        assert!(
+            outcome.calm_refused < CALM_REFUSED,
+            "{entries}: {outcome:?}"
+        );
         // What its quota allows it gets.
-        assert!(report.hot_served > 0.95, "{entries}: {report:?}");
+        assert!(outcome.hot_served > 0.95, "{entries}: {outcome:?}");
     }
 }
 
@@ -44,14 +48,14 @@
 #[test]
 fn quotas_hold_over_entries_that_are_cut_off() {
     for (entries, from) in [(9, 1.0), (9, 5.0), (30, 5.0), (90, 5.0)] {
-        let cut = QuotaChange::Cut {
+        let partition = QuotaChange::Partition {
             count: entries / 3,
             from,
             until: 12.0,
         };
-        let report = told(&play(entries).with(HOT).with(cut));
-        assert!(report.worst <= 1.0, "{entries}, {from}: {report:?}");
-        assert!(report.hot_served > 0.7, "{entries}, {from}: {report:?}");
+        let outcome = shared(&scenario(entries).with(HOT).with(partition));
+        assert!(outcome.worst <= 1.0, "{entries}, {from}: {outcome:?}");
+        assert!(outcome.hot_served > 0.7, "{entries}, {from}: {outcome:?}");
     }
 }
 
@@ -60,14 +64,17 @@
 #[test]
 fn quotas_hold_over_a_loss_of_all_entries() {
     for entries in [9, 30, 90] {
-        let restart = |at| QuotaChange::Restart { at, away: 0.4 };
-        let play = play(entries)
+        let restart = |at| QuotaChange::Restart { at, downtime: 0.4 };
+        let scenario = scenario(entries)
             .with(HOT)
             .with(restart(4.5))
             .with(restart(6.0));
-        let report = told(&play);
-        assert!(report.worst <= 1.0, "{entries}: {report:?}");
-        assert!(report.calm_refused < CALM_REFUSED, "{entries}: {report:?}");
+        let outcome = shared(&scenario);
+        assert!(outcome.worst <= 1.0, "{entries}: {outcome:?}");
+        assert!(
+            outcome.calm_refused < CALM_REFUSED,
+            "{entries}: {outcome:?}"
+        );
     }
 }
 
@@ -76,20 +83,26 @@
 #[test]
 fn quotas_follow_changes_and_callers() {
     for entries in [9, 30] {
-        let lowered = QuotaChange::Set {
+        let lowered_quota = QuotaChange::SetQuota {
             team: 2,
             at: 2.0,
             rate: 4.0,
         };
-        let moved = |team| QuotaChange::Move {
+        let moved_callers = |team| QuotaChange::MoveCallers {
             team,
             at: 4.0,
             to: 1,
         };
-        let play = play(entries).with(lowered).with(moved(0)).with(moved(5));
-        let report = told(&play);
-        assert!(report.worst <= 1.0, "{entries}: {report:?}");
-        assert!(report.calm_refused < CALM_REFUSED, "{entries}: {report:?}");
+        let scenario = scenario(entries)
+            .with(lowered_quota)
+            .with(moved_callers(0))
+            .with(moved_callers(5));
+        let outcome = shared(&scenario);
+        assert!(outcome.worst <= 1.0, "{entries}: {outcome:?}");
+        assert!(
+            outcome.calm_refused < CALM_REFUSED,
+            "{entries}: {outcome:?}"
+        );
     }
 }
 
@@ -97,16 +110,18 @@
 /// leased ones.
 #[test]
 fn told_counts_refuse_less_than_parts() {
-    let play = play(9).with(HOT);
-    let equal = play_quota(&play, |_, _, _| EqualParts::default());
-    let leased = play_quota(&play, |_, entry, _| LeasedParts::new(entry as u64 + 1, 1));
-    let told = told(&play);
+    let scenario = scenario(9).with(HOT);
+    let equal = simulate_quotas(&scenario, |_, _, _| EqualShares::default());
+    let leased = simulate_quotas(&scenario, |_, entry, _| {
+        LeasedShares::new(entry as u64 + 1, 1)
+    });
+    let shared = shared(&scenario);
     assert!(
-        told.calm_refused < 0.2 * equal.calm_refused,
-        "{told:?}, {equal:?}"
+        shared.calm_refused < 0.2 * equal.calm_refused,
+        "{shared:?}, {equal:?}"
     );
     assert!(
-        told.calm_refused < 0.2 * leased.calm_refused,
-        "{told:?}, {leased:?}"
+        shared.calm_refused < 0.2 * leased.calm_refused,
+        "{shared:?}, {leased:?}"
     );
 }
