--- a/bin/lh-load/src/lib.rs
+++ b/bin/lh-load/src/lib.rs
@@ -27,7 +27,7 @@
             return Ok(());
         }
         Some(LoadPattern::Rollout) => {
-            return rollout::play(arguments.seeds, arguments.plot.as_deref());
+            return rollout::run(arguments.seeds, arguments.plot.as_deref());
         }
         _ => {}
     }
@@ -53,12 +53,12 @@
         }
     };
     for pattern in patterns {
-        play(&arguments, pattern)?;
+        run_pattern(&arguments, pattern)?;
     }
     Ok(())
 }
 
-fn play(arguments: &Arguments, pattern: LoadPattern) -> Result<()> {
+fn run_pattern(arguments: &Arguments, pattern: LoadPattern) -> Result<()> {
     for seed in 1..=arguments.seeds {
         let experiment = experiment(pattern, seed, arguments.load);
         let naive = run_trial(&experiment, |config, desired, servers, _, _| {
--- a/bin/lh-load/src/plot.rs
+++ b/bin/lh-load/src/plot.rs
@@ -31,14 +31,14 @@
 ///
 /// # Errors
 /// Where the file can't be written.
-pub(crate) fn draw_shares(path: &Path, even: &[f64], late: &[f64]) -> Result<()> {
+pub(crate) fn draw_shares(path: &Path, linear: &[f64], canary: &[f64]) -> Result<()> {
     let points = |shares: &[f64]| -> Vec<(f64, f64)> {
         let points = shares.iter().enumerate();
         points
             .map(|(second, share)| (second as f64, *share))
             .collect()
     };
-    draw_lines(path, &[(points(even), RED), (points(late), BLUE)])
+    draw_lines(path, &[(points(linear), RED), (points(canary), BLUE)])
         .map_err(|error| Error::Plot(path.display().to_string(), error.to_string()))
 }
 
--- a/bin/lh-load/src/rollout.rs
+++ b/bin/lh-load/src/rollout.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use emulate::rollout::{
-    EXPOSURE_SHARE, RolloutFault, RolloutHistory, RolloutOutcome, play_rollout,
+    EXPOSURE_SHARE, RolloutFault, RolloutOutcome, RolloutScenario, simulate_rollout,
 };
 use rollout::prelude::*;
 use rollout::schedule::LinearSchedule;
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 /// Where the file can't be written.
-pub(crate) fn play(seeds: u64, path: Option<&Path>) -> Result<()> {
+pub(crate) fn run(seeds: u64, path: Option<&Path>) -> Result<()> {
     println!(
         "{:<12} {:>7} {:>4} {:<6} {:<12} {:>7} {:>9} {:>7} {:>6}",
         "version", "entries", "seed", "steps", "end", "at", "requests", "beyond", "late"
@@ -33,30 +33,32 @@
     let mut last = None;
     for entries in SIZES {
         for seed in 1..=seeds {
-            for (name, history) in histories(seed, entries) {
-                let late = play_rollout(history, CanarySchedule::new(EXPOSURE_SHARE));
-                let even = play_rollout(history, LinearSchedule { steps: STEPS });
-                for (way, outcome) in [("late", &late), ("even", &even)] {
-                    print_row(name, &history, way, outcome);
+            for (name, scenario) in scenarios(seed, entries) {
+                let canary = simulate_rollout(scenario, CanarySchedule::new(EXPOSURE_SHARE));
+                let linear = simulate_rollout(scenario, LinearSchedule { steps: STEPS });
+                for (schedule, outcome) in [("late", &canary), ("even", &linear)] {
+                    print_row(name, &scenario, schedule, outcome);
                 }
-                last = Some((even, late));
+                last = Some((linear, canary));
             }
         }
     }
     match (path, last) {
-        (Some(path), Some((even, late))) => plot::draw_shares(path, &even.shares, &late.shares),
+        (Some(path), Some((linear, canary))) => {
+            plot::draw_shares(path, &linear.shares, &canary.shares)
+        }
         _ => Ok(()),
     }
 }
 
-fn histories(seed: u64, entries: usize) -> [(&'static str, RolloutHistory); 6] {
-    let good = RolloutHistory {
+fn scenarios(seed: u64, entries: usize) -> [(&'static str, RolloutScenario); 6] {
+    let good = RolloutScenario {
         entries,
         rate: RATE,
         duration: DURATION,
-        ..RolloutHistory::new(seed)
+        ..RolloutScenario::new(seed)
     };
-    let bad = |fault| RolloutHistory { fault, ..good };
+    let bad = |fault| RolloutScenario { fault, ..good };
     let fails = bad(RolloutFault::Fails(0.3));
     [
         ("good", good),
@@ -64,21 +66,21 @@
         ("slow", bad(RolloutFault::Slow(0.8, 4.0))),
         (
             "one route",
-            RolloutHistory {
+            RolloutScenario {
                 on_one_route: true,
                 ..fails
             },
         ),
         (
             "under load",
-            RolloutHistory {
+            RolloutScenario {
                 under_load: Some(0.15),
                 ..fails
             },
         ),
         (
             "fails late",
-            RolloutHistory {
+            RolloutScenario {
                 fault_at: DURATION * 3 / 5,
                 ..fails
             },
@@ -86,16 +88,16 @@
     ]
 }
 
-fn print_row(name: &str, history: &RolloutHistory, way: &str, outcome: &RolloutOutcome) {
+fn print_row(name: &str, scenario: &RolloutScenario, schedule: &str, outcome: &RolloutOutcome) {
     let end = outcome.phase.map_or("none", RolloutPhase::as_str);
     let at = outcome.ended.map_or(f64::NAN, |at| at.as_secs_f64());
-    let beyond = match history.fault {
+    let beyond = match scenario.fault {
         // A good version may get any number.
         RolloutFault::None => 0.0,
         _ => outcome.excess().max(0.0),
     };
     println!(
-        "{name:<12} {:>7} {:>4} {way:<6} {end:<12} {at:>6.1}s {:>9} {beyond:>7.0} {:>6}",
-        history.entries, history.seed, outcome.exposed, outcome.late
+        "{name:<12} {:>7} {:>4} {schedule:<6} {end:<12} {at:>6.1}s {:>9} {beyond:>7.0} {:>6}",
+        scenario.entries, scenario.seed, outcome.exposed, outcome.late
     );
 }
--- a/crates/emulate/src/quota/mod.rs
+++ b/crates/emulate/src/quota/mod.rs
@@ -4,10 +4,10 @@
 
 mod outcome;
 mod scenario;
-mod simulation;
 mod strategies;
+mod world;
 
 pub use outcome::QuotaOutcome;
 pub use scenario::{QuotaChange, QuotaScenario, TeamLoad};
-pub use simulation::simulate_quotas;
 pub use strategies::{EqualShares, LeasedShares, QuotaStrategy, SharedCounts};
+pub use world::simulate_quotas;
--- a/crates/emulate/src/rollout/mod.rs
+++ b/crates/emulate/src/rollout/mod.rs
@@ -1,8 +1,8 @@
 //! Rollouts of a service at many entries, in virtual time: lost words, cuts, restarts, a store
 //! that is away, versions that are bad in several ways.
 
-mod history;
+mod scenario;
 mod world;
 
-pub use history::{EXPOSURE_SHARE, EXPOSURE_SLACK, RolloutFault, RolloutHistory, RolloutOutcome};
-pub use world::play_rollout;
+pub use scenario::{EXPOSURE_SHARE, EXPOSURE_SLACK, RolloutFault, RolloutOutcome, RolloutScenario};
+pub use world::simulate_rollout;
--- a/crates/emulate/src/rollout/history.rs
+++ b/crates/emulate/src/rollout/scenario.rs
@@ -22,7 +22,7 @@
 
 /// What is played.
 #[derive(Debug, Clone, Copy)]
-pub struct RolloutHistory {
+pub struct RolloutScenario {
     /// Everything that is drawn follows from it.
     pub seed: u64,
     /// Entries that get requests.
@@ -40,18 +40,18 @@
     /// Whether it shows only while the new version gets at least this part of all requests.
     pub under_load: Option<f64>,
     /// Part of answers of either version that are failures.
-    pub usual_failures: f64,
+    pub base_failure_rate: f64,
     /// Entries that hear nothing from here on.
-    pub cut_off: Option<(usize, Duration)>,
+    pub partition: Option<(usize, Duration)>,
     /// Entry that is restarted then.
     pub restarted: Option<(usize, Duration)>,
     /// The lead hears nothing of the store in this span.
-    pub store_away: Option<(Duration, Duration)>,
+    pub store_outage: Option<(Duration, Duration)>,
     /// Part of the words between entries that get lost.
     pub loss: f64,
 }
 
-impl RolloutHistory {
+impl RolloutScenario {
     /// A good version at eight entries.
     pub fn new(seed: u64) -> Self {
         Self {
@@ -63,10 +63,10 @@
             fault_at: Duration::ZERO,
             on_one_route: false,
             under_load: None,
-            usual_failures: 0.0,
-            cut_off: None,
+            base_failure_rate: 0.0,
+            partition: None,
             restarted: None,
-            store_away: None,
+            store_outage: None,
             loss: 0.02,
         }
     }
@@ -80,13 +80,13 @@
     /// When it was told that the rollout is over.
     pub ended: Option<Duration>,
     /// Requests that entries which hear the others sent from the order to its end.
-    pub all: usize,
+    pub total_requests: usize,
     /// Those of them that the new version got.
     pub exposed: usize,
     /// Requests sent to a bad version after the bound.
     pub late: usize,
     /// Requests at old servers when the rollout was completed.
-    pub cut: usize,
+    pub unfinished_old: usize,
     /// The share of the new version, second by second.
     pub shares: Vec<f64>,
     /// When the new version gave bad answers.
@@ -96,6 +96,6 @@
 impl RolloutOutcome {
     /// What the new version got beyond what a bad one may get; negative within it.
     pub fn excess(&self) -> f64 {
-        self.exposed as f64 - EXPOSURE_SHARE * self.all as f64 - EXPOSURE_SLACK
+        self.exposed as f64 - EXPOSURE_SHARE * self.total_requests as f64 - EXPOSURE_SLACK
     }
 }
--- a/crates/emulate/src/rollout/world.rs
+++ b/crates/emulate/src/rollout/world.rs
@@ -8,174 +8,178 @@
 use rand_chacha::ChaCha8Rng;
 use rollout::prelude::*;
 
-use crate::rollout::history::{
-    EXPOSURE_SHARE, EXPOSURE_SLACK, RolloutFault, RolloutHistory, RolloutOutcome,
+use crate::rollout::scenario::{
+    EXPOSURE_SHARE, EXPOSURE_SLACK, RolloutFault, RolloutOutcome, RolloutScenario,
 };
 
 const SERVICE: &str = "board";
 /// Time after the last free bad answer from which on nothing may be sent to a bad version.
-const ROLLBACK: Duration = Duration::from_secs(5);
+const ROLLBACK_BOUND: Duration = Duration::from_secs(5);
 /// Bad answers that a version may give before that time begins.
-const BAD_ANSWERS: usize = 50;
-const STEP: Duration = Duration::from_millis(10);
+const MAX_BAD_ANSWERS: usize = 50;
+const TICK: Duration = Duration::from_millis(10);
 /// Time between two words of an entry: for each entry that gets requests, and at least.
-const WORD_PAUSE: Duration = Duration::from_millis(12);
-const WORD_LEAST: Duration = Duration::from_millis(80);
-const WAY: Duration = Duration::from_millis(36);
-const TEND_EVERY: Duration = Duration::from_millis(250);
+const REPORT_INTERVAL_PER_ENTRY: Duration = Duration::from_millis(12);
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(80);
+const LINK_DELAY: Duration = Duration::from_millis(36);
+const RECONCILE_INTERVAL: Duration = Duration::from_millis(250);
 /// Time until what a lead wrote is known to all entries.
-const TOLD_AFTER: Duration = Duration::from_millis(400);
-const EXPECTED: Duration = Duration::from_millis(600);
+const STORE_PROPAGATION: Duration = Duration::from_millis(400);
+const EXPECTED_LATENCY: Duration = Duration::from_millis(600);
 
-struct Running {
+struct PendingRequest {
     entry: usize,
     token: Option<SendToken>,
     run: u64,
-    ends: Duration,
+    completes_at: Duration,
     fails: bool,
     is_new: bool,
-    bad: bool,
+    shows_fault: bool,
 }
 
-struct Letter {
+struct DelayedReport {
     to: usize,
     from: usize,
     at: Duration,
-    word: RolloutReport,
+    report: RolloutReport,
 }
 
 /// The entries, what is on its way between them, and what the store holds.
-struct FleetWorld<S> {
-    history: RolloutHistory,
+struct RolloutSimulation<S> {
+    scenario: RolloutScenario,
     schedule: S,
     start: Instant,
     rng: ChaCha8Rng,
-    books: Vec<RolloutController<S>>,
+    controllers: Vec<RolloutController<S>>,
     runs: Vec<u64>,
-    running: Vec<Running>,
-    letters: VecDeque<Letter>,
-    told: Vec<(Duration, RolloutRecord)>,
+    in_flight: Vec<PendingRequest>,
+    in_transit: VecDeque<DelayedReport>,
+    pending_records: Vec<(Duration, RolloutRecord)>,
     stored: Option<RolloutRecord>,
     recent: VecDeque<bool>,
 }
 
-impl<S: ShareSchedule + Copy> FleetWorld<S> {
-    fn new(history: RolloutHistory, schedule: S) -> Self {
+impl<S: ShareSchedule + Copy> RolloutSimulation<S> {
+    fn new(scenario: RolloutScenario, schedule: S) -> Self {
         let start = Instant::now();
-        let mut world = Self {
-            history,
+        let mut simulation = Self {
+            scenario,
             schedule,
             start,
-            rng: ChaCha8Rng::seed_from_u64(history.seed),
-            books: Vec::new(),
-            runs: vec![1; history.entries],
-            running: Vec::new(),
-            letters: VecDeque::new(),
-            told: Vec::new(),
+            rng: ChaCha8Rng::seed_from_u64(scenario.seed),
+            controllers: Vec::new(),
+            runs: vec![1; scenario.entries],
+            in_flight: Vec::new(),
+            in_transit: VecDeque::new(),
+            pending_records: Vec::new(),
             stored: None,
             recent: VecDeque::new(),
         };
-        for entry in 0..history.entries {
-            let book = world.book(entry, Duration::ZERO);
-            world.books.push(book);
+        for entry in 0..scenario.entries {
+            let controller = simulation.new_controller(entry, Duration::ZERO);
+            simulation.controllers.push(controller);
         }
-        world
+        simulation
     }
 
-    fn book(&self, entry: usize, at: Duration) -> RolloutController<S> {
+    fn new_controller(&self, entry: usize, at: Duration) -> RolloutController<S> {
         let config = RolloutConfig {
             exposure_share: EXPOSURE_SHARE,
             exposure_slack: EXPOSURE_SLACK,
             run: self.runs[entry],
         };
         let now = self.start + at;
-        let mut book = RolloutController::new(now, config, self.schedule);
-        book.set_entries(self.history.entries, true);
+        let mut controller = RolloutController::new(now, config, self.schedule);
+        controller.set_entries(self.scenario.entries, true);
         for version in ["v1", "v2"] {
-            book.on_server(now, SERVICE, version, true);
+            controller.on_server(now, SERVICE, version, true);
         }
-        book
+        controller
     }
 
     /// Plays the history until a little after the deadline.
-    fn play(mut self) -> RolloutOutcome {
+    fn run(mut self) -> RolloutOutcome {
         let mut outcome = RolloutOutcome::default();
         let order = RolloutOrder {
             service: SERVICE.to_owned(),
             version: "v2".to_owned(),
-            duration: self.history.duration,
+            duration: self.scenario.duration,
             revision: 7,
         };
-        for entry in 0..self.history.entries {
-            let now = self.start + WAY;
-            self.books[entry].on_order(now, &order);
+        for entry in 0..self.scenario.entries {
+            let now = self.start + LINK_DELAY;
+            self.controllers[entry].on_order(now, &order);
         }
         let mut at = Duration::ZERO;
-        let pause = (WORD_PAUSE * self.history.entries as u32).max(WORD_LEAST);
-        let (mut due, mut tend_at, mut word_at) = (0.0, WAY, pause);
-        let mut seconds = (0, 0);
-        while at < self.history.duration + Duration::from_secs(2) {
-            due += self.history.rate * STEP.as_secs_f64();
+        let report_interval =
+            (REPORT_INTERVAL_PER_ENTRY * self.scenario.entries as u32).max(MIN_REPORT_INTERVAL);
+        let (mut due, mut reconcile_at, mut report_at) = (0.0, LINK_DELAY, report_interval);
+        let mut requests_this_second = (0, 0);
+        while at < self.scenario.duration + Duration::from_secs(2) {
+            due += self.scenario.rate * TICK.as_secs_f64();
             while due >= 1.0 {
                 due -= 1.0;
-                let is_new = self.arrive(at, &mut outcome);
-                seconds.0 += 1;
-                seconds.1 += usize::from(is_new);
+                let is_new = self.on_request(at, &mut outcome);
+                requests_this_second.0 += 1;
+                requests_this_second.1 += usize::from(is_new);
             }
-            self.answer(at, &mut outcome);
+            self.complete_requests(at, &mut outcome);
             self.deliver(at);
-            if at >= word_at {
-                word_at += pause;
-                self.speak(at);
+            if at >= report_at {
+                report_at += report_interval;
+                self.send_reports(at);
             }
             let has_verdict = self
-                .books
+                .controllers
                 .iter_mut()
-                .fold(false, |any, book| any | book.take_verdict());
+                .fold(false, |any, controller| any | controller.take_verdict());
             if has_verdict {
-                self.speak(at);
+                self.send_reports(at);
             }
-            if at >= tend_at {
-                tend_at = at + TEND_EVERY;
-                self.tend(0, at, &mut outcome);
-                self.tend(self.books.len() - 1, at, &mut outcome);
+            if at >= reconcile_at {
+                reconcile_at = at + RECONCILE_INTERVAL;
+                self.reconcile(0, at, &mut outcome);
+                self.reconcile(self.controllers.len() - 1, at, &mut outcome);
             }
-            at += STEP;
-            if at.subsec_millis() < STEP.subsec_millis() {
+            at += TICK;
+            if at.subsec_millis() < TICK.subsec_millis() {
                 outcome
                     .shares
-                    .push(seconds.1 as f64 / f64::from(seconds.0.max(1)));
-                seconds = (0, 0);
+                    .push(requests_this_second.1 as f64 / f64::from(requests_this_second.0.max(1)));
+                requests_this_second = (0, 0);
             }
         }
         outcome
     }
 
-    fn is_cut_off(&self, entry: usize, at: Duration) -> bool {
-        let cut = self.history.cut_off;
-        cut.is_some_and(|(cut, since)| entry < cut && at >= since)
+    fn is_partitioned(&self, entry: usize, at: Duration) -> bool {
+        let partition = self.scenario.partition;
+        partition.is_some_and(|(count, since)| entry < count && at >= since)
     }
 
     fn is_bad(&self, at: Duration, route: u64) -> bool {
         let load = self.recent.iter().filter(|is_new| **is_new).count() as f64;
         let share = load / self.recent.len().max(1) as f64;
-        at >= self.history.fault_at
-            && (!self.history.on_one_route || route == 1)
-            && self.history.under_load.is_none_or(|least| share >= least)
+        at >= self.scenario.fault_at
+            && (!self.scenario.on_one_route || route == 1)
+            && self.scenario.under_load.is_none_or(|least| share >= least)
     }
 
-    fn arrive(&mut self, at: Duration, outcome: &mut RolloutOutcome) -> bool {
+    fn on_request(&mut self, at: Duration, outcome: &mut RolloutOutcome) -> bool {
         let now = self.start + at;
-        let entry = self.rng.random_range(0..self.history.entries);
-        let cut = self.history.cut_off.filter(|_| self.is_cut_off(entry, at));
-        let age = cut.map_or(Duration::from_millis(300), |(_, since)| at - since);
-        let book = &mut self.books[entry];
-        let choice = book.choose(now, SERVICE, false, Some(age));
-        let is_over = self.stored.as_ref().map(|record| record.phase);
+        let entry = self.rng.random_range(0..self.scenario.entries);
+        let partition = self
+            .scenario
+            .partition
+            .filter(|_| self.is_partitioned(entry, at));
+        let age = partition.map_or(Duration::from_millis(300), |(_, since)| at - since);
+        let controller = &mut self.controllers[entry];
+        let choice = controller.choose(now, SERVICE, false, Some(age));
+        let stored_phase = self.stored.as_ref().map(|record| record.phase);
         let is_new = match choice {
             VersionChoice::New | VersionChoice::NewOnly => true,
             VersionChoice::Old => false,
-            VersionChoice::NoRollout => is_over == Some(RolloutPhase::Completed),
+            VersionChoice::NoRollout => stored_phase == Some(RolloutPhase::Completed),
         };
         let route = self.rng.random_range(1..=3);
         let server = self.rng.random_range(0..20);
@@ -185,20 +189,20 @@
             route,
             server,
             is_cold: false,
-            expected: EXPECTED,
+            expected: EXPECTED_LATENCY,
         };
-        let token = book.on_sent(now, &send).map(|(token, _)| token);
+        let token = controller.on_sent(now, &send).map(|(token, _)| token);
         let bad = is_new && self.is_bad(at, route);
-        let mut took = EXPECTED.mul_f64(self.rng.random_range(0.6..1.4));
-        let mut fails = self.rng.random_bool(self.history.usual_failures);
-        let mut shows = false;
-        match self.history.fault {
-            RolloutFault::Fails(part) if bad && self.rng.random_bool(part) => {
-                (fails, shows) = (true, true);
+        let mut took = EXPECTED_LATENCY.mul_f64(self.rng.random_range(0.6..1.4));
+        let mut fails = self.rng.random_bool(self.scenario.base_failure_rate);
+        let mut shows_fault = false;
+        match self.scenario.fault {
+            RolloutFault::Fails(share) if bad && self.rng.random_bool(share) => {
+                (fails, shows_fault) = (true, true);
             }
-            RolloutFault::Slow(part, factor) if bad && self.rng.random_bool(part) => {
+            RolloutFault::Slow(share, factor) if bad && self.rng.random_bool(share) => {
                 took = took.mul_f64(factor);
-                shows = true;
+                shows_fault = true;
             }
             _ => {}
         }
@@ -206,131 +210,148 @@
         if self.recent.len() > 200 {
             self.recent.pop_front();
         }
-        if at <= self.history.duration && !self.is_cut_off(entry, at) {
-            outcome.all += 1;
+        if at <= self.scenario.duration && !self.is_partitioned(entry, at) {
+            outcome.total_requests += 1;
             outcome.exposed += usize::from(is_new);
         }
         let bound = outcome
             .bad_answers
-            .get(BAD_ANSWERS - 1)
-            .map(|at| *at + ROLLBACK);
+            .get(MAX_BAD_ANSWERS - 1)
+            .map(|at| *at + ROLLBACK_BOUND);
         let is_late = bound.is_some_and(|bound| at > bound);
-        if is_new && is_late && !self.is_cut_off(entry, at) {
+        if is_new && is_late && !self.is_partitioned(entry, at) {
             outcome.late += 1;
         }
-        self.running.push(Running {
+        self.in_flight.push(PendingRequest {
             entry,
             token,
             run: self.runs[entry],
-            ends: at + took,
+            completes_at: at + took,
             fails,
             is_new,
-            bad: shows,
+            shows_fault,
         });
         is_new
     }
 
-    fn answer(&mut self, at: Duration, outcome: &mut RolloutOutcome) {
+    fn complete_requests(&mut self, at: Duration, outcome: &mut RolloutOutcome) {
         let now = self.start + at;
-        let running = std::mem::take(&mut self.running);
-        let (done, left) = running
+        let in_flight = std::mem::take(&mut self.in_flight);
+        let (done, left) = in_flight
             .into_iter()
-            .partition(|run: &Running| run.ends <= at);
-        self.running = left;
-        let done: Vec<Running> = done;
-        for run in done {
-            if run.bad {
+            .partition(|request: &PendingRequest| request.completes_at <= at);
+        self.in_flight = left;
+        let done: Vec<PendingRequest> = done;
+        for request in done {
+            if request.shows_fault {
                 outcome.bad_answers.push(at);
             }
-            let result = if run.fails {
+            let result = if request.fails {
                 SendOutcome::Failed
             } else {
                 SendOutcome::Answered
             };
-            if let Some(token) = run.token.filter(|_| run.run == self.runs[run.entry]) {
-                self.books[run.entry].on_outcome(now, token, result);
+            if let Some(token) = request
+                .token
+                .filter(|_| request.run == self.runs[request.entry])
+            {
+                self.controllers[request.entry].on_outcome(now, token, result);
             }
         }
-        for book in &mut self.books {
-            book.check_overdue(now);
+        for controller in &mut self.controllers {
+            controller.check_overdue(now);
         }
-        if let Some((entry, when)) = self.history.restarted
+        if let Some((entry, when)) = self.scenario.restarted
             && at >= when
             && self.runs[entry] == 1
         {
             self.runs[entry] = 2;
-            self.books[entry] = self.book(entry, at);
+            self.controllers[entry] = self.new_controller(entry, at);
             if let Some(record) = self.stored.clone() {
                 let begun = self.start + Duration::from_millis(record.begun);
-                self.books[entry].on_record(now, &record, Some(begun), true);
+                self.controllers[entry].on_record(now, &record, Some(begun), true);
             }
         }
     }
 
-    fn speak(&mut self, at: Duration) {
+    fn send_reports(&mut self, at: Duration) {
         let now = self.start + at;
-        for from in 0..self.books.len() {
-            let Some(word) = self.books[from].report(now) else {
+        for from in 0..self.controllers.len() {
+            let Some(report) = self.controllers[from].report(now) else {
                 continue;
             };
-            if self.is_cut_off(from, at) {
+            if self.is_partitioned(from, at) {
                 continue;
             }
-            for to in 0..self.books.len() {
-                let is_lost = self.rng.random_bool(self.history.loss);
-                if to == from || is_lost || self.is_cut_off(to, at) {
+            for to in 0..self.controllers.len() {
+                let is_lost = self.rng.random_bool(self.scenario.loss);
+                if to == from || is_lost || self.is_partitioned(to, at) {
                     continue;
                 }
-                let at = at + WAY;
-                let word = word.clone();
-                self.letters.push_back(Letter { to, from, at, word });
+                let at = at + LINK_DELAY;
+                let report = report.clone();
+                self.in_transit.push_back(DelayedReport {
+                    to,
+                    from,
+                    at,
+                    report,
+                });
             }
         }
     }
 
     fn deliver(&mut self, at: Duration) {
         let now = self.start + at;
-        while self.letters.front().is_some_and(|letter| letter.at <= at) {
-            let Some(letter) = self.letters.pop_front() else {
+        while self
+            .in_transit
+            .front()
+            .is_some_and(|delayed| delayed.at <= at)
+        {
+            let Some(delayed) = self.in_transit.pop_front() else {
                 return;
             };
-            self.books[letter.to].on_report(now, letter.from as u64, &letter.word);
+            self.controllers[delayed.to].on_report(now, delayed.from as u64, &delayed.report);
         }
         let due: Vec<RolloutRecord> = {
-            let ready = self.told.iter().filter(|(when, _)| *when <= at);
+            let ready = self.pending_records.iter().filter(|(when, _)| *when <= at);
             ready.map(|(_, record)| record.clone()).collect()
         };
-        self.told.retain(|(when, _)| *when > at);
+        self.pending_records.retain(|(when, _)| *when > at);
         for record in due {
             let begun = self.start + Duration::from_millis(record.begun);
-            for entry in 0..self.books.len() {
-                if !self.is_cut_off(entry, at) {
-                    self.books[entry].on_record(now, &record, Some(begun), true);
+            for entry in 0..self.controllers.len() {
+                if !self.is_partitioned(entry, at) {
+                    self.controllers[entry].on_record(now, &record, Some(begun), true);
                 }
             }
         }
     }
 
     /// The entry `lead` looks whether the store should say something else.
-    fn tend(&mut self, lead: usize, at: Duration, outcome: &mut RolloutOutcome) {
-        let away = self.history.store_away;
-        if away.is_some_and(|(from, to)| at >= from && at < to) {
+    fn reconcile(&mut self, lead: usize, at: Duration, outcome: &mut RolloutOutcome) {
+        let outage = self.scenario.store_outage;
+        if outage.is_some_and(|(from, to)| at >= from && at < to) {
             return;
         }
         let now = self.start + at;
-        let sight = ServerCounts { new: 20, old: 20 };
+        let counts = ServerCounts { new: 20, old: 20 };
         let store_now = at.as_millis() as u64;
-        let Some(record) = self.books[lead].next_record(now, SERVICE, sight, store_now) else {
+        let Some(record) = self.controllers[lead].next_record(now, SERVICE, counts, store_now)
+        else {
             return;
         };
         let stored = self.stored.clone();
         if let Some(stored) = stored.filter(|stored| !record.is_newer(stored)) {
             let begun = self.start + Duration::from_millis(stored.begun);
-            self.books[lead].on_record(now, &stored, Some(begun), true);
+            self.controllers[lead].on_record(now, &stored, Some(begun), true);
             return;
         }
         if record.phase == RolloutPhase::Completed {
-            outcome.cut = self.running.iter().filter(|run| !run.is_new).count();
+            outcome.unfinished_old = self
+                .in_flight
+                .iter()
+                .filter(|request| !request.is_new)
+                .count();
         }
         if record.phase.is_final() && outcome.ended.is_none() {
             outcome.ended = Some(at);
@@ -338,15 +359,15 @@
         outcome.phase = Some(record.phase);
         self.stored = Some(record.clone());
         let begun = self.start + Duration::from_millis(record.begun);
-        self.books[lead].on_record(now, &record, Some(begun), true);
-        self.told.push((at + TOLD_AFTER, record));
+        self.controllers[lead].on_record(now, &record, Some(begun), true);
+        self.pending_records.push((at + STORE_PROPAGATION, record));
     }
 }
 
-/// Plays `history` with `schedule`.
-pub fn play_rollout<S: ShareSchedule + Copy>(
-    history: RolloutHistory,
+/// Plays `scenario` with `schedule`.
+pub fn simulate_rollout<S: ShareSchedule + Copy>(
+    scenario: RolloutScenario,
     schedule: S,
 ) -> RolloutOutcome {
-    FleetWorld::new(history, schedule).play()
+    RolloutSimulation::new(scenario, schedule).run()
 }
--- a/crates/rollout/tests/histories.rs
+++ b/crates/rollout/tests/histories.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use emulate::rollout::{
-    EXPOSURE_SHARE, EXPOSURE_SLACK, RolloutFault as Fault, RolloutHistory as History,
-    RolloutOutcome, play_rollout,
+    EXPOSURE_SHARE, EXPOSURE_SLACK, RolloutFault as Fault, RolloutOutcome,
+    RolloutScenario as History, simulate_rollout,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -14,7 +14,7 @@
 
 /// Simulates `history` with the schedule that entries use.
 fn simulate(history: History) -> RolloutOutcome {
-    play_rollout(history, CanarySchedule::new(EXPOSURE_SHARE))
+    simulate_rollout(history, CanarySchedule::new(EXPOSURE_SHARE))
 }
 
 fn secs(seconds: f64) -> Duration {
@@ -41,7 +41,7 @@
         let outcome = simulate(history);
         assert_eq!(outcome.phase, Some(RolloutPhase::Completed), "{history:?}");
         assert!(outcome.ended.unwrap() <= history.duration, "{outcome:?}");
-        assert_eq!(outcome.cut, 0, "{history:?}");
+        assert_eq!(outcome.unfinished_old, 0, "{history:?}");
     }
 }
 
@@ -100,7 +100,7 @@
         },
         History {
             fault: Fault::Fails(0.3),
-            usual_failures: 0.03,
+            base_failure_rate: 0.03,
             ..base
         },
         History {
@@ -111,13 +111,13 @@
         },
         History {
             fault: Fault::Fails(0.3),
-            cut_off: Some((3, secs(1.0))),
+            partition: Some((3, secs(1.0))),
             ..base
         },
         History {
             fault: Fault::Fails(0.3),
             fault_at: secs(3.0),
-            store_away: Some((secs(2.0), secs(9.0))),
+            store_outage: Some((secs(2.0), secs(9.0))),
             ..base
         },
     ];
@@ -141,17 +141,17 @@
             ..base
         },
         History {
-            cut_off: Some((2, secs(2.0))),
+            partition: Some((2, secs(2.0))),
             entries: 20,
             rate: 600.0,
             ..base
         },
         History {
-            usual_failures: 0.05,
+            base_failure_rate: 0.05,
             ..base
         },
         History {
-            store_away: Some((secs(2.0), secs(6.0))),
+            store_outage: Some((secs(2.0), secs(6.0))),
             ..base
         },
     ];
@@ -170,7 +170,7 @@
         fault_at: secs(7.0),
         ..History::new(5)
     };
-    let even = play_rollout(history, LinearSchedule { steps: 5 });
+    let even = simulate_rollout(history, LinearSchedule { steps: 5 });
     assert!(even.excess() > 0.0, "{}", even.excess());
     let late = simulate(history);
     assert!(late.excess() <= 0.0, "{}", late.excess());
@@ -197,7 +197,7 @@
         }),
         on_one_route: rng.random_bool(0.25),
         under_load: rng.random_bool(0.2).then_some(0.15),
-        usual_failures: [0.0, 0.0, 0.01, 0.04][rng.random_range(0..4)],
+        base_failure_rate: [0.0, 0.0, 0.01, 0.04][rng.random_range(0..4)],
         loss: [0.0, 0.02, 0.2][rng.random_range(0..3)],
         ..History::new(seed)
     }
@@ -268,7 +268,7 @@
             println!(
                 "exposure exceeded by {:.0} of {} requests: {history:?}",
                 outcome.excess(),
-                outcome.all
+                outcome.total_requests
             );
             summary.over_exposed += 1;
         }
