--- a/bin/lh-load/src/lib.rs
+++ b/bin/lh-load/src/lib.rs
@@ -48,8 +48,8 @@
         Some(pattern) => vec![pattern],
         None => {
             let all = LoadPattern::value_variants().iter().copied();
-            let apart = [LoadPattern::Quota, LoadPattern::Rollout];
-            all.filter(|pattern| !apart.contains(pattern)).collect()
+            let separate = [LoadPattern::Quota, LoadPattern::Rollout];
+            all.filter(|pattern| !separate.contains(pattern)).collect()
         }
     };
     for pattern in patterns {
@@ -64,9 +64,12 @@
         let naive = run_trial(&experiment, |config, desired, servers, _, _| {
             NaivePolicy::new(&config, desired, servers)
         });
-        let placed = run_trial(&experiment, |config, desired, servers, entries, near| {
-            PlacerPolicy::new(config, desired, servers, entries, near)
-        });
+        let placed = run_trial(
+            &experiment,
+            |config, desired, servers, entries, peers_in_region| {
+                PlacerPolicy::new(config, desired, servers, entries, peers_in_region)
+            },
+        );
         print_row(pattern, seed, "naive", &naive);
         print_row(pattern, seed, "placer", &placed);
         if let Some(path) = &arguments.plot
@@ -82,8 +85,8 @@
     let experiment = Experiment::new(seed, load);
     let fault = |count, kind| ServerFault {
         at: 10.0,
-        lasts: 8.0,
-        first: 0,
+        duration: 8.0,
+        first_server: 0,
         count,
         kind,
     };
@@ -97,13 +100,13 @@
     }
 }
 
-fn print_row(pattern: LoadPattern, seed: u64, way: &str, report: &TrialReport) {
+fn print_row(pattern: LoadPattern, seed: u64, policy: &str, report: &TrialReport) {
     let total = report.total();
     let asked = f64::from(total.asked.max(1));
     let share = |count: u32| f64::from(count) / asked;
     let name = format!("{pattern:?}").to_lowercase();
     println!(
-        "{name:<10} {seed:>4} {way:<8} {:>6.3} {:>7.3} {:>6.3} {:>7.3} {:>7.3} {:>6.3} {:>6.3}",
+        "{name:<10} {seed:>4} {policy:<8} {:>6.3} {:>7.3} {:>6.3} {:>7.3} {:>7.3} {:>6.3} {:>6.3}",
         total.worth(),
         share(total.in_time),
         share(total.late),
--- a/crates/emulate/src/timeline.rs
+++ b/crates/emulate/src/events.rs
@@ -12,23 +12,23 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Event {
     /// A new request arrives.
-    Arrive,
+    RequestArrives,
     /// A request asks its entry, for the first time or again.
-    Ask(usize),
+    PlaceRequest(usize),
     /// An attempt reaches its server.
-    Reach(usize),
+    AttemptArrives(usize),
     /// The work of an attempt ends, in that run of the server.
-    Finish(usize, u64),
+    WorkDone(usize, u64),
     /// An attempt is answered, and whether it ran.
-    Answer(usize, bool),
+    ReceiveAnswer(usize, bool),
     /// An attempt's time is over.
-    OutOfTime(usize),
+    AttemptTimesOut(usize),
     /// An entry tells its load.
-    Load(usize),
+    SendLoad(usize),
     /// An entry hears another's load.
-    Hear(usize, u64, LoadUpdate),
+    ReceiveLoad(usize, u64, LoadUpdate),
     /// A fault begins.
-    FaultBegins(usize),
+    FaultStarts(usize),
     /// A fault ends.
     FaultEnds(usize),
 }
@@ -36,15 +36,15 @@
 /// The events to come; those of one moment in the order in which they were scheduled.
 #[derive(Debug, Default)]
 pub(crate) struct EventQueue {
-    order: u64,
+    next_sequence: u64,
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
 }
 
 impl EventQueue {
     /// Lets `event` happen at `at`.
     pub(crate) fn schedule(&mut self, at: Micros, event: Event) {
-        self.order += 1;
-        self.events.push(Reverse((at, self.order, event)));
+        self.next_sequence += 1;
+        self.events.push(Reverse((at, self.next_sequence, event)));
     }
 
     /// The next event and its time.
--- a/crates/emulate/src/experiment.rs
+++ b/crates/emulate/src/experiment.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// Time between words on load unless set otherwise: as in a small fleet.
-const LOAD_EVERY: Duration = Duration::from_millis(100);
+const LOAD_INTERVAL: Duration = Duration::from_millis(100);
 
 base::common! {
     /// A change of the load.
@@ -34,9 +34,9 @@
         /// Seconds from the start.
         pub at: f64,
         /// Seconds that it lasts.
-        pub lasts: f64,
+        pub duration: f64,
         /// The first server that has it.
-        pub first: usize,
+        pub first_server: usize,
         /// How many servers have it.
         pub count: usize,
         /// What happens.
@@ -60,13 +60,13 @@
         /// Requests that wait at a server at most.
         pub queue: usize,
         /// Objects that a server holds.
-        pub holds: usize,
+        pub cache_size: usize,
         /// Objects that are asked for.
         pub objects: usize,
         /// Mean work of an object that isn't held.
         pub work: Duration,
         /// Work of a held object, as a share of that.
-        pub held_share: f64,
+        pub hit_work_share: f64,
         /// Latency objective.
         pub objective: Duration,
         /// The route's bound on the time to an answer.
@@ -74,7 +74,7 @@
         /// The callers' deadline.
         pub deadline: Duration,
         /// Time between an entry's words on load.
-        pub load_every: Duration,
+        pub load_interval: Duration,
         /// Teams, by what each asks for against the others; one where there are none.
         pub teams: Vec<f64>,
         /// The load.
@@ -96,14 +96,14 @@
             servers: vec![5; 3],
             slots: 5,
             queue: 15,
-            holds: 20,
+            cache_size: 20,
             objects: 40,
             work: Duration::from_millis(640),
-            held_share: 0.3,
+            hit_work_share: 0.3,
             objective: Duration::from_millis(500),
             timeout: Duration::from_millis(1200),
             deadline: Duration::from_millis(3000),
-            load_every: LOAD_EVERY,
+            load_interval: LOAD_INTERVAL,
             teams: vec![1.0],
             traffic: Vec::new(),
             faults: Vec::new(),
@@ -120,7 +120,7 @@
     /// Requests a second that all servers bear if every object is held.
     pub fn capacity(&self) -> f64 {
         let slots = (self.servers.iter().sum::<usize>() * self.slots) as f64;
-        slots / (self.work.as_secs_f64() * self.held_share)
+        slots / (self.work.as_secs_f64() * self.hit_work_share)
     }
 
     /// Adds a change of the load to `load` times the capacity.
@@ -146,10 +146,10 @@
         self
     }
 
-    /// Lets entries tell their load every `every`.
+    /// Lets entries tell their load every `interval`.
     #[must_use]
-    pub fn with_load_every(mut self, every: Duration) -> Self {
-        self.load_every = every;
+    pub fn with_load_interval(mut self, interval: Duration) -> Self {
+        self.load_interval = interval;
         self
     }
 
--- a/crates/emulate/src/lib.rs
+++ b/crates/emulate/src/lib.rs
@@ -5,6 +5,7 @@
 //! server holds, cold starts, words on load that lag, time-outs, and callers that
 //! come back. It is no simulator of a cluster: no network, store or processes.
 
+mod events;
 mod experiment;
 mod model;
 mod policy;
@@ -14,7 +15,6 @@
 pub mod rollout;
 mod run;
 mod setup;
-mod timeline;
 
 pub use experiment::{Experiment, FaultKind, ServerFault, TrafficStep};
 pub use policy::{EntryPolicy, NaivePolicy, PlacerPolicy, PolicyChoice, PolicyRequest};
--- a/crates/emulate/src/model.rs
+++ b/crates/emulate/src/model.rs
@@ -20,36 +20,36 @@
 pub(crate) struct ModelServer {
     slots: usize,
     queue: usize,
-    holds: usize,
+    cache_size: usize,
     running: usize,
     waiting: VecDeque<Job>,
-    held: VecDeque<u64>,
+    cache: VecDeque<u64>,
     pub(crate) down: bool,
-    pub(crate) slowness: f64,
+    pub(crate) slowdown: f64,
     pub(crate) shed_share: f64,
 }
 
 impl ModelServer {
     /// Lets a fault begin or end.
-    pub(crate) fn set_fault(&mut self, kind: FaultKind, begins: bool) {
+    pub(crate) fn set_fault(&mut self, kind: FaultKind, is_start: bool) {
         match kind {
-            FaultKind::Down if begins => self.crash(),
+            FaultKind::Down if is_start => self.crash(),
             FaultKind::Down => self.down = false,
-            FaultKind::Slow(times) => self.slowness = if begins { times } else { 1.0 },
-            FaultKind::Shed(share) => self.shed_share = if begins { share } else { 0.0 },
+            FaultKind::Slow(factor) => self.slowdown = if is_start { factor } else { 1.0 },
+            FaultKind::Shed(share) => self.shed_share = if is_start { share } else { 0.0 },
         }
     }
 
-    pub(crate) fn new(slots: usize, queue: usize, holds: usize) -> Self {
+    pub(crate) fn new(slots: usize, queue: usize, cache_size: usize) -> Self {
         Self {
             slots,
             queue,
-            holds,
+            cache_size,
             running: 0,
             waiting: VecDeque::new(),
-            held: VecDeque::new(),
+            cache: VecDeque::new(),
             down: false,
-            slowness: 1.0,
+            slowdown: 1.0,
             shed_share: 0.0,
         }
     }
@@ -84,14 +84,14 @@
     }
 
     /// Uses `object`; whether it was held. The one not used for longest leaves.
-    pub(crate) fn touch(&mut self, object: u64) -> bool {
-        let position = self.held.iter().position(|held| *held == object);
+    pub(crate) fn access(&mut self, object: u64) -> bool {
+        let position = self.cache.iter().position(|cached| *cached == object);
         if let Some(position) = position {
-            self.held.remove(position);
+            self.cache.remove(position);
         }
-        self.held.push_back(object);
-        if self.held.len() > self.holds {
-            self.held.pop_front();
+        self.cache.push_back(object);
+        if self.cache.len() > self.cache_size {
+            self.cache.pop_front();
         }
         position.is_some()
     }
@@ -100,7 +100,7 @@
     fn crash(&mut self) {
         self.down = true;
         self.running = 0;
-        self.held.clear();
+        self.cache.clear();
         self.waiting.clear();
     }
 
--- a/crates/emulate/src/policy.rs
+++ b/crates/emulate/src/policy.rs
@@ -11,9 +11,9 @@
 use team::spec::TeamSpec;
 
 /// Servers busier than this multiple of their slots get nothing from the naive way.
-const NAIVE_QUEUE: f64 = 1.0;
+const NAIVE_MAX_OCCUPANCY: f64 = 1.0;
 /// When the naive way asks callers to come back.
-const NAIVE_RETURN: Duration = Duration::from_millis(300);
+const NAIVE_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// What became of a placement.
 #[derive(Debug)]
@@ -30,9 +30,9 @@
     /// The object that it concerns.
     pub object: u64,
     /// How long its caller waits.
-    pub left: Duration,
+    pub remaining: Duration,
     /// Whether it was not refused before.
-    pub fresh: bool,
+    pub is_first_try: bool,
     /// The team whose it is.
     pub team: &'a str,
 }
@@ -53,10 +53,10 @@
     );
 
     /// Own requests at servers.
-    fn load(&mut self, now: Instant) -> LoadUpdate;
+    fn load_update(&mut self, now: Instant) -> LoadUpdate;
 
     /// Another entry's requests at servers.
-    fn on_load(&mut self, now: Instant, entry: u64, word: LoadUpdate);
+    fn on_load_update(&mut self, now: Instant, entry: u64, update: LoadUpdate);
 }
 
 /// The product's way.
@@ -65,7 +65,7 @@
     placer: RequestPlacer,
     route: RouteSpec,
     /// Ranks teams; `None` where all rank alike.
-    shares: Option<FairnessRanker>,
+    fairness: Option<FairnessRanker>,
 }
 
 /// The naive way: the least busy server by own count, never beyond its slots,
@@ -84,49 +84,50 @@
         desired: &DesiredState,
         servers: &CatalogSnapshot,
         entries: &[u64],
-        in_region: usize,
+        peers_in_region: usize,
     ) -> Self {
         let mut placer = RequestPlacer::new(config);
         placer.set_desired(desired);
-        placer.set_entries(entries.to_vec(), in_region);
+        placer.set_entries(entries.to_vec(), peers_in_region);
         placer.catalog.on_read(servers.begun, servers);
         Self {
             placer,
             route: desired.routes[0].clone(),
-            shares: None,
+            fairness: None,
         }
     }
 
     /// Ranks teams that ask for more than their part behind others.
     #[must_use]
-    pub fn with_shares(mut self, teams: &[TeamSpec]) -> Self {
-        let mut shares = FairnessRanker::default();
-        shares.set_teams(teams);
-        self.shares = Some(shares);
+    pub fn with_fairness(mut self, teams: &[TeamSpec]) -> Self {
+        let mut fairness = FairnessRanker::default();
+        fairness.set_teams(teams);
+        self.fairness = Some(fairness);
         self
     }
 }
 
 impl EntryPolicy for PlacerPolicy {
-    fn place(&mut self, now: Instant, asked: &PolicyRequest<'_>) -> PolicyChoice {
-        let object = stable_hash(&asked.object.to_le_bytes());
-        let left = asked.left;
+    fn place(&mut self, now: Instant, policy_request: &PolicyRequest<'_>) -> PolicyChoice {
+        let object = stable_hash(&policy_request.object.to_le_bytes());
+        let remaining = policy_request.remaining;
         self.placer
-            .on_request(now, &self.route, Some(object), Some(left));
-        let shares = self.shares.as_mut();
-        let steps = shares.map_or(0, |shares| shares.on_request(now, asked.team));
+            .on_request(now, &self.route, Some(object), Some(remaining));
+        let fairness = self.fairness.as_mut();
+        let priority_steps =
+            fairness.map_or(0, |fairness| fairness.on_request(now, policy_request.team));
         let request = PlacementRequest {
-            priority: self.route.priority + steps,
-            returning: !asked.fresh,
+            priority: self.route.priority + priority_steps,
+            returning: !policy_request.is_first_try,
             ..PlacementRequest::new(&self.route, 0)
                 .with_object(Some(object))
-                .with_remaining(left.min(self.route.timeout.unwrap_or(left)))
+                .with_remaining(remaining.min(self.route.timeout.unwrap_or(remaining)))
         };
         match self.placer.place(now, &request) {
             Ok(placement) => PolicyChoice::Send(Box::new(placement)),
             Err(refusal) => {
-                if let Some(shares) = &mut self.shares {
-                    shares.on_refused(now);
+                if let Some(fairness) = &mut self.fairness {
+                    fairness.on_refused(now);
                 }
                 PolicyChoice::Refuse(refusal.retry_after)
             }
@@ -147,12 +148,12 @@
             .on_outcome(now, placement, &request, outcome, report);
     }
 
-    fn load(&mut self, now: Instant) -> LoadUpdate {
+    fn load_update(&mut self, now: Instant) -> LoadUpdate {
         self.placer.own_load(now)
     }
 
-    fn on_load(&mut self, now: Instant, entry: u64, word: LoadUpdate) {
-        self.placer.on_peer_load(now, entry, word);
+    fn on_load_update(&mut self, now: Instant, entry: u64, update: LoadUpdate) {
+        self.placer.on_peer_load(now, entry, update);
     }
 }
 
@@ -168,15 +169,17 @@
         }
     }
 
-    fn least_busy(&self, now: Instant, near: bool) -> Option<ServerHandle> {
+    fn least_busy(&self, now: Instant, in_own_region: bool) -> Option<ServerHandle> {
         let mut best: Option<(f64, ServerHandle)> = None;
         for (handle, record) in self.catalog.open_servers(&self.service) {
-            let busy = record.occupancy(now) / f64::from(record.entry.slots);
-            if busy >= NAIVE_QUEUE || (record.region == self.region) != near {
+            let occupancy_share = record.occupancy(now) / f64::from(record.entry.slots);
+            if occupancy_share >= NAIVE_MAX_OCCUPANCY
+                || (record.region == self.region) != in_own_region
+            {
                 continue;
             }
-            if best.is_none_or(|(least, _)| busy < least) {
-                best = Some((busy, handle));
+            if best.is_none_or(|(least, _)| occupancy_share < least) {
+                best = Some((occupancy_share, handle));
             }
         }
         best.map(|(_, handle)| handle)
@@ -185,12 +188,12 @@
 
 impl EntryPolicy for NaivePolicy {
     fn place(&mut self, now: Instant, _: &PolicyRequest<'_>) -> PolicyChoice {
-        let near = self.least_busy(now, true);
-        let Some(handle) = near.or_else(|| self.least_busy(now, false)) else {
-            return PolicyChoice::Refuse(NAIVE_RETURN);
+        let local = self.least_busy(now, true);
+        let Some(handle) = local.or_else(|| self.least_busy(now, false)) else {
+            return PolicyChoice::Refuse(NAIVE_RETRY_AFTER);
         };
         let Some(record) = self.catalog.get_mut(handle) else {
-            return PolicyChoice::Refuse(NAIVE_RETURN);
+            return PolicyChoice::Refuse(NAIVE_RETRY_AFTER);
         };
         record.in_flight += 1;
         PolicyChoice::Send(Box::new(Placement::new(now, handle, &record.entry)))
@@ -213,9 +216,9 @@
         record.in_flight = record.in_flight.saturating_sub(1);
     }
 
-    fn load(&mut self, _: Instant) -> LoadUpdate {
+    fn load_update(&mut self, _: Instant) -> LoadUpdate {
         LoadUpdate::default()
     }
 
-    fn on_load(&mut self, _: Instant, _: u64, _: LoadUpdate) {}
+    fn on_load_update(&mut self, _: Instant, _: u64, _: LoadUpdate) {}
 }
--- a/crates/emulate/src/regions.rs
+++ b/crates/emulate/src/regions.rs
@@ -16,16 +16,16 @@
         }
     }
 
-    /// A request from `region` was sent to a server in `ran_in`, `at` seconds from
+    /// A request from `region` was sent to a server in `server_region`, `at` seconds from
     /// the start.
-    pub(crate) fn on_sent(&mut self, at: f64, region: usize, ran_in: usize) {
+    pub(crate) fn on_sent(&mut self, at: f64, region: usize, server_region: usize) {
         let window = (at / WINDOW) as usize;
         let regions = self.counts.len();
         let counts = &mut self.counts[region];
         if counts.len() <= window {
             counts.resize(window + 1, vec![0; regions]);
         }
-        counts[window][ran_in] += 1;
+        counts[window][server_region] += 1;
     }
 
     /// The largest part of a region's requests that changed the region in which they
--- a/crates/emulate/src/report.rs
+++ b/crates/emulate/src/report.rs
@@ -41,8 +41,8 @@
 impl WindowReport {
     /// Worth that callers got, of 1.
     pub fn worth(&self) -> f64 {
-        let got = f64::from(self.in_time) + LATE_WORTH * f64::from(self.late);
-        got / f64::from(self.asked.max(1))
+        let achieved = f64::from(self.in_time) + LATE_WORTH * f64::from(self.late);
+        achieved / f64::from(self.asked.max(1))
     }
 
     fn add(&mut self, other: &Self) {
@@ -72,8 +72,8 @@
     pub fn between(&self, from: f64, to: f64) -> WindowReport {
         let mut total = WindowReport::default();
         for (index, window) in self.windows.iter().enumerate() {
-            let begins = index as f64 * WINDOW;
-            if begins >= from && begins < to {
+            let starts_at = index as f64 * WINDOW;
+            if starts_at >= from && starts_at < to {
                 total.add(window);
             }
         }
--- a/crates/emulate/src/run.rs
+++ b/crates/emulate/src/run.rs
@@ -9,24 +9,24 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
+use crate::events::{Event, EventQueue, Micros};
 use crate::experiment::{Experiment, FaultKind};
 use crate::model::{Job, ModelServer};
 use crate::policy::{EntryPolicy, PolicyChoice, PolicyRequest};
 use crate::regions::RegionCounts;
 use crate::report::TrialReport;
 use crate::setup::{desired_state, entry_hash, placer_config, server_entries};
-use crate::timeline::{Event, EventQueue, Micros};
 
 /// One way inside a region, in microseconds.
-const NEAR: u64 = 800;
+const IN_REGION_DELAY_US: u64 = 800;
 /// One way between regions, in microseconds.
-const FAR: u64 = 35_000;
+const CROSS_REGION_DELAY_US: u64 = 35_000;
 /// Spread of the work, as a share of its mean.
 const WORK_SPREAD: f64 = 0.15;
 /// How often the caller of a refused request comes back.
-const RETURNS: u32 = 1;
+const MAX_RETRIES: u32 = 1;
 /// Part of its remaining time that a caller waits before it comes back.
-const WAIT_SHARE: u32 = 3;
+const RETRY_WAIT_DIVISOR: u32 = 3;
 
 struct CallerRequest {
     entry: usize,
@@ -40,7 +40,7 @@
     request: usize,
     server: usize,
     placement: Placement,
-    open: bool,
+    is_open: bool,
 }
 
 struct Trial<'a, P> {
@@ -52,7 +52,7 @@
     policies: Vec<P>,
     servers: Vec<ModelServer>,
     epochs: Vec<u64>,
-    by_id: HashMap<String, usize>,
+    server_by_id: HashMap<String, usize>,
     requests: Vec<CallerRequest>,
     attempts: Vec<Attempt>,
     report: TrialReport,
@@ -61,10 +61,10 @@
     teams: Vec<String>,
 }
 
-/// Plays `experiment` with the policy that `make` builds for each entry.
+/// Plays `experiment` with the policy that `new_policy` builds for each entry.
 pub fn run_trial<P: EntryPolicy>(
     experiment: &Experiment,
-    make: impl Fn(PlacerConfig, &DesiredState, &CatalogSnapshot, &[u64], usize) -> P,
+    new_policy: impl Fn(PlacerConfig, &DesiredState, &CatalogSnapshot, &[u64], usize) -> P,
 ) -> TrialReport {
     let origin = Instant::now();
     let desired = desired_state(experiment);
@@ -79,11 +79,11 @@
     let policies = (0..count)
         .map(|entry| {
             let config = placer_config(experiment, entry);
-            make(config, &desired, &snapshot, &hashes, experiment.entries - 1)
+            new_policy(config, &desired, &snapshot, &hashes, experiment.entries - 1)
         })
         .collect();
     let servers = (0..snapshot.entries.len())
-        .map(|_| ModelServer::new(experiment.slots, experiment.queue, experiment.holds))
+        .map(|_| ModelServer::new(experiment.slots, experiment.queue, experiment.cache_size))
         .collect();
     let ids = snapshot.entries.iter().enumerate();
     let mut trial = Trial {
@@ -95,7 +95,7 @@
         policies,
         servers,
         epochs: vec![0; snapshot.entries.len()],
-        by_id: ids
+        server_by_id: ids
             .map(|(index, entry)| (entry.id.clone(), index))
             .collect(),
         requests: Vec::new(),
@@ -110,14 +110,17 @@
 
 impl<P: EntryPolicy> Trial<'_, P> {
     fn run(&mut self) {
-        self.schedule(0, Event::Arrive);
+        self.schedule(0, Event::RequestArrives);
         for entry in 0..self.policies.len() {
-            self.schedule(self.load_every() * entry as u64 / 8, Event::Load(entry));
+            self.schedule(
+                self.load_interval() * entry as u64 / 8,
+                Event::SendLoad(entry),
+            );
         }
         for (index, fault) in self.experiment.faults.iter().enumerate() {
-            let (begins, ends) = (micros(fault.at), micros(fault.at + fault.lasts));
-            self.schedule(begins, Event::FaultBegins(index));
-            self.schedule(ends, Event::FaultEnds(index));
+            let (start, end) = (micros(fault.at), micros(fault.at + fault.duration));
+            self.schedule(start, Event::FaultStarts(index));
+            self.schedule(end, Event::FaultEnds(index));
         }
         let last = micros(self.experiment.seconds) + micros(5.0);
         while let Some((at, event)) = self.events.pop() {
@@ -132,23 +135,23 @@
 
     fn on_event(&mut self, event: Event) {
         match event {
-            Event::Arrive => self.arrive(),
-            Event::Ask(request) => self.ask(request),
-            Event::Reach(attempt) => self.reach(attempt),
-            Event::Finish(attempt, epoch) => self.finish(attempt, epoch),
-            Event::Answer(attempt, ran) => self.answer(attempt, ran),
-            Event::OutOfTime(attempt) => self.out_of_time(attempt),
-            Event::Load(entry) => self.tell_load(entry),
-            Event::Hear(entry, from, word) => {
+            Event::RequestArrives => self.on_new_request(),
+            Event::PlaceRequest(request) => self.place(request),
+            Event::AttemptArrives(attempt) => self.arrive_at_server(attempt),
+            Event::WorkDone(attempt, epoch) => self.finish_work(attempt, epoch),
+            Event::ReceiveAnswer(attempt, is_accepted) => self.receive_answer(attempt, is_accepted),
+            Event::AttemptTimesOut(attempt) => self.time_out(attempt),
+            Event::SendLoad(entry) => self.send_load(entry),
+            Event::ReceiveLoad(entry, from, update) => {
                 let now = self.instant();
-                self.policies[entry].on_load(now, from, word);
+                self.policies[entry].on_load_update(now, from, update);
             }
-            Event::FaultBegins(index) => self.set_fault(index, true),
+            Event::FaultStarts(index) => self.set_fault(index, true),
             Event::FaultEnds(index) => self.set_fault(index, false),
         }
     }
 
-    fn arrive(&mut self) {
+    fn on_new_request(&mut self) {
         let at = self.now as f64 / 1e6;
         if at >= self.experiment.seconds {
             return;
@@ -175,45 +178,45 @@
         });
         self.report.window(at).asked += 1;
         self.report.team(team).asked += 1;
-        self.ask(self.requests.len() - 1);
+        self.place(self.requests.len() - 1);
         let pause = -(1.0 - self.rng.random::<f64>()).ln() / rate.max(0.001);
-        self.schedule(self.now + micros(pause), Event::Arrive);
+        self.schedule(self.now + micros(pause), Event::RequestArrives);
     }
 
     fn draw_team(&mut self) -> usize {
         if self.experiment.teams.len() < 2 {
             return 0;
         }
-        let whole: f64 = self.experiment.teams.iter().sum();
-        let mut left = self.rng.random::<f64>() * whole;
+        let total: f64 = self.experiment.teams.iter().sum();
+        let mut remaining = self.rng.random::<f64>() * total;
         for (team, weight) in self.experiment.teams.iter().enumerate() {
-            left -= weight;
-            if left <= 0.0 {
+            remaining -= weight;
+            if remaining <= 0.0 {
                 return team;
             }
         }
         0
     }
 
-    fn ask(&mut self, index: usize) {
+    fn place(&mut self, index: usize) {
         let now = self.instant();
         let request = &self.requests[index];
         let spent = Duration::from_micros(self.now - request.begun);
-        let left = self.experiment.deadline.saturating_sub(spent);
-        let asked = PolicyRequest {
+        let remaining = self.experiment.deadline.saturating_sub(spent);
+        let policy_request = PolicyRequest {
             object: request.object,
-            left,
-            fresh: request.refusals == 0,
+            remaining,
+            is_first_try: request.refusals == 0,
             team: &self.teams[request.team],
         };
-        match self.policies[request.entry].place(now, &asked) {
-            PolicyChoice::Send(placement) => self.send(index, *placement, left),
-            PolicyChoice::Refuse(after) => self.refuse(index, after, left),
+        match self.policies[request.entry].place(now, &policy_request) {
+            PolicyChoice::Send(placement) => self.send(index, *placement, remaining),
+            PolicyChoice::Refuse(after) => self.refuse(index, after, remaining),
         }
     }
 
-    fn send(&mut self, index: usize, placement: Placement, left: Duration) {
-        let server = self.by_id[&placement.id];
+    fn send(&mut self, index: usize, placement: Placement, remaining: Duration) {
+        let server = self.server_by_id[&placement.id];
         let entry = self.requests[index].entry;
         let region = entry / self.experiment.entries;
         let at = self.now as f64 / 1e6;
@@ -224,29 +227,29 @@
             request: index,
             server,
             placement,
-            open: true,
+            is_open: true,
         });
-        let trip = self.trip(entry, server);
-        self.schedule(self.now + trip, Event::Reach(attempt));
-        let bound = left.min(self.experiment.timeout).as_micros() as u64;
-        self.schedule(self.now + bound, Event::OutOfTime(attempt));
+        let delay = self.link_delay(entry, server);
+        self.schedule(self.now + delay, Event::AttemptArrives(attempt));
+        let bound = remaining.min(self.experiment.timeout).as_micros() as u64;
+        self.schedule(self.now + bound, Event::AttemptTimesOut(attempt));
     }
 
-    fn refuse(&mut self, index: usize, after: Duration, left: Duration) {
+    fn refuse(&mut self, index: usize, after: Duration, remaining: Duration) {
         let request = &mut self.requests[index];
         request.refusals += 1;
-        if request.refusals > RETURNS {
+        if request.refusals > MAX_RETRIES {
             let at = request.begun as f64 / 1e6;
             self.report.window(at).refused += 1;
             return;
         }
-        let wait = after.min(left / WAIT_SHARE).as_micros() as u64;
-        self.schedule(self.now + wait, Event::Ask(index));
+        let wait = after.min(remaining / RETRY_WAIT_DIVISOR).as_micros() as u64;
+        self.schedule(self.now + wait, Event::PlaceRequest(index));
     }
 
-    fn reach(&mut self, index: usize) {
-        let (server, open) = (self.attempts[index].server, self.attempts[index].open);
-        if !open || self.servers[server].down {
+    fn arrive_at_server(&mut self, index: usize) {
+        let (server, is_open) = (self.attempts[index].server, self.attempts[index].is_open);
+        if !is_open || self.servers[server].down {
             return;
         }
         let shed = self.rng.random::<f64>() < self.servers[server].shed_share;
@@ -261,53 +264,53 @@
             self.servers[server].accept(job)
         };
         match accepted {
-            Some(true) => self.begin(server, job),
+            Some(true) => self.start_work(server, job),
             Some(false) => {}
             None => self.reply(index, false),
         }
     }
 
-    fn begin(&mut self, server: usize, job: Job) {
-        let held = self.servers[server].touch(job.object);
+    fn start_work(&mut self, server: usize, job: Job) {
+        let is_hit = self.servers[server].access(job.object);
         self.report.runs += 1;
-        self.report.misses += u32::from(!held);
+        self.report.misses += u32::from(!is_hit);
         let spread = 1.0 + WORK_SPREAD * (2.0 * self.rng.random::<f64>() - 1.0);
-        let share = if held {
-            self.experiment.held_share
+        let share = if is_hit {
+            self.experiment.hit_work_share
         } else {
             1.0
         };
-        let mean = self.experiment.work.as_secs_f64() * share * self.servers[server].slowness;
+        let mean = self.experiment.work.as_secs_f64() * share * self.servers[server].slowdown;
         let epoch = self.epochs[server];
         let ends = self.now + micros(mean * spread);
-        self.schedule(ends, Event::Finish(job.attempt, epoch));
+        self.schedule(ends, Event::WorkDone(job.attempt, epoch));
     }
 
-    fn finish(&mut self, index: usize, epoch: u64) {
+    fn finish_work(&mut self, index: usize, epoch: u64) {
         let server = self.attempts[index].server;
         if self.epochs[server] != epoch {
             return;
         }
         if let Some(next) = self.servers[server].release() {
-            self.begin(server, next);
+            self.start_work(server, next);
         }
-        if self.attempts[index].open {
+        if self.attempts[index].is_open {
             self.reply(index, true);
         }
     }
 
-    fn reply(&mut self, index: usize, ran: bool) {
+    fn reply(&mut self, index: usize, is_accepted: bool) {
         let attempt = &self.attempts[index];
         let entry = self.requests[attempt.request].entry;
-        let trip = self.trip(entry, attempt.server);
-        self.schedule(self.now + trip, Event::Answer(index, ran));
+        let delay = self.link_delay(entry, attempt.server);
+        self.schedule(self.now + delay, Event::ReceiveAnswer(index, is_accepted));
     }
 
-    fn answer(&mut self, index: usize, ran: bool) {
-        if !self.attempts[index].open {
+    fn receive_answer(&mut self, index: usize, is_accepted: bool) {
+        if !self.attempts[index].is_open {
             return;
         }
-        let outcome = if ran {
+        let outcome = if is_accepted {
             ServerOutcome::Answered { good: true }
         } else {
             ServerOutcome::Full
@@ -317,9 +320,9 @@
         let request = self.attempts[index].request;
         let begun = self.requests[request].begun;
         let took = Duration::from_micros(self.now - begun);
-        if !ran {
-            let left = self.experiment.deadline.saturating_sub(took);
-            self.refuse(request, Duration::from_millis(300), left);
+        if !is_accepted {
+            let remaining = self.experiment.deadline.saturating_sub(took);
+            self.refuse(request, Duration::from_millis(300), remaining);
             return;
         }
         let in_time = took <= self.experiment.objective;
@@ -337,8 +340,8 @@
         }
     }
 
-    fn out_of_time(&mut self, index: usize) {
-        if !self.attempts[index].open {
+    fn time_out(&mut self, index: usize) {
+        if !self.attempts[index].is_open {
             return;
         }
         self.close(index, ServerOutcome::OutOfTime, None);
@@ -351,45 +354,57 @@
     fn close(&mut self, index: usize, outcome: ServerOutcome, report: Option<&ServerReport>) {
         let now = self.instant();
         let attempt = &mut self.attempts[index];
-        attempt.open = false;
+        attempt.is_open = false;
         let request = &self.requests[attempt.request];
         let policy = &mut self.policies[request.entry];
         policy.on_outcome(now, &attempt.placement, request.object, outcome, report);
     }
 
-    fn tell_load(&mut self, entry: usize) {
+    fn send_load(&mut self, entry: usize) {
         let now = self.instant();
-        let word = self.policies[entry].load(now);
+        let update = self.policies[entry].load_update(now);
         for other in 0..self.policies.len() {
             if other == entry {
                 continue;
             }
-            let near = other / self.experiment.entries == entry / self.experiment.entries;
-            let trip = if near { NEAR } else { FAR };
-            let word = word.clone();
-            let word = if near { word } else { word.for_other_regions() };
-            let heard = Event::Hear(other, entry_hash(entry), word);
-            self.schedule(self.now + trip, heard);
+            let is_same_region = other / self.experiment.entries == entry / self.experiment.entries;
+            let delay = if is_same_region {
+                IN_REGION_DELAY_US
+            } else {
+                CROSS_REGION_DELAY_US
+            };
+            let update = update.clone();
+            let update = if is_same_region {
+                update
+            } else {
+                update.for_other_regions()
+            };
+            let event = Event::ReceiveLoad(other, entry_hash(entry), update);
+            self.schedule(self.now + delay, event);
         }
-        self.schedule(self.now + self.load_every(), Event::Load(entry));
+        self.schedule(self.now + self.load_interval(), Event::SendLoad(entry));
     }
 
-    fn set_fault(&mut self, index: usize, begins: bool) {
+    fn set_fault(&mut self, index: usize, is_start: bool) {
         let fault = self.experiment.faults[index];
-        for server in fault.first..fault.first + fault.count {
-            let crashes = begins && matches!(fault.kind, FaultKind::Down);
+        for server in fault.first_server..fault.first_server + fault.count {
+            let crashes = is_start && matches!(fault.kind, FaultKind::Down);
             self.epochs[server] += u64::from(crashes);
-            self.servers[server].set_fault(fault.kind, begins);
+            self.servers[server].set_fault(fault.kind, is_start);
         }
     }
 
-    fn load_every(&self) -> Micros {
-        self.experiment.load_every.as_micros() as Micros
+    fn load_interval(&self) -> Micros {
+        self.experiment.load_interval.as_micros() as Micros
     }
 
-    fn trip(&self, entry: usize, server: usize) -> Micros {
-        let near = entry / self.experiment.entries == self.experiment.region_of(server);
-        if near { NEAR } else { FAR }
+    fn link_delay(&self, entry: usize, server: usize) -> Micros {
+        let is_same_region = entry / self.experiment.entries == self.experiment.region_of(server);
+        if is_same_region {
+            IN_REGION_DELAY_US
+        } else {
+            CROSS_REGION_DELAY_US
+        }
     }
 
     fn schedule(&mut self, at: Micros, event: Event) {
--- a/crates/emulate/tests/fairness.rs
+++ b/crates/emulate/tests/fairness.rs
@@ -19,16 +19,19 @@
         .collect()
 }
 
-fn play(load: f64, seed: u64, has_shares: bool) -> TrialReport {
+fn run(load: f64, seed: u64, has_fairness: bool) -> TrialReport {
     let experiment = Experiment::new(seed, load).with_teams(&WEIGHTS);
-    run_trial(&experiment, |config, desired, servers, entries, near| {
-        let policy = PlacerPolicy::new(config, desired, servers, entries, near);
-        if has_shares {
-            policy.with_shares(&teams())
-        } else {
-            policy
-        }
-    })
+    run_trial(
+        &experiment,
+        |config, desired, servers, entries, peers_in_region| {
+            let policy = PlacerPolicy::new(config, desired, servers, entries, peers_in_region);
+            if has_fairness {
+                policy.with_fairness(&teams())
+            } else {
+                policy
+            }
+        },
+    )
 }
 
 fn worth(report: &TrialReport, teams: std::ops::Range<usize>) -> f64 {
@@ -42,10 +45,10 @@
 }
 
 /// Worth of the large team, of the small ones, and of all, over three seeds.
-fn played(load: f64, has_shares: bool) -> (f64, f64, f64) {
+fn mean_worths(load: f64, has_fairness: bool) -> (f64, f64, f64) {
     let mut worths = (0.0, 0.0, 0.0);
     for seed in 1..=3 {
-        let report = play(load, seed, has_shares);
+        let report = run(load, seed, has_fairness);
         worths.0 += worth(&report, 0..1) / 3.0;
         worths.1 += worth(&report, 1..9) / 3.0;
         worths.2 += report.total().worth() / 3.0;
@@ -59,8 +62,8 @@
 #[test]
 fn one_team_does_not_take_the_room_of_others() {
     for load in [1.2, 1.6] {
-        let (_, before, all_before) = played(load, false);
-        let (large, small, all) = played(load, true);
+        let (_, before, all_before) = mean_worths(load, false);
+        let (large, small, all) = mean_worths(load, true);
         assert!(small > before + 0.1, "{load}: {before} -> {small}");
         assert!(all > all_before - 0.005, "{load}: {all_before} -> {all}");
         // It isn't starved in turn.
@@ -72,8 +75,8 @@
 #[test]
 fn nobody_ranks_lower_where_there_is_room() {
     for load in [0.6, 0.9] {
-        let (large_before, _, all_before) = played(load, false);
-        let (large, _, all) = played(load, true);
+        let (large_before, _, all_before) = mean_worths(load, false);
+        let (large, _, all) = mean_worths(load, true);
         assert!(
             large > large_before - 0.015,
             "{load}: {large_before} -> {large}"
--- a/crates/emulate/tests/patterns.rs
+++ b/crates/emulate/tests/patterns.rs
@@ -14,9 +14,12 @@
 const SEEDS: [u64; 3] = [1, 2, 3];
 
 fn placed(experiment: &Experiment) -> TrialReport {
-    run_trial(experiment, |config, desired, servers, entries, near| {
-        PlacerPolicy::new(config, desired, servers, entries, near)
-    })
+    run_trial(
+        experiment,
+        |config, desired, servers, entries, peers_in_region| {
+            PlacerPolicy::new(config, desired, servers, entries, peers_in_region)
+        },
+    )
 }
 
 fn naive(experiment: &Experiment) -> TrialReport {
@@ -28,8 +31,8 @@
 fn fault(count: usize, kind: FaultKind) -> ServerFault {
     ServerFault {
         at: 10.0,
-        lasts: 8.0,
-        first: 0,
+        duration: 8.0,
+        first_server: 0,
         count,
         kind,
     }
@@ -157,24 +160,24 @@
 /// each knows only a part of what the servers have. Words on load that come three times
 /// a second keep more answers in time than words that come once.
 #[test]
-fn frequent_words_on_load_keep_answers_in_time() {
+fn frequent_load_updates_keep_answers_in_time() {
     for seed in SEEDS {
-        let every = |millis| {
-            let every = std::time::Duration::from_millis(millis);
-            let mut experiment = Experiment::new(seed, 1.1).with_load_every(every);
+        let worth_at = |millis| {
+            let interval = std::time::Duration::from_millis(millis);
+            let mut experiment = Experiment::new(seed, 1.1).with_load_interval(interval);
             experiment.entries = 12;
             experiment.seconds = 12.0;
             placed(&experiment).total().worth()
         };
-        let (often, seldom) = (every(330), every(1000));
+        let (often, seldom) = (worth_at(330), worth_at(1000));
         assert!(often > seldom + 0.02, "seed {seed}: {often} and {seldom}");
     }
 }
 
 /// The product's way without what other entries tell of objects at servers.
-struct UntoldPolicy(PlacerPolicy);
+struct NoSharedSightings(PlacerPolicy);
 
-impl EntryPolicy for UntoldPolicy {
+impl EntryPolicy for NoSharedSightings {
     fn place(&mut self, now: Instant, request: &PolicyRequest<'_>) -> PolicyChoice {
         self.0.place(now, request)
     }
@@ -190,13 +193,13 @@
         self.0.on_outcome(now, placement, object, outcome, report);
     }
 
-    fn load(&mut self, now: Instant) -> LoadUpdate {
-        self.0.load(now)
+    fn load_update(&mut self, now: Instant) -> LoadUpdate {
+        self.0.load_update(now)
     }
 
-    fn on_load(&mut self, now: Instant, entry: u64, mut word: LoadUpdate) {
-        word.handled.clear();
-        self.0.on_load(now, entry, word);
+    fn on_load_update(&mut self, now: Instant, entry: u64, mut update: LoadUpdate) {
+        update.handled.clear();
+        self.0.on_load_update(now, entry, update);
     }
 }
 
@@ -204,17 +207,26 @@
 /// entries of which each handles a part. Told which servers handled which objects, they keep more answers in
 /// time than when each learns that for itself.
 #[test]
-fn told_sightings_keep_answers_in_time() {
+fn shared_sightings_keep_answers_in_time() {
     let (mut with, mut without) = (0.0, 0.0);
     for seed in SEEDS {
         let mut experiment = Experiment::new(seed, 0.85);
         experiment.servers = vec![1, 6, 8];
         experiment.seconds = 20.0;
         with += placed(&experiment).total().worth();
-        let untold = run_trial(&experiment, |config, desired, servers, entries, near| {
-            UntoldPolicy(PlacerPolicy::new(config, desired, servers, entries, near))
-        });
-        without += untold.total().worth();
+        let not_shared = run_trial(
+            &experiment,
+            |config, desired, servers, entries, peers_in_region| {
+                NoSharedSightings(PlacerPolicy::new(
+                    config,
+                    desired,
+                    servers,
+                    entries,
+                    peers_in_region,
+                ))
+            },
+        );
+        without += not_shared.total().worth();
     }
     assert!(with > without + 0.03, "told {with}, untold {without}, of 3");
 }
