--- a/bin/lh-burn/src/collect.rs
+++ b/bin/lh-burn/src/collect.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use burn::{Scrape, SliceBook, parse_scrape};
+use burn::{Scrape, SliceRecorder, parse_scrape};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::Request;
@@ -16,16 +16,16 @@
 use crate::slices;
 
 /// Longest wait for one instance.
-const READ_TIME: Duration = Duration::from_secs(2);
+const SCRAPE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Largest metrics text in bytes.
-const MAX_TEXT: usize = 4 << 20;
+const MAX_METRICS_BYTES: usize = 4 << 20;
 
 /// Collects until SIGTERM or for the number of readings.
 pub(crate) async fn run(arguments: &CollectArguments) -> Result<()> {
     let platform = PlatformClient::new(arguments.platform);
-    let mut book = SliceBook::new();
-    if let Some(slice) = slices::load(&platform, slices::present()).await? {
-        book.resume(slice);
+    let mut recorder = SliceRecorder::new();
+    if let Some(slice) = slices::load(&platform, slices::current_slice()).await? {
+        recorder.resume(slice);
     }
     let mut readings = tokio::time::interval(Duration::from_secs(arguments.period.max(1)));
     let mut count = 0;
@@ -36,34 +36,34 @@
             stopped = &mut stop => return Ok(stopped?),
         }
         for instance in &arguments.instances {
-            match read(*instance).await {
-                Some(scrape) => book.record(slices::present(), &scrape),
+            match scrape(*instance).await {
+                Some(scrape) => recorder.record(slices::current_slice(), &scrape),
                 None => log::warn!(instance:% = instance; "metrics not read"),
             }
         }
-        if let Err(error) = slices::store(&platform, book.slice()).await {
+        if let Err(error) = slices::store(&platform, recorder.slice()).await {
             log::warn!(error:% = error; "slice not stored; it will be with the next reading");
         }
         count += 1;
-        if arguments.readings.is_some_and(|most| count >= most) {
+        if arguments.readings.is_some_and(|limit| count >= limit) {
             return Ok(());
         }
     }
 }
 
-async fn read(instance: SocketAddr) -> Option<Scrape> {
+async fn scrape(instance: SocketAddr) -> Option<Scrape> {
     let client = Client::builder(TokioExecutor::new()).build_http();
     let request = Request::builder()
         .uri(format!("http://{instance}/metrics"))
         .body(Empty::<Bytes>::new())
         .ok()?;
-    let reading = async {
+    let fetch = async {
         let response = client.request(request).await.ok()?;
-        let body = Limited::new(response.into_body(), MAX_TEXT)
+        let body = Limited::new(response.into_body(), MAX_METRICS_BYTES)
             .collect()
             .await
             .ok()?;
         parse_scrape(&String::from_utf8_lossy(&body.to_bytes())).ok()
     };
-    tokio::time::timeout(READ_TIME, reading).await.ok()?
+    tokio::time::timeout(SCRAPE_TIMEOUT, fetch).await.ok()?
 }
--- a/bin/lh-burn/src/report.rs
+++ b/bin/lh-burn/src/report.rs
@@ -1,6 +1,6 @@
 //! `report`: text, JSON and HTML from the slices.
 
-use burn::{SLICE, burn_rows, page, text};
+use burn::{SLICE_LENGTH, burn_rows, html_page, text_report};
 use conf::ConfigBundle;
 use platform::tables::PlatformClient;
 
@@ -12,20 +12,20 @@
 pub(crate) async fn run(arguments: &ReportArguments) -> Result<()> {
     let deployment = ConfigBundle::from_folder(&arguments.deploy)?.deployment()?;
     let platform = PlatformClient::new(arguments.platform);
-    let now = slices::present();
-    let back = arguments.hours * 3600 / SLICE.as_secs();
-    let mut found = Vec::new();
-    for number in now.saturating_sub(back)..=now {
-        found.extend(slices::load(&platform, number).await?);
+    let now = slices::current_slice();
+    let slice_count = arguments.hours * 3600 / SLICE_LENGTH.as_secs();
+    let mut loaded = Vec::new();
+    for number in now.saturating_sub(slice_count)..=now {
+        loaded.extend(slices::load(&platform, number).await?);
     }
-    let rows = burn_rows(&deployment, &found, now);
+    let rows = burn_rows(&deployment, &loaded, now);
     if let Some(path) = &arguments.html {
-        std::fs::write(path, page(&deployment, &found, now)?)?;
+        std::fs::write(path, html_page(&deployment, &loaded, now)?)?;
     }
     if arguments.json {
         println!("{}", serde_json::json!({"rows": rows}));
     } else {
-        print!("{}", text(&rows, &found));
+        print!("{}", text_report(&rows, &loaded));
     }
     Ok(())
 }
--- a/bin/lh-burn/src/slices.rs
+++ b/bin/lh-burn/src/slices.rs
@@ -2,18 +2,18 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use burn::{BurnSlice, SLICE};
+use burn::{BurnSlice, SLICE_LENGTH};
 use platform::tables::PlatformClient;
 use store::ObjectStore;
 
 use crate::error::Result;
 
 /// Number of the present slice.
-pub(crate) fn present() -> u64 {
+pub(crate) fn current_slice() -> u64 {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    since.as_secs() / SLICE.as_secs()
+    since.as_secs() / SLICE_LENGTH.as_secs()
 }
 
 /// Reads the slice `number`; `None` where there is none or it can't be read.
--- a/bin/lh-load/src/plot.rs
+++ b/bin/lh-load/src/plot.rs
@@ -8,7 +8,7 @@
 use crate::error::{Error, Result};
 
 /// Size of the picture, in pixels.
-const SIZE: (u32, u32) = (800, 400);
+const PLOT_SIZE: (u32, u32) = (800, 400);
 /// Seconds of a window of the reports.
 const WINDOW: f64 = 2.0;
 
@@ -46,7 +46,7 @@
     path: &Path,
     lines: &[(Vec<(f64, f64)>, RGBColor)],
 ) -> std::result::Result<(), Box<dyn std::error::Error>> {
-    let area = SVGBackend::new(path, SIZE).into_drawing_area();
+    let area = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let points = lines.iter().flat_map(|(points, _)| points);
     let last = points.map(|(at, _)| *at).fold(WINDOW, f64::max);
--- a/crates/burn/src/html.rs
+++ b/crates/burn/src/html.rs
@@ -5,18 +5,18 @@
 use crate::error::{Error, Result};
 use crate::objective::{BurnKind, BurnRow, burn_rows};
 use crate::report;
-use crate::slice::{BurnSlice, SLICE};
+use crate::slice::{BurnSlice, SLICE_LENGTH};
 
 /// Size of a plot in pixels.
-const PLOT: (u32, u32) = (760, 240);
+const PLOT_SIZE: (u32, u32) = (760, 240);
 /// Least top of a plot's scale.
-const LEAST_TOP: f64 = 2.0;
+const MIN_Y_MAX: f64 = 2.0;
 
 /// The page for the slices up to `now`.
 ///
 /// # Errors
 /// Where a plot can't be drawn.
-pub fn page(deployment: &conf::Deployment, slices: &[BurnSlice], now: u64) -> Result<String> {
+pub fn html_page(deployment: &conf::Deployment, slices: &[BurnSlice], now: u64) -> Result<String> {
     let rows = burn_rows(deployment, slices, now);
     let mut plots = String::new();
     for kind in [
@@ -35,7 +35,7 @@
          <p>A rate of 1 uses the budget up exactly by the end of its period.</p>\n\
          <pre>{table}</pre>\n{plots}</body></html>\n",
         name = escape(&deployment.name),
-        table = escape(&report::text(&rows, slices)),
+        table = escape(&report::text_report(&rows, slices)),
     ))
 }
 
@@ -60,7 +60,7 @@
         lines.push((name, Vec::new()));
     }
     for number in first..=now {
-        let at = -((now - number) as f64) * SLICE.as_secs_f64() / 60.0;
+        let at = -((now - number) as f64) * SLICE_LENGTH.as_secs_f64() / 60.0;
         for row in burn_rows(deployment, slices, number) {
             let name = format!("{} {}", row.key.service, row.key.region);
             let rate = row.rates.first().copied().flatten();
@@ -72,32 +72,32 @@
     }
     draw(
         &lines,
-        -((now - first).max(1) as f64) * SLICE.as_secs_f64() / 60.0,
+        -((now - first).max(1) as f64) * SLICE_LENGTH.as_secs_f64() / 60.0,
     )
 }
 
 fn draw(lines: &[(String, Vec<(f64, f64)>)], oldest: f64) -> Result<String> {
-    let failed = |cause: &dyn std::fmt::Display| Error::Plot(cause.to_string());
+    let plot_error = |cause: &dyn std::fmt::Display| Error::Plot(cause.to_string());
     let highest = lines
         .iter()
         .flat_map(|(_, points)| points)
         .map(|point| point.1);
-    let top = highest.fold(LEAST_TOP, f64::max) * 1.05;
+    let top = highest.fold(MIN_Y_MAX, f64::max) * 1.05;
     let mut svg = String::new();
     {
-        let area = SVGBackend::with_string(&mut svg, PLOT).into_drawing_area();
-        area.fill(&WHITE).map_err(|cause| failed(&cause))?;
+        let area = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
+        area.fill(&WHITE).map_err(|cause| plot_error(&cause))?;
         let mut chart = ChartBuilder::on(&area)
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(44)
             .build_cartesian_2d(oldest..0.0, 0.0..top)
-            .map_err(|cause| failed(&cause))?;
+            .map_err(|cause| plot_error(&cause))?;
         chart
             .configure_mesh()
             .x_desc("minutes before now")
             .draw()
-            .map_err(|cause| failed(&cause))?;
+            .map_err(|cause| plot_error(&cause))?;
         for (index, (_, points)) in lines.iter().enumerate() {
             let colour = Palette99::pick(index).mix(0.9);
             chart
@@ -105,16 +105,16 @@
                     points.iter().copied(),
                     colour.stroke_width(2),
                 ))
-                .map_err(|cause| failed(&cause))?;
+                .map_err(|cause| plot_error(&cause))?;
             chart
                 .draw_series(
                     points
                         .iter()
                         .map(|point| Circle::new(*point, 2, colour.filled())),
                 )
-                .map_err(|cause| failed(&cause))?;
+                .map_err(|cause| plot_error(&cause))?;
         }
-        area.present().map_err(|cause| failed(&cause))?;
+        area.present().map_err(|cause| plot_error(&cause))?;
     }
     svg.push_str("<p>");
     for (index, (name, _)) in lines.iter().enumerate() {
--- a/crates/burn/src/lib.rs
+++ b/crates/burn/src/lib.rs
@@ -12,8 +12,8 @@
 mod slice;
 
 pub use error::{Error, Result};
-pub use html::page;
-pub use objective::{BurnKind, BurnRow, BurnWindow, WINDOWS, burn_rows};
-pub use report::text;
+pub use html::html_page;
+pub use objective::{BURN_WINDOWS, BurnKind, BurnRow, BurnWindow, burn_rows};
+pub use report::text_report;
 pub use scrape::{CounterSet, Scrape, ServiceCounters, parse_scrape};
-pub use slice::{BurnSlice, SLICE, SliceBook, SliceKey, SliceSums};
+pub use slice::{BurnSlice, SLICE_LENGTH, SliceKey, SliceRecorder, SliceSums};
--- a/crates/burn/src/objective.rs
+++ b/crates/burn/src/objective.rs
@@ -6,7 +6,7 @@
 use base::prelude::*;
 use conf::{Deployment, Objective};
 
-use crate::slice::{BurnSlice, SLICE, SliceKey, SliceSums};
+use crate::slice::{BurnSlice, SLICE_LENGTH, SliceKey, SliceSums};
 
 /// A window with the burn rate from which somebody should be woken or told.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -16,30 +16,30 @@
     /// Its length.
     pub length: Duration,
     /// The burn rate that is too fast for it.
-    pub alarm: f64,
+    pub threshold: f64,
 }
 
 /// The fast and the slow windows, for a budget of 28 days.
-pub const WINDOWS: [BurnWindow; 4] = [
+pub const BURN_WINDOWS: [BurnWindow; 4] = [
     BurnWindow {
         name: "5m",
         length: Duration::from_secs(300),
-        alarm: 14.4,
+        threshold: 14.4,
     },
     BurnWindow {
         name: "1h",
         length: Duration::from_secs(3600),
-        alarm: 14.4,
+        threshold: 14.4,
     },
     BurnWindow {
         name: "6h",
         length: Duration::from_secs(6 * 3600),
-        alarm: 6.0,
+        threshold: 6.0,
     },
     BurnWindow {
         name: "3d",
         length: Duration::from_secs(3 * 86400),
-        alarm: 1.0,
+        threshold: 1.0,
     },
 ];
 
@@ -66,7 +66,7 @@
         pub goal: f64,
         /// Share that was good over the longest window; 1 without any event.
         pub reached: f64,
-        /// Burn rates in the order of [`WINDOWS`]; `None` without any event.
+        /// Burn rates in the order of [`BURN_WINDOWS`]; `None` without any event.
         pub rates: Vec<Option<f64>>,
         /// Share of the budget that is left over the longest window.
         pub budget_left: f64,
@@ -97,8 +97,8 @@
     /// the wanted free rights that is missing.
     fn rate(self, sums: &SliceSums, goal: f64) -> Option<f64> {
         match self {
-            Self::Latency => rate(sums.done - sums.good, sums.done, goal),
-            Self::Availability => rate(sums.failed, sums.done + sums.failed, goal),
+            Self::Latency => burn_rate(sums.done - sums.good, sums.done, goal),
+            Self::Availability => burn_rate(sums.failed, sums.done + sums.failed, goal),
             Self::Headroom => {
                 let free = (sums.slots > 0.0).then(|| sums.free / sums.slots)?;
                 let missing = (goal - free).max(0.0);
@@ -117,7 +117,7 @@
     }
 }
 
-fn rate(bad: f64, all: f64, goal: f64) -> Option<f64> {
+fn burn_rate(bad: f64, all: f64, goal: f64) -> Option<f64> {
     if all <= 0.0 {
         return None;
     }
@@ -126,15 +126,15 @@
 
 /// The report's rows at the end of slice `now`.
 pub fn burn_rows(deployment: &Deployment, slices: &[BurnSlice], now: u64) -> Vec<BurnRow> {
-    let sums: Vec<BTreeMap<SliceKey, SliceSums>> = WINDOWS
+    let sums: Vec<BTreeMap<SliceKey, SliceSums>> = BURN_WINDOWS
         .iter()
         .map(|window| window_sums(slices, now, window.length))
         .collect();
     let sums: Vec<_> = sums
         .into_iter()
-        .map(|sums| by_service(deployment, sums))
+        .map(|sums| merge_split_parts(deployment, sums))
         .collect();
-    let longest = &sums[WINDOWS.len() - 1];
+    let longest = &sums[BURN_WINDOWS.len() - 1];
     let mut rows = Vec::new();
     for (key, total) in longest {
         let Some(service) = deployment.services.get(key.service.as_str()) else {
@@ -156,7 +156,7 @@
                 goal,
                 reached: kind.reached(total),
                 budget_left: 1.0 - kind.rate(total, goal).unwrap_or(0.0),
-                alarm: is_alarm(&rates),
+                alarm: is_burning_too_fast(&rates),
                 rates,
             });
         }
@@ -165,7 +165,7 @@
 }
 
 /// Counts what belongs to a part of a split for its service.
-fn by_service(
+fn merge_split_parts(
     deployment: &Deployment,
     sums: BTreeMap<SliceKey, SliceSums>,
 ) -> BTreeMap<SliceKey, SliceSums> {
@@ -180,13 +180,14 @@
 }
 
 /// Too fast means: in a short window and in a longer one that confirms it.
-fn is_alarm(rates: &[Option<f64>]) -> bool {
-    let over = |index: usize| rates[index].is_some_and(|rate| rate >= WINDOWS[index].alarm);
-    (over(0) && over(1)) || (over(1) && over(2)) || (over(2) && over(3))
+fn is_burning_too_fast(rates: &[Option<f64>]) -> bool {
+    let exceeds =
+        |index: usize| rates[index].is_some_and(|rate| rate >= BURN_WINDOWS[index].threshold);
+    (exceeds(0) && exceeds(1)) || (exceeds(1) && exceeds(2)) || (exceeds(2) && exceeds(3))
 }
 
 fn window_sums(slices: &[BurnSlice], now: u64, length: Duration) -> BTreeMap<SliceKey, SliceSums> {
-    let count = length.as_secs() / SLICE.as_secs();
+    let count = length.as_secs() / SLICE_LENGTH.as_secs();
     let mut sums: BTreeMap<SliceKey, SliceSums> = BTreeMap::new();
     for slice in slices {
         if slice.number > now || slice.number + count <= now {
--- a/crates/burn/src/report.rs
+++ b/crates/burn/src/report.rs
@@ -2,16 +2,16 @@
 
 use std::fmt::Write as _;
 
-use crate::objective::{BurnRow, WINDOWS};
+use crate::objective::{BURN_WINDOWS, BurnRow};
 use crate::slice::BurnSlice;
 
 /// The report's text: a row an objective, then the planned stops.
-pub fn text(rows: &[BurnRow], slices: &[BurnSlice]) -> String {
+pub fn text_report(rows: &[BurnRow], slices: &[BurnSlice]) -> String {
     let mut text = format!(
         "{:<18} {:<16} {:<13} {:>8} {:>8}",
         "service", "region", "objective", "goal", "reached"
     );
-    for window in WINDOWS {
+    for window in BURN_WINDOWS {
         let _ = write!(text, " {:>7}", window.name);
     }
     let _ = writeln!(text, " {:>8}", "budget");
--- a/crates/burn/src/scrape.rs
+++ b/crates/burn/src/scrape.rs
@@ -60,7 +60,7 @@
             }
             "laurelhill_draining_seconds" => scrape.draining = value,
             "laurelhill_requests_total" => {
-                let counters = service(&mut scrape, label("route"));
+                let counters = counters_of(&mut scrape, label("route"));
                 match label("outcome") {
                     "answered" => counters.done += value,
                     "not-run" | "unknown" => counters.failed += value,
@@ -68,9 +68,9 @@
                     _ => {}
                 }
             }
-            "laurelhill_good_total" => service(&mut scrape, label("route")).good += value,
+            "laurelhill_good_total" => counters_of(&mut scrape, label("route")).good += value,
             "laurelhill_slots" => {
-                let counters = service(&mut scrape, label("service"));
+                let counters = counters_of(&mut scrape, label("service"));
                 match label("state") {
                     "all" => counters.slots = value,
                     "free" => counters.free = value,
@@ -88,6 +88,6 @@
     Ok(scrape)
 }
 
-fn service<'a>(scrape: &'a mut Scrape, name: &str) -> &'a mut ServiceCounters {
+fn counters_of<'a>(scrape: &'a mut Scrape, name: &str) -> &'a mut ServiceCounters {
     scrape.services.entry(name.to_owned()).or_default()
 }
--- a/crates/burn/src/slice.rs
+++ b/crates/burn/src/slice.rs
@@ -6,7 +6,7 @@
 use crate::scrape::{CounterSet, Scrape, ServiceCounters};
 
 /// Length of a slice.
-pub const SLICE: Duration = Duration::from_secs(300);
+pub const SLICE_LENGTH: Duration = Duration::from_secs(300);
 
 base::common! {
     /// A service in a region.
@@ -58,12 +58,12 @@
 
 /// Turns readings into slices. A counter that falls belongs to a new run of its instance.
 #[derive(Debug, Default)]
-pub struct SliceBook {
+pub struct SliceRecorder {
     last: HashMap<String, CounterSet>,
     slice: BurnSlice,
 }
 
-impl SliceBook {
+impl SliceRecorder {
     /// An empty book.
     pub fn new() -> Self {
         Self::default()
@@ -95,7 +95,7 @@
                 .or_default();
             *longest = longest.max(scrape.draining);
         }
-        let before = self
+        let previous = self
             .last
             .insert(scrape.instance.clone(), scrape.services.clone());
         for (service, now) in &scrape.services {
@@ -103,10 +103,10 @@
                 service: service.clone(),
                 region: scrape.region.clone(),
             };
-            let old = before
+            let old = previous
                 .as_ref()
                 .map(|set| set.get(service).copied().unwrap_or_default());
-            let sums = rise(old, now);
+            let sums = counter_increase(old, now);
             self.add(key, &sums);
         }
     }
@@ -121,21 +121,21 @@
 
 /// What the counters rose by. The first reading of an instance counts nothing, since
 /// nobody knows when its counters rose.
-fn rise(before: Option<ServiceCounters>, now: &ServiceCounters) -> SliceSums {
+fn counter_increase(previous: Option<ServiceCounters>, now: &ServiceCounters) -> SliceSums {
     let mut sums = SliceSums {
         slots: now.slots,
         free: now.free,
         ..SliceSums::default()
     };
-    let Some(mut before) = before else {
+    let Some(mut previous) = previous else {
         return sums;
     };
-    let restarted = now.done < before.done || now.failed < before.failed;
+    let restarted = now.done < previous.done || now.failed < previous.failed;
     if restarted {
-        before = ServiceCounters::default();
+        previous = ServiceCounters::default();
     }
-    sums.done = now.done - before.done;
-    sums.good = (now.good - before.good).max(0.0);
-    sums.failed = now.failed - before.failed;
+    sums.done = now.done - previous.done;
+    sums.good = (now.good - previous.good).max(0.0);
+    sums.failed = now.failed - previous.failed;
     sums
 }
--- a/crates/burn/tests/burn.rs
+++ b/crates/burn/tests/burn.rs
@@ -1,6 +1,6 @@
 //! Burn rates from readings, across restarts of instances.
 
-use burn::{BurnKind, BurnSlice, SliceBook, burn_rows, page, parse_scrape, text};
+use burn::{BurnKind, BurnSlice, SliceRecorder, burn_rows, html_page, parse_scrape, text_report};
 use conf::{ConfigBundle, Deployment};
 
 fn deployment() -> Deployment {
@@ -31,12 +31,12 @@
 }
 
 fn slice(number: u64, readings: &[(u32, u32, u32, u32)]) -> BurnSlice {
-    let mut book = SliceBook::new();
+    let mut recorder = SliceRecorder::new();
     for (done, good, refused, free) in readings {
         let scrape = parse_scrape(&metrics(*done, *good, *refused, *free)).unwrap();
-        book.record(number, &scrape);
+        recorder.record(number, &scrape);
     }
-    book.slice().clone()
+    recorder.slice().clone()
 }
 
 /// 100 done of which 80 good, with a goal of 90%: twice the budget. One refused of 101.
@@ -89,16 +89,16 @@
         slice(999, &[(0, 0, 0, 1), (100, 80, 1, 1)]),
         slice(1000, &[(0, 0, 0, 1), (10, 1, 1, 1)]),
     ];
-    let shown = text(&burn_rows(&deployment(), &slices, 1000), &slices);
+    let shown = text_report(&burn_rows(&deployment(), &slices, 1000), &slices);
     for word in ["board", "north", "latency", "availability", "headroom"] {
         assert!(shown.contains(word), "{shown}");
     }
-    let page = page(&deployment(), &slices, 1000).unwrap();
+    let html_page = html_page(&deployment(), &slices, 1000).unwrap();
     assert!(
-        page.contains("<svg")
-            && page.contains("&lt;- burns too fast") == page.contains("burns too fast")
+        html_page.contains("<svg")
+            && html_page.contains("&lt;- burns too fast") == html_page.contains("burns too fast")
     );
-    assert!(!page.contains("src=") && !page.contains("href="));
+    assert!(!html_page.contains("src=") && !html_page.contains("href="));
 }
 
 /// Text that is no metrics is an error, never a panic.
--- a/crates/emulate/benches/slopes.rs
+++ b/crates/emulate/benches/slopes.rs
@@ -63,7 +63,7 @@
     bundle
 }
 
-fn bundles() {
+fn config_bundles() {
     println!("sites   check bundle   desired state   bundle bytes   largest file");
     for count in [14, 140, 1400] {
         let bundle = sites(count);
@@ -155,7 +155,7 @@
     placer
 }
 
-fn choosing() {
+fn place_requests() {
     println!("\nservers of a service   choose and send   take in the answer   take in a reading");
     for count in [50, 250, 1400, 5600] {
         let servers: Vec<ServerEntry> = (0..count)
@@ -206,7 +206,7 @@
 /// What a whole fleet's servers cost an entry: a copy of everything at its start, a reading of
 /// a lead's in which a tenth of the rows changed, a changed round trip, its own word on load
 /// and its part in a word of another entry.
-fn whole_fleet() {
+fn registry_costs() {
     println!(
         "\nservers   whole copy   a lead's reading   its log   told to a follower   a trip   own word   place after a word"
     );
@@ -283,7 +283,7 @@
 }
 
 /// An entry hears of the load of `count` others, 4 servers each.
-fn words() {
+fn load_updates() {
     println!("\nentries heard   take in a word   place after a word");
     for count in [12, 90, 5900] {
         let servers: Vec<ServerEntry> = (0..count)
@@ -321,7 +321,7 @@
 
 /// A region's lead that hears `entries` others, and what it makes of a beat and of its own
 /// turn to speak.
-fn leads() {
+fn lead_costs() {
     println!("\nentries of a region   a beat at the lead   a digest and a list");
     for entries in [33, 98, 370, 1000] {
         let candidate = |number: usize| LeadCandidate {
@@ -392,7 +392,7 @@
     }
 }
 
-fn lookups() {
+fn lookup_costs() {
     println!("\nentries known   look-up in order   answer to a follower");
     for count in [12, 90, 5900] {
         let entries: Vec<(String, usize)> = (0..count)
@@ -422,7 +422,7 @@
     }
 }
 
-fn blocks() {
+fn client_blocks() {
     println!("\nclient blocks   build table   find an address   bytes a block");
     for count in [9_500, 95_000, 950_000] {
         let mut random = ChaCha8Rng::seed_from_u64(1);
@@ -449,11 +449,11 @@
 }
 
 fn main() {
-    bundles();
-    choosing();
-    whole_fleet();
-    words();
-    leads();
-    lookups();
-    blocks();
+    config_bundles();
+    place_requests();
+    registry_costs();
+    load_updates();
+    lead_costs();
+    lookup_costs();
+    client_blocks();
 }
