--- a/crates/emulate/src/events.rs
+++ b/crates/emulate/src/events.rs
@@ -1,4 +1,4 @@
-//! What happens in a trial, in the order of time.
+//! The event queue of a trial.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,32 +8,32 @@
 /// Microseconds from the start.
 pub(crate) type Micros = u64;
 
-/// Something that happens. Numbers are places in the trial's lists.
+/// An event. `usize` values are indices into the trial's lists.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Event {
-    /// A new request arrives.
+    /// A new request arrives at its entry.
     RequestArrives,
-    /// A request asks its entry, for the first time or again.
+    /// An entry places a request, for the first time or after a refusal.
     PlaceRequest(usize),
     /// An attempt reaches its server.
     AttemptArrives(usize),
-    /// The work of an attempt ends, in that run of the server.
+    /// The work of an attempt ends; ignored if the server has crashed since that epoch.
     WorkDone(usize, u64),
-    /// An attempt is answered, and whether it ran.
+    /// The answer to an attempt arrives; the flag says whether the server accepted it.
     ReceiveAnswer(usize, bool),
-    /// An attempt's time is over.
+    /// The timeout of an attempt expires.
     AttemptTimesOut(usize),
-    /// An entry tells its load.
+    /// An entry sends its load to the others.
     SendLoad(usize),
-    /// An entry hears another's load.
+    /// An entry receives the load of the entry with this hash.
     ReceiveLoad(usize, u64, LoadUpdate),
-    /// A fault begins.
+    /// A fault starts.
     FaultStarts(usize),
     /// A fault ends.
     FaultEnds(usize),
 }
 
-/// The events to come; those of one moment in the order in which they were scheduled.
+/// Pending events; events with the same time are in the order in which they were scheduled.
 #[derive(Debug, Default)]
 pub(crate) struct EventQueue {
     next_sequence: u64,
@@ -41,13 +41,12 @@
 }
 
 impl EventQueue {
-    /// Lets `event` happen at `at`.
     pub(crate) fn schedule(&mut self, at: Micros, event: Event) {
         self.next_sequence += 1;
         self.events.push(Reverse((at, self.next_sequence, event)));
     }
 
-    /// The next event and its time.
+    /// Removes the next event and returns it with its time.
     pub(crate) fn pop(&mut self) -> Option<(Micros, Event)> {
         let Reverse((at, _, event)) = self.events.pop()?;
         Some((at, event))
--- a/crates/emulate/src/experiment.rs
+++ b/crates/emulate/src/experiment.rs
@@ -1,8 +1,8 @@
-//! What is tried: servers, callers, load over time and faults.
+//! The parameters of a trial: servers, callers, load over time and faults.
 
 use std::time::Duration;
 
-/// Time between words on load unless set otherwise: as in a small fleet.
+/// Default interval between load updates: that of a small fleet.
 const LOAD_INTERVAL: Duration = Duration::from_millis(100);
 
 base::common! {
@@ -11,73 +11,73 @@
     pub struct TrafficStep {
         /// Seconds from the start.
         pub at: f64,
-        /// Requests a second from then on, all regions together.
+        /// Requests per second from then on, over all regions.
         pub rate: f64,
-        /// Share of them that arrives in the first region.
+        /// Share of the requests that arrive in the first region.
         pub first_share: f64,
     }
 
-    /// What happens to servers.
+    /// The kinds of server fault.
     #[derive(Copy)]
     pub enum FaultKind {
-        /// They answer nothing and hold nothing afterwards.
+        /// The servers don't answer, and their caches are empty afterwards.
         Down,
-        /// They work this many times as long.
+        /// The work takes this many times as long.
         Slow(f64),
-        /// They reject this share of requests.
+        /// The servers reject this share of requests.
         Shed(f64),
     }
 
-    /// A fault of some servers.
+    /// A fault of a range of servers.
     #[derive(Copy)]
     pub struct ServerFault {
         /// Seconds from the start.
         pub at: f64,
-        /// Seconds that it lasts.
+        /// Duration in seconds.
         pub duration: f64,
-        /// The first server that has it.
+        /// Index of the first affected server.
         pub first_server: usize,
-        /// How many servers have it.
+        /// Number of affected servers.
         pub count: usize,
-        /// What happens.
+        /// The kind of fault.
         pub kind: FaultKind,
     }
 
-    /// A trial's whole setting.
+    /// All parameters of a trial.
     pub struct Experiment {
-        /// Seeds arrivals, objects and work.
+        /// Seed of the random arrivals, objects and work.
         pub seed: u64,
-        /// Length, in seconds.
+        /// Duration of the load, in seconds.
         pub seconds: f64,
-        /// Regions; two failure domains each.
+        /// Number of regions, of two failure domains each.
         pub regions: usize,
-        /// Entries of each region.
+        /// Entries per region.
         pub entries: usize,
-        /// Servers of each region, in the regions' order.
+        /// Number of servers in each region.
         pub servers: Vec<usize>,
-        /// Requests that a server runs at once.
+        /// Requests that a server runs concurrently.
         pub slots: usize,
-        /// Requests that wait at a server at most.
+        /// Maximum length of a server's queue.
         pub queue: usize,
-        /// Objects that a server holds.
+        /// Objects that a server caches.
         pub cache_size: usize,
-        /// Objects that are asked for.
+        /// Number of different objects that are requested.
         pub objects: usize,
-        /// Mean work of an object that isn't held.
+        /// Mean work of a cache miss.
         pub work: Duration,
-        /// Work of a held object, as a share of that.
+        /// Work of a cache hit, as a share of that of a miss.
         pub hit_work_share: f64,
         /// Latency objective.
         pub objective: Duration,
-        /// The route's bound on the time to an answer.
+        /// The route's timeout.
         pub timeout: Duration,
         /// The callers' deadline.
         pub deadline: Duration,
-        /// Time between an entry's words on load.
+        /// Interval between the load updates of an entry.
         pub load_interval: Duration,
-        /// Teams, by what each asks for against the others; one where there are none.
+        /// Relative request rate of each team; a single team by default.
         pub teams: Vec<f64>,
-        /// The load.
+        /// Changes of the load, in order of time.
         pub traffic: Vec<TrafficStep>,
         /// The faults.
         pub faults: Vec<ServerFault>,
@@ -85,8 +85,8 @@
 }
 
 impl Experiment {
-    /// A region-wide read service at `load` times the rate that its servers
-    /// bear if every object is held: 3 regions, 8 entries, 14 servers of 6 slots.
+    /// A read service at `load` times its capacity: 3 regions, each with 3 entries and
+    /// 5 servers of 5 slots.
     pub fn new(seed: u64, load: f64) -> Self {
         let mut experiment = Self {
             seed,
@@ -117,13 +117,13 @@
         experiment
     }
 
-    /// Requests a second that all servers bear if every object is held.
+    /// Requests per second that all servers can handle if every request is a cache hit.
     pub fn capacity(&self) -> f64 {
         let slots = (self.servers.iter().sum::<usize>() * self.slots) as f64;
         slots / (self.work.as_secs_f64() * self.hit_work_share)
     }
 
-    /// Adds a change of the load to `load` times the capacity.
+    /// Changes the load to `load` times the capacity `at` seconds from the start.
     pub fn with_load(mut self, at: f64, load: f64) -> Self {
         self.traffic.push(TrafficStep {
             at,
@@ -133,27 +133,27 @@
         self
     }
 
-    /// Lets teams ask, by what each asks for against the others.
+    /// Splits the requests between teams by relative rate.
     #[must_use]
     pub fn with_teams(mut self, teams: &[f64]) -> Self {
         self.teams = teams.to_vec();
         self
     }
 
-    /// Adds a fault.
+    /// Adds a server fault.
     pub fn with_fault(mut self, fault: ServerFault) -> Self {
         self.faults.push(fault);
         self
     }
 
-    /// Lets entries tell their load every `interval`.
+    /// Sets the interval between the load updates of an entry.
     #[must_use]
     pub fn with_load_interval(mut self, interval: Duration) -> Self {
         self.load_interval = interval;
         self
     }
 
-    /// The region of the server with the number `server`.
+    /// The region of the server with the index `server`.
     pub(crate) fn region_of(&self, server: usize) -> usize {
         let mut first = 0;
         for (region, count) in self.servers.iter().enumerate() {
--- a/crates/emulate/src/lib.rs
+++ b/crates/emulate/src/lib.rs
@@ -1,9 +1,9 @@
-//! A model of backend servers and callers in virtual time, on which the placing
-//! decisions are tried as they are: the same code as in the daemon.
+//! Discrete-event simulations in virtual time that run the decision code of the daemon
+//! unchanged: request placement, quotas and rollouts.
 //!
-//! It models what those decisions depend on: slots, short queues, objects that a
-//! server holds, cold starts, words on load that lag, time-outs, and callers that
-//! come back. It is no simulator of a cluster: no network, store or processes.
+//! The model of backend servers and callers covers what placement depends on: slots, short
+//! queues, cached objects, cold starts, delayed load updates, timeouts and callers that
+//! retry. It does not simulate a cluster: there is no network, store or process.
 
 mod events;
 mod experiment;
--- a/crates/emulate/src/model.rs
+++ b/crates/emulate/src/model.rs
@@ -1,4 +1,4 @@
-//! A backend server: slots, a queue, and the objects that it holds.
+//! The model of a backend server: slots, a queue, and a cache of objects.
 
 use std::collections::VecDeque;
 
@@ -6,16 +6,16 @@
 
 use crate::experiment::FaultKind;
 
-/// A request at a server.
+/// A request that runs or waits at a server.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Job {
     /// Index of the attempt.
     pub(crate) attempt: usize,
-    /// The object that it concerns.
+    /// The object that the request is for.
     pub(crate) object: u64,
 }
 
-/// A server without time: whoever runs it says when work ends.
+/// A server without a clock: the caller decides when work ends.
 #[derive(Debug)]
 pub(crate) struct ModelServer {
     slots: usize,
@@ -30,7 +30,7 @@
 }
 
 impl ModelServer {
-    /// Lets a fault begin or end.
+    /// Applies a fault or ends it.
     pub(crate) fn set_fault(&mut self, kind: FaultKind, is_start: bool) {
         match kind {
             FaultKind::Down if is_start => self.crash(),
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Takes `job` into a slot (`Some(true)`), into the queue, or rejects it.
+    /// Accepts `job`: `Some(true)` if it runs in a slot, `Some(false)` if it waits in the
+    /// queue, `None` if it is rejected.
     pub(crate) fn accept(&mut self, job: Job) -> Option<bool> {
         if self.running < self.slots {
             self.running += 1;
@@ -67,7 +68,7 @@
         Some(false)
     }
 
-    /// A slot is free again; the next job that takes it.
+    /// Frees a slot and returns the queued job that takes it, if any.
     pub(crate) fn release(&mut self) -> Option<Job> {
         let next = self.waiting.pop_front();
         if next.is_none() {
@@ -76,14 +77,15 @@
         next
     }
 
-    /// Drops a job that still waits; whether it did.
+    /// Removes a job from the queue; returns whether it was there.
     pub(crate) fn cancel(&mut self, attempt: usize) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|job| job.attempt != attempt);
         before != self.waiting.len()
     }
 
-    /// Uses `object`; whether it was held. The one not used for longest leaves.
+    /// Accesses `object` and returns whether it was cached; evicts the least recently used
+    /// object if the cache is full.
     pub(crate) fn access(&mut self, object: u64) -> bool {
         let position = self.cache.iter().position(|cached| *cached == object);
         if let Some(position) = position {
@@ -96,7 +98,7 @@
         position.is_some()
     }
 
-    /// Loses everything.
+    /// Stops the server; it loses its jobs and its cache.
     fn crash(&mut self) {
         self.down = true;
         self.running = 0;
--- a/crates/emulate/src/policy.rs
+++ b/crates/emulate/src/policy.rs
@@ -1,4 +1,4 @@
-//! How an entry places requests: the product's way, and a naive one to compare.
+//! Placement policies of an entry: the one of the daemon, and a naive one as a baseline.
 
 use std::time::{Duration, Instant};
 
@@ -10,39 +10,39 @@
 use team::fairness::FairnessRanker;
 use team::spec::TeamSpec;
 
-/// Servers busier than this multiple of their slots get nothing from the naive way.
+/// The naive policy sends nothing to servers whose requests reach this multiple of their slots.
 const NAIVE_MAX_OCCUPANCY: f64 = 1.0;
-/// When the naive way asks callers to come back.
+/// Delay after which the naive policy asks refused callers to retry.
 const NAIVE_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// What became of a placement.
+/// The result of placing a request.
 #[derive(Debug)]
 pub enum PolicyChoice {
-    /// Sent to the server with this id.
+    /// Send the request to the server of this placement.
     Send(Box<Placement>),
-    /// Refused; come back after this time.
+    /// Refuse the request; the caller may retry after this time.
     Refuse(Duration),
 }
 
-/// A request that comes to an entry.
+/// A request that arrives at an entry.
 #[derive(Debug, Clone, Copy)]
 pub struct PolicyRequest<'a> {
-    /// The object that it concerns.
+    /// The object that the request is for.
     pub object: u64,
-    /// How long its caller waits.
+    /// Time until the caller's deadline.
     pub remaining: Duration,
-    /// Whether it was not refused before.
+    /// Whether the request was not refused before.
     pub is_first_try: bool,
-    /// The team whose it is.
+    /// The caller's team.
     pub team: &'a str,
 }
 
-/// Placing as an entry does it.
+/// The placement decisions of one entry.
 pub trait EntryPolicy {
     /// Places a request.
     fn place(&mut self, now: Instant, request: &PolicyRequest<'_>) -> PolicyChoice;
 
-    /// Takes in what became of a placement.
+    /// Records the outcome of a placement.
     fn on_outcome(
         &mut self,
         now: Instant,
@@ -52,24 +52,24 @@
         report: Option<&ServerReport>,
     );
 
-    /// Own requests at servers.
+    /// The load update with the entry's own requests at servers.
     fn load_update(&mut self, now: Instant) -> LoadUpdate;
 
-    /// Another entry's requests at servers.
+    /// Records the load update of another entry.
     fn on_load_update(&mut self, now: Instant, entry: u64, update: LoadUpdate);
 }
 
-/// The product's way.
+/// The policy of the daemon.
 #[derive(Debug)]
 pub struct PlacerPolicy {
     placer: RequestPlacer,
     route: RouteSpec,
-    /// Ranks teams; `None` where all rank alike.
+    /// Ranks teams; `None` if all have the same rank.
     fairness: Option<FairnessRanker>,
 }
 
-/// The naive way: the least busy server by own count, never beyond its slots,
-/// no regard for objects or other entries.
+/// The baseline policy: the least busy server by the entry's own count, never beyond its
+/// slots. It ignores objects and the load of other entries.
 #[derive(Debug)]
 pub struct NaivePolicy {
     catalog: ServerCatalog,
@@ -78,7 +78,8 @@
 }
 
 impl PlacerPolicy {
-    /// The policy of an entry that knows `servers` and the hashes of all `entries`.
+    /// Creates the policy of an entry that knows `servers` and the hashes of all `entries`, of
+    /// which `peers_in_region` others are in its region.
     pub fn new(
         config: PlacerConfig,
         desired: &DesiredState,
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Ranks teams that ask for more than their part behind others.
+    /// Ranks teams that request more than their share behind others.
     #[must_use]
     pub fn with_fairness(mut self, teams: &[TeamSpec]) -> Self {
         let mut fairness = FairnessRanker::default();
@@ -158,7 +159,7 @@
 }
 
 impl NaivePolicy {
-    /// The policy of an entry that knows `servers`.
+    /// Creates the policy of an entry that knows `servers`.
     pub fn new(config: &PlacerConfig, desired: &DesiredState, servers: &CatalogSnapshot) -> Self {
         let mut catalog = ServerCatalog::new(config.domains.clone());
         catalog.on_read(servers.begun, servers);
--- a/crates/emulate/src/quota/mod.rs
+++ b/crates/emulate/src/quota/mod.rs
@@ -1,6 +1,5 @@
-//! Ways to hold all entries within a team's quota, played against each other in virtual time:
-//! entries that let requests in, words among them that take their time and get lost, cuts,
-//! restarts, teams that ask for many times their usual.
+//! Simulation of strategies that enforce a team's quota over all entries, with delayed and lost
+//! messages, partitions, restarts, and teams that request many times their usual rate.
 
 mod outcome;
 mod scenario;
--- a/crates/emulate/src/quota/outcome.rs
+++ b/crates/emulate/src/quota/outcome.rs
@@ -1,42 +1,44 @@
-//! What came of a play.
+//! The outcome of a quota simulation.
 
 use std::time::Duration;
 
 use team::bucket::QuotaBounds;
 use team::spec::TeamQuota;
 
-/// What came of a play, for the teams that asked for their usual and for those that asked
-/// for more.
+/// The outcome of a quota simulation. Hot teams are those whose load or quota a scenario
+/// changes; the others are calm.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct QuotaOutcome {
-    /// The window in which a team exceeded its quota most, as a share of what was allowed
-    /// there, tolerance included.
+    /// Largest number of requests of a team that were admitted in a window, relative to what its
+    /// quota and the tolerance allow.
     pub worst: f64,
-    /// Share of what calm teams asked within their quotas that was refused.
+    /// Share of the calm teams' requests within their quotas that were refused.
     pub calm_refused: f64,
-    /// The same of teams that asked for more than their usual.
+    /// The same for hot teams.
     pub hot_refused: f64,
-    /// Requests of such teams that were let in, as a share of what their quotas allow.
+    /// Admitted requests of hot teams, relative to what their quotas allow.
     pub hot_served: f64,
-    /// Words that an entry sent, a second.
+    /// Messages that an entry sent per second.
     pub messages: f64,
-    /// Bytes that an entry sent, a second.
+    /// Bytes that an entry sent per second.
     pub bytes: f64,
 }
 
-/// What one team asked and got.
+/// The requests of one team.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct TeamLog {
-    /// When its requests were let in, in seconds, and the rate that was set then.
+    /// When requests were admitted, in seconds.
     pub(crate) admitted: Vec<f64>,
-    /// Quotas as they were set: from when on, and for how long the one before still counts.
+    /// The team's quotas, each with the time at which it was set.
     pub(crate) quotas: Vec<(f64, TeamQuota)>,
+    /// Requests that the reference bucket admits.
     pub(crate) within_quota: u32,
+    /// Requests of those that were refused.
     pub(crate) refused: u32,
 }
 
 impl TeamLog {
-    /// The largest share of what was allowed that was let in, over all windows.
+    /// The largest ratio of admitted to allowed requests over all windows.
     pub(crate) fn worst_share(&self, bounds: &QuotaBounds) -> f64 {
         let window = bounds.window.as_secs_f64();
         let mut worst_share = 0.0_f64;
@@ -51,7 +53,9 @@
         worst_share
     }
 
-    /// A lower quota binds a window after it has been set.
+    /// Requests that are allowed in the window that ends at `at`. An earlier, higher quota still
+    /// counts until two windows after the change: a lower one takes effect a window after it was
+    /// set, and the window that ends at `at` reaches back one more.
     fn allowed(&self, bounds: &QuotaBounds, at: f64) -> f64 {
         let window = bounds.window.as_secs_f64();
         let mut largest = 0.0_f64;
@@ -69,7 +73,8 @@
     }
 }
 
-/// The quota as it is meant: who is let in by it is owed an answer.
+/// A single bucket for the whole fleet: requests that it admits are within the quota and must
+/// not be refused.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ReferenceBucket {
     pub(crate) quota: TeamQuota,
@@ -86,7 +91,7 @@
         }
     }
 
-    /// A request comes at `at`; whether it is within the quota.
+    /// Takes a token for a request at `at`; returns whether there was one.
     pub(crate) fn take(&mut self, at: f64) -> bool {
         let filled = self.level + self.quota.rate * (at - self.at);
         self.level = filled.min(self.quota.burst.max(1.0));
@@ -99,7 +104,6 @@
     }
 }
 
-/// Seconds as a duration.
 pub(crate) fn duration_from_secs(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
--- a/crates/emulate/src/quota/scenario.rs
+++ b/crates/emulate/src/quota/scenario.rs
@@ -1,95 +1,95 @@
-//! What is played: teams, what they ask, and what befalls the fleet.
+//! The scenario of a quota simulation: teams, their load, and events.
 
 use team::bucket::QuotaBounds;
 use team::spec::{TeamQuota, TeamSpec};
 
-/// A team and what it usually asks.
+/// A team and its load.
 #[derive(Debug, Clone)]
 pub struct TeamLoad {
     /// The team.
     pub spec: TeamSpec,
-    /// Requests a second.
+    /// Usual requests per second.
     pub base_rate: f64,
-    /// The one entry that its callers use; `None` where they use all alike.
+    /// The entry that all its callers use; `None` if they use all entries evenly.
     pub entry: Option<usize>,
 }
 
-/// What changes, in seconds from the start.
+/// An event of a scenario. Times are in seconds from the start.
 #[derive(Debug, Clone, Copy)]
 pub enum QuotaChange {
-    /// The team asks for so many times its usual.
+    /// The team multiplies its usual rate.
     Hot {
         /// The team.
         team: usize,
-        /// How many times.
+        /// The factor.
         factor: f64,
-        /// From when on.
+        /// Start.
         from: f64,
-        /// Until when.
+        /// End.
         until: f64,
     },
-    /// Each of the first entries hears nobody and is heard by nobody; callers still reach it.
+    /// Each of the first entries is cut off from all other entries; callers still reach it.
     Partition {
-        /// How many.
+        /// Number of entries.
         count: usize,
-        /// From when on.
+        /// Start.
         from: f64,
-        /// Until when.
+        /// End.
         until: f64,
     },
-    /// The processes of all entries end and are back after a while.
+    /// All entries restart at once and lose their state.
     Restart {
-        /// When.
+        /// Time.
         at: f64,
-        /// How long they are away.
+        /// Seconds until they are back.
         downtime: f64,
     },
-    /// The operator sets another rate and burst.
+    /// The operator changes the team's quota.
     SetQuota {
         /// The team.
         team: usize,
-        /// When.
+        /// Time.
         at: f64,
-        /// Requests a second, and on top.
+        /// Requests per second, and the burst.
         rate: f64,
     },
-    /// The team's callers all use one entry from now on.
+    /// All the team's callers use one entry from then on.
     MoveCallers {
         /// The team.
         team: usize,
-        /// When.
+        /// Time.
         at: f64,
         /// The entry.
         to: usize,
     },
 }
 
-/// One play.
+/// The parameters of a quota simulation.
 #[derive(Debug, Clone)]
 pub struct QuotaScenario {
     /// Entries that get requests.
     pub entries: usize,
-    /// Seed of all chances.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// How long callers ask, in seconds.
+    /// Duration of the load, in seconds.
     pub seconds: f64,
-    /// How exactly quotas are to be kept.
+    /// Bounds within which quotas are to be enforced.
     pub bounds: QuotaBounds,
     /// The teams.
     pub teams: Vec<TeamLoad>,
-    /// What changes.
+    /// The events.
     pub changes: Vec<QuotaChange>,
-    /// Share of the words that get lost.
+    /// Share of the messages between entries that are lost.
     pub loss: f64,
 }
 
-/// Quota of a team, as a multiple of its usual rate.
+/// Quota of a team, relative to its usual rate.
 const QUOTA_FACTOR: f64 = 1.6;
-/// How much less each team asks than the one before it.
+/// Usual rate of a team, relative to that of the team before it.
 const RATE_DECAY: f64 = 0.93;
 
 impl QuotaScenario {
-    /// `count` teams, a few of them large, that ask together for `rate` requests a second of
+    /// `count` teams, a few of them large, that send `rate` requests per second in total to
     /// `entries` entries, for 20 s.
     pub fn new(seed: u64, entries: usize, count: usize, rate: f64) -> Self {
         let weights: Vec<f64> = (0..count)
@@ -125,7 +125,7 @@
         }
     }
 
-    /// The same with `change`.
+    /// Adds `change`.
     #[must_use]
     pub fn with(mut self, change: QuotaChange) -> Self {
         self.changes.push(change);
--- a/crates/emulate/src/quota/strategies.rs
+++ b/crates/emulate/src/quota/strategies.rs
@@ -1,4 +1,5 @@
-//! The ways: counts that all tell each other, equal parts, and parts leased by demand.
+//! Quota strategies: counts that all entries share, equal shares of the quota, and shares that a
+//! lead leases by demand.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -7,37 +8,37 @@
 use team::quota::{QuotaLimiter, QuotaReport};
 use team::spec::{TeamQuota, TeamSpec};
 
-/// Regions of the fleet.
+/// Number of regions of the fleet.
 pub(crate) const REGIONS: usize = 3;
 
-/// One entry's part in keeping quotas.
+/// How one entry enforces quotas.
 pub trait QuotaStrategy {
-    /// What it tells others.
+    /// The message to other entries.
     type Message: Clone;
 
-    /// Takes in the teams.
+    /// Sets the teams and their quotas.
     fn set_teams(&mut self, now: Instant, teams: &[TeamSpec]);
 
-    /// Takes in which other entries there are.
+    /// Sets the IDs of the other entries.
     fn set_entries(&mut self, now: Instant, entries: &[u64]);
 
-    /// Lets a request of a team in.
+    /// Admits a request of a team.
     ///
     /// # Errors
-    /// When its caller is to come back, where there is no room.
+    /// Returns the time after which the caller may retry if the quota is used up.
     fn admit(&mut self, now: Instant, team: &str) -> Result<(), Duration>;
 
-    /// What it tells now, and how many bytes that takes.
+    /// Creates the next message and estimates its size in bytes.
     fn next_message(&mut self, now: Instant) -> (Self::Message, usize);
 
-    /// Whether the entry `to` is told that.
+    /// Whether `message` is sent to the entry `to`.
     fn is_recipient(&self, to: u64, message: &Self::Message) -> bool;
 
-    /// Takes in a word of the entry `peer`.
+    /// Handles a message of the entry `peer`.
     fn on_message(&mut self, now: Instant, peer: u64, message: &Self::Message);
 }
 
-/// The decisions of the daemon.
+/// The daemon's strategy: all entries tell each other how many requests they admitted.
 #[derive(Debug)]
 pub struct SharedCounts(pub QuotaLimiter);
 
@@ -59,7 +60,7 @@
 
     fn next_message(&mut self, now: Instant) -> (QuotaReport, usize) {
         let message = self.0.report(now);
-        // Run, age and set of teams take about 16 bytes, a count 4.
+        // Run, age and the set of teams take about 16 bytes, and each count 4.
         let bytes = 16 + 4 * message.counts.len();
         (message, bytes)
     }
@@ -73,7 +74,7 @@
     }
 }
 
-/// A plain bucket.
+/// A token bucket of one entry.
 #[derive(Debug, Clone, Copy)]
 struct LocalBucket {
     rate: f64,
@@ -116,7 +117,7 @@
     }
 }
 
-/// Each entry has the same part of each quota, whoever asks where.
+/// Each entry has the same share of each quota, however the requests are distributed.
 #[derive(Debug, Default)]
 pub struct EqualShares {
     entries: usize,
@@ -174,24 +175,24 @@
     fn on_message(&mut self, _: Instant, _: u64, (): &()) {}
 }
 
-/// Part of a quota that is always each entry's own.
+/// Share of a quota that is split evenly between the entries and needs no lease.
 const GUARANTEED_SHARE: f64 = 0.2;
-/// A lease ends after this time unless it is renewed.
+/// A lease expires after this time unless it is renewed.
 const LEASE_DURATION: Duration = Duration::from_millis(1000);
-/// Weight of the newest demand.
+/// Weight of the latest demand in the moving average.
 const DEMAND_WEIGHT: f64 = 0.3;
 
-/// What entries and the lead that leases parts tell each other.
+/// A message between an entry and the lead that grants leases.
 #[derive(Debug, Clone)]
 pub enum LeaseMessage {
-    /// Requests of each team since the last word.
+    /// Requests of each team since the last message.
     Demand(Vec<(String, u32)>),
-    /// Parts of each team's quota, by entry.
+    /// Shares of each team's quota, by entry.
     Grants(HashMap<u64, Vec<(String, f64)>>),
 }
 
-/// Parts are leased by demand from one lead of all; without a lease an entry has a part that
-/// is always its own.
+/// One lead for all entries leases shares by demand; without a lease an entry has only its
+/// guaranteed share.
 #[derive(Debug)]
 pub struct LeasedShares {
     own: u64,
@@ -205,7 +206,7 @@
 }
 
 impl LeasedShares {
-    /// The part of the entry `own` where `lead` leases.
+    /// Creates the strategy of the entry `own` with `lead` as the lead.
     pub fn new(own: u64, lead: u64) -> Self {
         Self {
             own,
@@ -284,7 +285,7 @@
     fn next_message(&mut self, now: Instant) -> (LeaseMessage, usize) {
         let mut requested: Vec<(String, u32)> = self.requested.drain().collect();
         requested.sort_unstable();
-        // Teams that nobody asks for any more fade out.
+        // Report zero for idle teams, so that their averages decay.
         let known_teams: Vec<String> = self.quotas.keys().cloned().collect();
         let idle = known_teams
             .into_iter()
--- a/crates/emulate/src/quota/world.rs
+++ b/crates/emulate/src/quota/world.rs
@@ -1,4 +1,4 @@
-//! Plays a way, event by event.
+//! Simulates a quota strategy event by event.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -13,14 +13,14 @@
 use crate::quota::scenario::{QuotaChange, QuotaScenario};
 use crate::quota::strategies::{QuotaStrategy, REGIONS};
 
-/// One way within a region and between two, in microseconds.
+/// One-way network delays within a region and between regions.
 const IN_REGION_DELAY_US: u64 = 1_000;
 const CROSS_REGION_DELAY_US: u64 = 36_000;
-/// Entries run for so long before callers come.
+/// Entries run for this long before the load starts.
 const WARMUP_SECS: f64 = 3.0;
-/// How often a refused caller comes back.
+/// How often a caller retries a refused request.
 const MAX_RETRIES: u32 = 1;
-/// Time after which an entry that has started knows the others.
+/// Time after its start until an entry knows the others.
 const DISCOVERY_DELAY_SECS: f64 = 0.3;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -70,7 +70,8 @@
     bytes: u64,
 }
 
-/// Plays `scenario`, with entries that `build` makes: when, which entry, and which run.
+/// Simulates `scenario`. `build` creates the strategy of an entry from the time, the entry's index
+/// and its run.
 pub fn simulate_quotas<W, F>(scenario: &QuotaScenario, build: F) -> QuotaOutcome
 where
     W: QuotaStrategy,
--- a/crates/emulate/src/regions.rs
+++ b/crates/emulate/src/regions.rs
@@ -1,23 +1,22 @@
-//! In which region the requests of each region ran, window by window.
+//! Counts per window in which region the requests of each region ran.
 
 use crate::report::WINDOW;
 
-/// Counts by caller's region, window and region in which the requests ran.
+/// Request counts by the caller's region, window and server's region.
 #[derive(Debug)]
 pub(crate) struct RegionCounts {
     counts: Vec<Vec<Vec<u32>>>,
 }
 
 impl RegionCounts {
-    /// No requests in any of `regions`.
     pub(crate) fn new(regions: usize) -> Self {
         Self {
             counts: vec![Vec::new(); regions],
         }
     }
 
-    /// A request from `region` was sent to a server in `server_region`, `at` seconds from
-    /// the start.
+    /// Records that a request from `region` was sent to a server in `server_region`, `at`
+    /// seconds from the start.
     pub(crate) fn on_sent(&mut self, at: f64, region: usize, server_region: usize) {
         let window = (at / WINDOW) as usize;
         let regions = self.counts.len();
@@ -28,9 +27,9 @@
         counts[window][server_region] += 1;
     }
 
-    /// The largest part of a region's requests that changed the region in which they
-    /// ran from one window to the next, while the load lasted: `seconds`. After its
-    /// end only a few requests come back.
+    /// The largest share of a region's requests that moved to other regions between two
+    /// consecutive windows. Only the windows of the first `seconds` count, while there is
+    /// load: afterwards only a few retries remain.
     pub(crate) fn largest_shift(&self, seconds: f64) -> f64 {
         let last = (seconds / WINDOW) as usize;
         let mut largest: f64 = 0.0;
--- a/crates/emulate/src/report.rs
+++ b/crates/emulate/src/report.rs
@@ -1,45 +1,46 @@
-//! What a trial gave callers.
+//! The results of a trial as callers see them.
 
 /// Length of a window, in seconds.
 pub(crate) const WINDOW: f64 = 2.0;
-/// Worth of a late answer, where one in time is worth 1.
+/// Worth of a late answer, relative to 1 for an answer in time.
 const LATE_WORTH: f64 = 0.2;
 
 base::common! {
-    /// Counts of the requests that began in a window.
+    /// Counts of the requests that arrived in a window.
     #[derive(Copy, Default)]
     pub struct WindowReport {
-        /// Requests.
+        /// Requests that arrived.
         pub asked: u32,
-        /// Answered within the objective.
+        /// Requests answered within the latency objective.
         pub in_time: u32,
-        /// Answered later.
+        /// Requests answered after it.
         pub late: u32,
-        /// Refused, and refused again where the caller came back.
+        /// Requests refused for good, after the caller's retries.
         pub refused: u32,
-        /// Cut off by the route's bound, or lost with a server.
+        /// Requests that ran into the route's timeout or the caller's deadline, also because
+        /// their server crashed.
         pub failed: u32,
     }
 
-    /// A whole trial.
+    /// The results of a trial.
     #[derive(Default)]
     pub struct TrialReport {
-        /// By windows of two seconds.
+        /// Counts by windows of two seconds.
         pub windows: Vec<WindowReport>,
-        /// By teams; of these only what was asked and answered counts.
+        /// Counts by team: only `asked`, `in_time` and `late` are set.
         pub teams: Vec<WindowReport>,
-        /// Runs at servers.
+        /// Requests that ran at a server.
         pub runs: u32,
-        /// Runs whose object was not held.
+        /// Runs that were cache misses.
         pub misses: u32,
-        /// Largest part of a region's requests that changed the region in which
-        /// they ran from one window to the next.
+        /// Largest share of a region's requests that moved to other regions between two
+        /// consecutive windows.
         pub largest_shift: f64,
     }
 }
 
 impl WindowReport {
-    /// Worth that callers got, of 1.
+    /// Mean worth of the requests: 1 if all were answered in time, 0 if none was answered.
     pub fn worth(&self) -> f64 {
         let achieved = f64::from(self.in_time) + LATE_WORTH * f64::from(self.late);
         achieved / f64::from(self.asked.max(1))
@@ -55,7 +56,7 @@
 }
 
 impl TrialReport {
-    /// What became of the requests of the team with the number `team`.
+    /// The counts of the team with the index `team`.
     pub(crate) fn team(&mut self, team: usize) -> &mut WindowReport {
         if self.teams.len() <= team {
             self.teams.resize(team + 1, WindowReport::default());
@@ -63,12 +64,12 @@
         &mut self.teams[team]
     }
 
-    /// All windows together.
+    /// The sum of all windows.
     pub fn total(&self) -> WindowReport {
         self.between(0.0, f64::MAX)
     }
 
-    /// The requests that began between two times, in seconds.
+    /// The sum of the windows that start between two times, in seconds.
     pub fn between(&self, from: f64, to: f64) -> WindowReport {
         let mut total = WindowReport::default();
         for (index, window) in self.windows.iter().enumerate() {
@@ -80,7 +81,7 @@
         total
     }
 
-    /// Share of runs whose object was not held.
+    /// Share of runs that were cache misses.
     pub fn miss_share(&self) -> f64 {
         f64::from(self.misses) / f64::from(self.runs.max(1))
     }
--- a/crates/emulate/src/rollout/mod.rs
+++ b/crates/emulate/src/rollout/mod.rs
@@ -1,5 +1,5 @@
-//! Rollouts of a service at many entries, in virtual time: lost words, cuts, restarts, a store
-//! that is away, versions that are bad in several ways.
+//! Simulation of a service's rollout over many entries, with lost reports, partitions, restarts,
+//! store outages and several kinds of faulty versions.
 
 mod scenario;
 mod world;
--- a/crates/emulate/src/rollout/scenario.rs
+++ b/crates/emulate/src/rollout/scenario.rs
@@ -1,58 +1,59 @@
-//! What is played of a rollout, and what came of it.
+//! The scenario of a rollout simulation, and its outcome.
 
 use std::time::Duration;
 
 use rollout::prelude::*;
 
-/// Part of all requests that a bad version may get.
+/// Share of all requests that a bad version may get.
 pub const EXPOSURE_SHARE: f64 = 0.1;
-/// Requests that it may get besides.
+/// Number of requests that a bad version may get in addition.
 pub const EXPOSURE_SLACK: f64 = 50.0;
 
-/// How a version is bad.
+/// The fault of a version.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum RolloutFault {
-    /// It isn't.
+    /// The version is good.
     None,
-    /// This part of answers are failures.
+    /// This share of requests fails.
     Fails(f64),
-    /// This part of answers take so many times as long.
+    /// This share of requests takes longer by this factor.
     Slow(f64, f64),
 }
 
-/// What is played.
+/// The parameters of a rollout simulation.
 #[derive(Debug, Clone, Copy)]
 pub struct RolloutScenario {
-    /// Everything that is drawn follows from it.
+    /// Seed of the random numbers.
     pub seed: u64,
     /// Entries that get requests.
     pub entries: usize,
-    /// Requests a second over all entries.
+    /// Requests per second over all entries.
     pub rate: f64,
-    /// Time within which the version is to have everything.
+    /// Time within which the new version is to get all traffic.
     pub duration: Duration,
-    /// How the new version is bad.
+    /// Fault of the new version.
     pub fault: RolloutFault,
-    /// From when on it is.
+    /// Time at which the fault starts.
     pub fault_at: Duration,
-    /// Whether only one of three routes shows it.
+    /// Whether the fault affects only one of three routes.
     pub on_one_route: bool,
-    /// Whether it shows only while the new version gets at least this part of all requests.
+    /// If set, the fault shows only while the new version gets at least this share of requests.
     pub under_load: Option<f64>,
-    /// Part of answers of either version that are failures.
+    /// Share of requests that fail on either version, apart from the fault.
     pub base_failure_rate: f64,
-    /// Entries that hear nothing from here on.
+    /// Number of entries, counted from the first, that are cut off from the others, and since
+    /// when.
     pub partition: Option<(usize, Duration)>,
-    /// Entry that is restarted then.
+    /// An entry and the time at which it restarts.
     pub restarted: Option<(usize, Duration)>,
-    /// The lead hears nothing of the store in this span.
+    /// Time span in which the lead can't reach the store.
     pub store_outage: Option<(Duration, Duration)>,
-    /// Part of the words between entries that get lost.
+    /// Share of the reports between entries that are lost.
     pub loss: f64,
 }
 
 impl RolloutScenario {
-    /// A good version at eight entries.
+    /// A rollout of a good version over eight entries.
     pub fn new(seed: u64) -> Self {
         Self {
             seed,
@@ -72,29 +73,30 @@
     }
 }
 
-/// What came of it.
+/// The outcome of a rollout simulation.
 #[derive(Debug, Default)]
 pub struct RolloutOutcome {
-    /// The last phase that the store was told.
+    /// The last phase that was written to the store.
     pub phase: Option<RolloutPhase>,
-    /// When it was told that the rollout is over.
+    /// When a final phase was written to the store.
     pub ended: Option<Duration>,
-    /// Requests that entries which hear the others sent from the order to its end.
+    /// Requests sent by entries that aren't partitioned, from the order to the deadline.
     pub total_requests: usize,
-    /// Those of them that the new version got.
+    /// Those of `total_requests` that the new version got.
     pub exposed: usize,
-    /// Requests sent to a bad version after the bound.
+    /// Requests that entries without a partition sent to a bad version after the time by which it
+    /// must be rolled back.
     pub late: usize,
-    /// Requests at old servers when the rollout was completed.
+    /// Requests still running at old servers when the rollout was completed.
     pub unfinished_old: usize,
-    /// The share of the new version, second by second.
+    /// The new version's share of requests, for each second.
     pub shares: Vec<f64>,
-    /// When the new version gave bad answers.
+    /// When the new version gave answers that were affected by the fault.
     pub bad_answers: Vec<Duration>,
 }
 
 impl RolloutOutcome {
-    /// What the new version got beyond what a bad one may get; negative within it.
+    /// Requests that the new version got beyond what a bad version may get; negative if fewer.
     pub fn excess(&self) -> f64 {
         self.exposed as f64 - EXPOSURE_SHARE * self.total_requests as f64 - EXPOSURE_SLACK
     }
--- a/crates/emulate/src/rollout/world.rs
+++ b/crates/emulate/src/rollout/world.rs
@@ -1,5 +1,5 @@
-//! Entries that follow a rollout together, in virtual time: callers, servers of two versions,
-//! words between entries and a store are played.
+//! Simulates entries that carry out a rollout together: callers, servers of two versions, reports
+//! between entries, and the store.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -13,17 +13,18 @@
 };
 
 const SERVICE: &str = "board";
-/// Time after the last free bad answer from which on nothing may be sent to a bad version.
+/// A bad version may get no requests later than this after its `MAX_BAD_ANSWERS`th bad answer.
 const ROLLBACK_BOUND: Duration = Duration::from_secs(5);
-/// Bad answers that a version may give before that time begins.
+/// Bad answers after which the time to roll back starts.
 const MAX_BAD_ANSWERS: usize = 50;
 const TICK: Duration = Duration::from_millis(10);
-/// Time between two words of an entry: for each entry that gets requests, and at least.
+/// Interval between the reports of an entry: this for each entry that gets requests, but at
+/// least `MIN_REPORT_INTERVAL`.
 const REPORT_INTERVAL_PER_ENTRY: Duration = Duration::from_millis(12);
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(80);
 const LINK_DELAY: Duration = Duration::from_millis(36);
 const RECONCILE_INTERVAL: Duration = Duration::from_millis(250);
-/// Time until what a lead wrote is known to all entries.
+/// Delay until a record that a lead wrote reaches all entries.
 const STORE_PROPAGATION: Duration = Duration::from_millis(400);
 const EXPECTED_LATENCY: Duration = Duration::from_millis(600);
 
@@ -44,7 +45,7 @@
     report: RolloutReport,
 }
 
-/// The entries, what is on its way between them, and what the store holds.
+/// The state of the entries, of the reports in transit and of the store.
 struct RolloutSimulation<S> {
     scenario: RolloutScenario,
     schedule: S,
@@ -97,7 +98,7 @@
         controller
     }
 
-    /// Plays the history until a little after the deadline.
+    /// Runs until two seconds after the deadline.
     fn run(mut self) -> RolloutOutcome {
         let mut outcome = RolloutOutcome::default();
         let order = RolloutOrder {
@@ -327,7 +328,7 @@
         }
     }
 
-    /// The entry `lead` looks whether the store should say something else.
+    /// Lets the entry `lead` write the rollout's next record to the store, if there is one.
     fn reconcile(&mut self, lead: usize, at: Duration, outcome: &mut RolloutOutcome) {
         let outage = self.scenario.store_outage;
         if outage.is_some_and(|(from, to)| at >= from && at < to) {
@@ -364,7 +365,7 @@
     }
 }
 
-/// Plays `scenario` with `schedule`.
+/// Simulates `scenario` with `schedule`.
 pub fn simulate_rollout<S: ShareSchedule + Copy>(
     scenario: RolloutScenario,
     schedule: S,
--- a/crates/emulate/src/run.rs
+++ b/crates/emulate/src/run.rs
@@ -1,4 +1,4 @@
-//! Plays an experiment, event by event.
+//! Runs a trial event by event.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -17,15 +17,15 @@
 use crate::report::TrialReport;
 use crate::setup::{desired_state, entry_hash, placer_config, server_entries};
 
-/// One way inside a region, in microseconds.
+/// One-way network delay within a region.
 const IN_REGION_DELAY_US: u64 = 800;
-/// One way between regions, in microseconds.
+/// One-way network delay between regions.
 const CROSS_REGION_DELAY_US: u64 = 35_000;
-/// Spread of the work, as a share of its mean.
+/// Maximum deviation of the work from its mean, as a share of the mean.
 const WORK_SPREAD: f64 = 0.15;
-/// How often the caller of a refused request comes back.
+/// How often a caller retries a refused request.
 const MAX_RETRIES: u32 = 1;
-/// Part of its remaining time that a caller waits before it comes back.
+/// A caller waits at most its remaining time divided by this before it retries.
 const RETRY_WAIT_DIVISOR: u32 = 3;
 
 struct CallerRequest {
@@ -57,11 +57,10 @@
     attempts: Vec<Attempt>,
     report: TrialReport,
     regions: RegionCounts,
-    /// Names of the teams.
     teams: Vec<String>,
 }
 
-/// Plays `experiment` with the policy that `new_policy` builds for each entry.
+/// Runs `experiment` with the policy that `new_policy` creates for each entry.
 pub fn run_trial<P: EntryPolicy>(
     experiment: &Experiment,
     new_policy: impl Fn(PlacerConfig, &DesiredState, &CatalogSnapshot, &[u64], usize) -> P,
@@ -416,7 +415,6 @@
     }
 }
 
-/// The name of the team with the number `team`.
 pub(crate) fn team_name(team: usize) -> String {
     format!("team-{team}")
 }
--- a/crates/emulate/src/setup.rs
+++ b/crates/emulate/src/setup.rs
@@ -1,4 +1,4 @@
-//! What an experiment's entries know when they begin.
+//! The initial state of a trial's entries: servers, settings and routes.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 
 use crate::experiment::Experiment;
 
-/// Hash of an entry's name.
+/// Hash of the name of an entry.
 pub(crate) fn entry_hash(entry: usize) -> u64 {
     stable_hash(format!("entry-{entry}").as_bytes())
 }
@@ -23,7 +23,7 @@
     )
 }
 
-/// The servers' entries, region by region.
+/// The registry entries of the servers, in the order of the regions.
 pub(crate) fn server_entries(experiment: &Experiment) -> Vec<ServerEntry> {
     let mut entries = Vec::new();
     for (region, count) in experiment.servers.iter().enumerate() {
@@ -45,7 +45,7 @@
     entries
 }
 
-/// The settings of an entry's placer.
+/// The configuration of an entry's placer.
 pub(crate) fn placer_config(experiment: &Experiment, entry: usize) -> PlacerConfig {
     let region = entry / experiment.entries;
     let mut domains = HashMap::new();
@@ -73,7 +73,7 @@
     }
 }
 
-/// One route to one service.
+/// A desired state with one route to one service.
 pub(crate) fn desired_state(experiment: &Experiment) -> DesiredState {
     DesiredState {
         version: 1,
