--- a/crates/emulate/tests/fairness.rs
+++ b/crates/emulate/tests/fairness.rs
@@ -1,9 +1,9 @@
-//! Who goes first where room is short.
+//! Fairness between teams under overload.
 
 use emulate::{Experiment, PlacerPolicy, TrialReport, WindowReport, run_trial};
 use team::spec::{TeamQuota, TeamSpec};
 
-/// One team asks for far more than the eight others together.
+/// Relative request rates: one team sends twice as many requests as the eight others together.
 const WEIGHTS: [f64; 9] = [16.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0];
 
 fn teams() -> Vec<TeamSpec> {
@@ -44,7 +44,7 @@
     sum.worth()
 }
 
-/// Worth of the large team, of the small ones, and of all, over three seeds.
+/// Mean worth of the large team, of the small ones and of all, over three seeds.
 fn mean_worths(load: f64, has_fairness: bool) -> (f64, f64, f64) {
     let mut worths = (0.0, 0.0, 0.0);
     for seed in 1..=3 {
@@ -56,9 +56,9 @@
     worths
 }
 
-/// Promise: where servers have far too little room, teams that ask for no more than their
-/// part keep much of it, whatever one team asks for beyond, and that costs all together
-/// nothing.
+/// Under overload, teams that stay within their share must keep most of it, however much one
+/// team requests beyond its own, and total worth must not drop. Without ranking, the large team
+/// crowds them out.
 #[test]
 fn one_team_does_not_take_the_room_of_others() {
     for load in [1.2, 1.6] {
@@ -66,12 +66,12 @@
         let (large, small, all) = mean_worths(load, true);
         assert!(small > before + 0.1, "{load}: {before} -> {small}");
         assert!(all > all_before - 0.005, "{load}: {all_before} -> {all}");
-        // It isn't starved in turn.
+        // The large team must not be starved either.
         assert!(large > 0.25 * all, "{load}: {large} of {all}");
     }
 }
 
-/// Promise: where servers have room, nobody loses anything for asking for much.
+/// With enough free slots, a team must not lose anything because it requests much.
 #[test]
 fn nobody_ranks_lower_where_there_is_room() {
     for load in [0.6, 0.9] {
--- a/crates/emulate/tests/patterns.rs
+++ b/crates/emulate/tests/patterns.rs
@@ -1,5 +1,5 @@
-//! Load patterns played against the placing decisions, beside the naive way.
-//! The bounds leave room below what was measured when they were set.
+//! Load patterns simulated with the daemon's placement policy and with the naive one. The bounds
+//! leave a margin below the values that were measured when they were set.
 
 use std::time::Instant;
 
@@ -38,8 +38,8 @@
     }
 }
 
-/// Pattern: all caches empty at first, then the same load all the time. The naive
-/// way never gets warm; placing by object does within seconds.
+/// All caches are empty at first, and the load is steady. Placement by object must fill them
+/// within seconds; the naive policy never does.
 #[test]
 fn caches_fill_and_stay_filled() {
     for seed in SEEDS {
@@ -63,8 +63,8 @@
     }
 }
 
-/// Pattern: a wave of twice the load for four seconds. It must not tip the
-/// servers into working on misses for good.
+/// A burst of twice the load for four seconds must not leave the servers stuck with cache
+/// misses after it has ended.
 #[test]
 fn a_burst_leaves_no_trace() {
     for seed in SEEDS {
@@ -77,8 +77,8 @@
     }
 }
 
-/// Pattern: more than the servers bear, all the time. Most of what they bear must
-/// still be in time: a new request isn't pushed behind those that are late anyway.
+/// Under permanent overload, most of the capacity must still go to answers in time: new requests
+/// must not queue behind those that are late anyway.
 #[test]
 fn overload_keeps_answers_in_time() {
     for seed in SEEDS {
@@ -90,7 +90,7 @@
     }
 }
 
-/// Pattern: a third of the servers crash at once and come back empty.
+/// A third of the servers crash at once and come back with empty caches.
 #[test]
 fn a_crash_is_absorbed() {
     for seed in SEEDS {
@@ -103,7 +103,7 @@
     }
 }
 
-/// Pattern: a fifth of the servers turn five times slower while they look healthy.
+/// A fifth of the servers become five times slower but look healthy.
 #[test]
 fn slow_servers_are_passed_over() {
     for seed in SEEDS {
@@ -113,7 +113,7 @@
     }
 }
 
-/// Pattern: a fifth of the servers reject half of what they get.
+/// A fifth of the servers reject half of their requests.
 #[test]
 fn rejecting_servers_are_passed_over() {
     for seed in SEEDS {
@@ -123,9 +123,9 @@
     }
 }
 
-/// Pattern: each of the above without faults, and a region that gets three quarters
-/// of all requests from one moment to the next. No region moves more of its
-/// requests than the cap from one window to the next.
+/// Runs the patterns above that have no faults, and one in which a region suddenly gets three
+/// quarters of all requests. No region may move more of its requests than the cap between two
+/// consecutive windows.
 #[test]
 fn no_load_moves_a_region_beyond_its_cap() {
     const CAP: f64 = 0.15;
@@ -149,16 +149,15 @@
     }
 }
 
-/// The same seed gives the same trial.
+/// The same seed must give the same results.
 #[test]
 fn trials_repeat() {
     let experiment = Experiment::new(9, 0.7);
     assert_eq!(placed(&experiment).windows, placed(&experiment).windows);
 }
 
-/// Pattern: as much as the servers bear, and a little more, with many entries, of which
-/// each knows only a part of what the servers have. Words on load that come three times
-/// a second keep more answers in time than words that come once.
+/// Load slightly above capacity, with many entries that each see only a part of the servers'
+/// load. Load updates three times per second must keep more answers in time than one per second.
 #[test]
 fn frequent_load_updates_keep_answers_in_time() {
     for seed in SEEDS {
@@ -174,7 +173,7 @@
     }
 }
 
-/// The product's way without what other entries tell of objects at servers.
+/// The daemon's policy, but entries don't learn from others which servers handled which objects.
 struct NoSharedSightings(PlacerPolicy);
 
 impl EntryPolicy for NoSharedSightings {
@@ -203,9 +202,9 @@
     }
 }
 
-/// Pattern: servers spread unevenly, so that one region's requests run elsewhere, over
-/// entries of which each handles a part. Told which servers handled which objects, they keep more answers in
-/// time than when each learns that for itself.
+/// The servers are spread unevenly, so that one region's requests run in other regions and each
+/// entry sees only a part of them. Entries that tell each other which servers handled which
+/// objects must keep more answers in time than entries that learn it on their own.
 #[test]
 fn shared_sightings_keep_answers_in_time() {
     let (mut with, mut without) = (0.0, 0.0);
@@ -228,5 +227,8 @@
         );
         without += not_shared.total().worth();
     }
-    assert!(with > without + 0.03, "told {with}, untold {without}, of 3");
+    assert!(
+        with > without + 0.03,
+        "shared {with}, not shared {without}, of 3"
+    );
 }
--- a/crates/emulate/tests/quotas.rs
+++ b/crates/emulate/tests/quotas.rs
@@ -1,4 +1,4 @@
-//! What teams may ask for, over all entries, in virtual time.
+//! Simulations of quotas that are enforced over all entries.
 
 use emulate::quota::{
     EqualShares, LeasedShares, QuotaChange, QuotaOutcome, QuotaScenario, SharedCounts,
@@ -6,7 +6,7 @@
 };
 use team::quota::QuotaLimiter;
 
-/// Share of a calm team's requests within its quota that may be refused.
+/// Share of the calm teams' requests within their quotas that may be refused.
 const CALM_REFUSED: f64 = 0.01;
 const HOT: QuotaChange = QuotaChange::Hot {
     team: 0,
@@ -27,8 +27,8 @@
     })
 }
 
-/// Promise: in no window a team gets more than its quota, tolerance included, and a team that
-/// asks for its usual is hardly ever refused, however much another asks for.
+/// No team may exceed its quota and tolerance in any window, and teams at their usual rate must
+/// hardly ever be refused, however much another team requests.
 #[test]
 fn a_hot_team_keeps_to_its_quota_and_harms_nobody() {
     for entries in [9, 30, 90] {
@@ -38,13 +38,13 @@
             outcome.calm_refused < CALM_REFUSED,
             "{entries}: {outcome:?}"
         );
-        // What its quota allows it gets.
+        // The hot team gets what its quota allows.
         assert!(outcome.hot_served > 0.95, "{entries}: {outcome:?}");
     }
 }
 
-/// Promise: quotas hold while a third of the entries hear nobody and are heard by nobody,
-/// whenever that begins, and those that hear each other still let in what is left of it.
+/// Quotas must hold while a third of the entries are partitioned, whenever that starts, and the
+/// connected entries must still admit the rest of the quota.
 #[test]
 fn quotas_hold_over_entries_that_are_cut_off() {
     for (entries, from) in [(9, 1.0), (9, 5.0), (30, 5.0), (90, 5.0)] {
@@ -59,8 +59,8 @@
     }
 }
 
-/// Promise: quotas hold where the processes of all entries end and start again, twice, which
-/// forget what was let in, and calm teams get on at once.
+/// Quotas must hold when all entries restart twice and so lose their counts of admitted requests,
+/// and calm teams must be admitted again at once.
 #[test]
 fn quotas_hold_over_a_loss_of_all_entries() {
     for entries in [9, 30, 90] {
@@ -78,8 +78,8 @@
     }
 }
 
-/// Promise: a quota that is lowered far below what comes binds in time, and callers that all
-/// move to one entry lose nothing by it.
+/// A quota that is lowered far below the load must take effect in time, and callers that all move
+/// to one entry must not be refused for it.
 #[test]
 fn quotas_follow_changes_and_callers() {
     for entries in [9, 30] {
@@ -106,10 +106,9 @@
     }
 }
 
-/// Promise: counts that are told refuse calm teams far less than parts do, equal ones or
-/// leased ones.
+/// Shared counts must refuse calm teams far less often than equal or leased shares do.
 #[test]
-fn told_counts_refuse_less_than_parts() {
+fn shared_counts_refuse_less_than_shares() {
     let scenario = scenario(9).with(HOT);
     let equal = simulate_quotas(&scenario, |_, _, _| EqualShares::default());
     let leased = simulate_quotas(&scenario, |_, entry, _| {
