--- a/crates/emulate/benches/slopes.rs
+++ b/crates/emulate/benches/slopes.rs
@@ -1,4 +1,4 @@
-//! Slopes for the capacity page: what each decision costs as the fleet grows.
+//! Measures for the capacity page how the cost of each decision grows with the fleet.
 
 use std::collections::HashMap;
 use std::hint::black_box;
@@ -23,10 +23,10 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Regions at the size to design for.
+/// Number of regions at the design size.
 const REGIONS: usize = 16;
 
-/// Median of `runs` timings of `work`, each over `times` calls, per call.
+/// Median time per call of `work` over `runs` measurements of `times` calls each.
 fn median(runs: usize, times: u32, mut work: impl FnMut()) -> Duration {
     let mut samples: Vec<Duration> = (0..runs)
         .map(|_| {
@@ -41,7 +41,7 @@
     samples[runs / 2]
 }
 
-/// A deployment of `sites` sites over 16 regions, each one pool of four servers.
+/// A deployment of `sites` sites over 16 regions, each site with one pool of four servers.
 fn sites(sites: usize) -> ConfigBundle {
     let mut base = "[deployment]\nname = large\n[service board]\nrepeat = idempotent\n".to_owned();
     for region in 0..REGIONS {
@@ -145,18 +145,18 @@
         teams: Vec::new(),
         limits: RequestLimits::default(),
     });
-    let reading = CatalogSnapshot {
+    let snapshot = CatalogSnapshot {
         entries: servers.to_vec(),
         foreign: Vec::new(),
         begun: now,
         version: 1,
     };
-    placer.catalog.on_read(now, &reading);
+    placer.catalog.on_read(now, &snapshot);
     placer
 }
 
 fn place_requests() {
-    println!("\nservers of a service   choose and send   take in the answer   take in a reading");
+    println!("\nservers of a service   choose and send    handle the answer    apply a snapshot");
     for count in [50, 250, 1400, 5600] {
         let servers: Vec<ServerEntry> = (0..count)
             .map(|number| server(number, number % REGIONS))
@@ -185,30 +185,30 @@
         }
         choose.sort();
         answer.sort();
-        let reading = median(5, 1, || {
+        let read_time = median(5, 1, || {
             now += Duration::from_millis(5);
-            let reading = CatalogSnapshot {
+            let snapshot = CatalogSnapshot {
                 entries: servers.clone(),
                 foreign: Vec::new(),
                 begun: now,
                 version: 1,
             };
-            drop(black_box(placer.catalog.on_read(now, &reading)));
+            drop(black_box(placer.catalog.on_read(now, &snapshot)));
         });
         println!(
-            "{count:>20} {:>17.1?} {:>20.1?} {reading:>19.1?}",
+            "{count:>20} {:>17.1?} {:>20.1?} {read_time:>19.1?}",
             choose[choose.len() / 2],
             answer[answer.len() / 2]
         );
     }
 }
 
-/// What a whole fleet's servers cost an entry: a copy of everything at its start, a reading of
-/// a lead's in which a tenth of the rows changed, a changed round trip, its own word on load
-/// and its part in a word of another entry.
+/// What the servers of a whole fleet cost an entry: the full copy at its start, a registry
+/// snapshot of a lead in which a tenth of the rows changed, a changed round-trip time, its own
+/// load update, and a placement after the load update of another entry.
 fn registry_costs() {
     println!(
-        "\nservers   whole copy   a lead's reading   its log   told to a follower   a trip   own word   place after a word"
+        "\nservers    full copy    lead's snapshot   its log     follower's delta      RTT   own load   place after update"
     );
     for count in [1000, 3000, 10_000, 20_000] {
         let servers: Vec<ServerEntry> = (0..count)
@@ -232,7 +232,7 @@
                 entry.seq += 1;
             }
         };
-        let reading = median(5, 1, || {
+        let read_time = median(5, 1, || {
             next(&mut snapshot);
             drop(black_box(placer.catalog.on_read(snapshot.begun, &snapshot)));
         });
@@ -246,7 +246,7 @@
             version: log.version(),
             ..RegistryDelta::default()
         };
-        let told = median(5, 10, || {
+        let delta_time = median(5, 10, || {
             delta.version += 1;
             delta.entries = vec![servers[3].clone()];
             follower.on_told(&delta);
@@ -257,7 +257,7 @@
             .with_remaining(Duration::from_secs(2));
         let placement = placer.place(now, &request).unwrap();
         let mut took = 1.0;
-        let trip = median(5, 10, || {
+        let rtt_time = median(5, 10, || {
             took = 3.0 - took;
             placer.catalog.on_connected(placement.handle, took);
         });
@@ -268,23 +268,23 @@
         let mut at = now;
         let place = median(7, 20, || {
             at += Duration::from_millis(1);
-            let word = LoadUpdate {
+            let update = LoadUpdate {
                 load: names.iter().map(|name| (*name, 1)).collect(),
                 sent: vec![0; REGIONS],
                 handled: Vec::new(),
             };
-            placer.on_peer_load(at, 1, word);
+            placer.on_peer_load(at, 1, update);
             drop(black_box(placer.place(at, &request)));
         });
         println!(
-            "{count:>7} {copy:>12.1?} {reading:>18.1?} {logged:>9.1?} {told:>20.1?} {trip:>8.1?} {own:>10.1?} {place:>20.1?}"
+            "{count:>7} {copy:>12.1?} {read_time:>18.1?} {logged:>9.1?} {delta_time:>20.1?} {rtt_time:>8.1?} {own:>10.1?} {place:>20.1?}"
         );
     }
 }
 
-/// An entry hears of the load of `count` others, 4 servers each.
+/// What the load updates of `count` other entries, each with 4 servers, cost an entry.
 fn load_updates() {
-    println!("\nentries heard   take in a word   place after a word");
+    println!("\nother entries      load update   place after update");
     for count in [12, 90, 5900] {
         let servers: Vec<ServerEntry> = (0..count)
             .map(|number| server(number, number % REGIONS))
@@ -295,34 +295,34 @@
             .iter()
             .map(|server| short_id(stable_hash(server.id.as_bytes())))
             .collect();
-        let list = |entry: usize| -> LoadUpdate {
-            let busy = (0..4).map(|turn| (names[(entry * 4 + turn) % count], 1));
+        let load_update = |entry: usize| -> LoadUpdate {
+            let load = (0..4).map(|turn| (names[(entry * 4 + turn) % count], 1));
             LoadUpdate {
-                load: busy.collect(),
+                load: load.collect(),
                 sent: vec![0; REGIONS],
                 handled: Vec::new(),
             }
         };
         for entry in 0..count {
-            placer.on_peer_load(now, entry as u64, list(entry));
+            placer.on_peer_load(now, entry as u64, load_update(entry));
         }
         let route = route();
         let request = PlacementRequest::new(&route, 0)
             .with_object(Some(7))
             .with_remaining(Duration::from_secs(2));
-        let word = median(7, 20, || placer.on_peer_load(now, 0, list(0)));
+        let update = median(7, 20, || placer.on_peer_load(now, 0, load_update(0)));
         let place = median(7, 20, || {
-            placer.on_peer_load(now, 0, list(0));
+            placer.on_peer_load(now, 0, load_update(0));
             drop(black_box(placer.place(now, &request)));
         });
-        println!("{count:>13} {word:>16.1?} {place:>20.1?}");
+        println!("{count:>13} {update:>16.1?} {place:>20.1?}");
     }
 }
 
-/// A region's lead that hears `entries` others, and what it makes of a beat and of its own
-/// turn to speak.
+/// What a heartbeat and a round of digest and list cost the lead of a region with `entries`
+/// entries.
 fn lead_costs() {
-    println!("\nentries of a region   a beat at the lead   a digest and a list");
+    println!("\nentries of a region     lead's heartbeat       digest and list");
     for entries in [33, 98, 370, 1000] {
         let candidate = |number: usize| LeadCandidate {
             node: format!("edge-lhr-a-{number}"),
@@ -339,7 +339,7 @@
             has_store_access: true,
             leads: false,
         };
-        let beat = |number: usize| {
+        let heartbeat = |number: usize| {
             PeerMessage::Heartbeat(Box::new(EntryHeartbeat {
                 incarnation: 1,
                 candidate: candidate(number),
@@ -372,39 +372,39 @@
         let mut now = start + Duration::from_secs(2);
         lead.on_event(now, FleetEvent::Tick, &mut actions);
         for number in 1..entries {
-            lead.on_event(now, FleetEvent::Message(beat(number)), &mut actions);
+            lead.on_event(now, FleetEvent::Message(heartbeat(number)), &mut actions);
         }
         let mut number = 0;
-        let heard = median(7, 200, || {
+        let heartbeat_time = median(7, 200, || {
             number = number % (entries - 1) + 1;
-            lead.on_event(now, FleetEvent::Message(beat(number)), &mut actions);
+            lead.on_event(now, FleetEvent::Message(heartbeat(number)), &mut actions);
             actions.clear();
         });
-        let spoken = median(7, 20, || {
+        let round_time = median(7, 20, || {
             now += Duration::from_millis(601);
             for number in 1..entries {
-                lead.on_event(now, FleetEvent::Message(beat(number)), &mut actions);
+                lead.on_event(now, FleetEvent::Message(heartbeat(number)), &mut actions);
             }
             actions.clear();
         });
-        let spoken = spoken.saturating_sub(heard * entries as u32);
-        println!("{entries:>19} {heard:>20.1?} {spoken:>21.1?}");
+        let round_time = round_time.saturating_sub(heartbeat_time * entries as u32);
+        println!("{entries:>19} {heartbeat_time:>20.1?} {round_time:>21.1?}");
     }
 }
 
 fn lookup_costs() {
-    println!("\nentries known   look-up in order   answer to a follower");
+    println!("\nentries known     ordered lookup      follower's update");
     for count in [12, 90, 5900] {
         let entries: Vec<(String, usize)> = (0..count)
             .map(|number| (format!("r{}", number % REGIONS), number))
             .collect();
-        let mut spread = 0;
+        let mut rotation = 0;
         let answer = median(7, 200, || {
-            spread += 1;
+            rotation += 1;
             drop(black_box(ordered_entries(
                 &entries,
                 Some("r3"),
-                spread,
+                rotation,
                 |e| &e.0,
             )));
         });
@@ -423,24 +423,24 @@
 }
 
 fn client_blocks() {
-    println!("\nclient blocks   build table   find an address   bytes a block");
+    println!("\nclient blocks   build table   find an address   bytes / block");
     for count in [9_500, 95_000, 950_000] {
-        let mut random = ChaCha8Rng::seed_from_u64(1);
-        let build = |random: &mut ChaCha8Rng| {
+        let mut rng = ChaCha8Rng::seed_from_u64(1);
+        let build = |rng: &mut ChaCha8Rng| {
             let mut builder = BlockTableBuilder::new();
             for number in 0..count {
-                let ip = std::net::Ipv4Addr::from(random.random::<u32>());
+                let ip = std::net::Ipv4Addr::from(rng.random::<u32>());
                 let site = (number % 1400) as u16;
-                builder = builder.with_block(ip.into(), random.random_range(16..=24), site);
+                builder = builder.with_block(ip.into(), rng.random_range(16..=24), site);
             }
             builder
         };
-        let builder = build(&mut random);
+        let builder = build(&mut rng);
         let began = Instant::now();
         let table = builder.build();
         let took = began.elapsed();
         let find = median(7, 10_000, || {
-            let ip = std::net::Ipv4Addr::from(random.random::<u32>());
+            let ip = std::net::Ipv4Addr::from(rng.random::<u32>());
             black_box(table.find(ip.into()));
         });
         let bytes = table.bytes() as f64 / f64::from(count);
