--- a/bin/lh-load/src/cli.rs
+++ b/bin/lh-load/src/cli.rs
@@ -1,45 +1,45 @@
-//! The command line.
+//! Command-line arguments.
 
 use std::path::PathBuf;
 
 use clap::{Parser, ValueEnum};
 
-/// Tries the placing decisions on a model of servers, in virtual time.
+/// Simulates load patterns, quotas and rollouts in virtual time with the daemon's decision code.
 #[derive(Debug, Parser)]
 #[command(name = "lh-load", version)]
 pub(crate) struct Arguments {
-    /// The load pattern; all of them if left out.
+    /// Load pattern; by default all except `quota` and `rollout`.
     #[arg(value_enum)]
     pub(crate) pattern: Option<LoadPattern>,
-    /// Load, as a multiple of what the servers bear if they hold every object.
+    /// Load, as a multiple of the servers' capacity with all objects cached.
     #[arg(short, long, default_value_t = 0.6)]
     pub(crate) load: f64,
-    /// Seeds to play, from 1 on.
+    /// Number of seeds to simulate, starting at 1.
     #[arg(short, long, default_value_t = 3)]
     pub(crate) seeds: u64,
-    /// Draws the worth over time of the last seed into this SVG file.
+    /// Plot the results of the last seed over time into this SVG file.
     #[arg(short, long, value_name = "FILE")]
     pub(crate) plot: Option<PathBuf>,
 }
 
-/// Load patterns that the decisions answer.
+/// The load patterns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub(crate) enum LoadPattern {
-    /// The same load all the time, all caches empty at first.
+    /// Steady load; all caches are empty at first.
     Steady,
     /// Twice the load for four seconds.
     Burst,
-    /// More than the servers bear, all the time.
+    /// Load above the servers' capacity all the time.
     Overload,
-    /// A third of the servers crash and come back empty.
+    /// A third of the servers crash and come back with empty caches.
     Crash,
-    /// A fifth of the servers turn five times slower.
+    /// A fifth of the servers become five times slower.
     Slow,
     /// A fifth of the servers reject half of their requests.
     Shed,
-    /// Teams within quotas over all entries, one of which asks for many times its usual:
-    /// ways to keep quotas, at several sizes.
+    /// Strategies to enforce quotas over all entries, at several fleet sizes, while one team
+    /// requests many times its usual rate.
     Quota,
-    /// A service that moves to a good or a bad version, by two schedules.
+    /// Rollouts of good and bad versions, with two schedules.
     Rollout,
 }
--- a/bin/lh-load/src/lib.rs
+++ b/bin/lh-load/src/lib.rs
@@ -1,5 +1,5 @@
-//! Plays load patterns against the placing decisions and a naive way, and prints
-//! what callers got.
+//! Simulates load patterns with the daemon's placement policy and a naive one, quotas and
+//! rollouts, and prints the results as tables.
 
 mod cli;
 mod error;
@@ -15,10 +15,10 @@
 
 pub use error::{Error, Result};
 
-/// Reads the command line, plays, prints a table.
+/// Parses the command line, runs the simulations and prints a table.
 ///
 /// # Errors
-/// Where the plot can't be written.
+/// Returns an error if the plot can't be written.
 pub fn run() -> Result<()> {
     let arguments = Arguments::parse();
     match arguments.pattern {
--- a/bin/lh-load/src/main.rs
+++ b/bin/lh-load/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `lh-load`.
+//! Entry point of `lh-load`.
 
 use std::process::ExitCode;
 
--- a/bin/lh-load/src/plot.rs
+++ b/bin/lh-load/src/plot.rs
@@ -1,4 +1,4 @@
-//! Draws worth and shares over time.
+//! Plots of results over time.
 
 use std::path::Path;
 
@@ -7,15 +7,16 @@
 
 use crate::error::{Error, Result};
 
-/// Size of the picture, in pixels.
+/// Size of the plot, in pixels.
 const PLOT_SIZE: (u32, u32) = (800, 400);
-/// Seconds of a window of the reports.
+/// Length of a window of the reports, in seconds.
 const WINDOW: f64 = 2.0;
 
-/// Draws both ways into the SVG file at `path`: the naive one in red.
+/// Plots the worth over time into the SVG file at `path`: the naive policy in red, the daemon's
+/// in blue.
 ///
 /// # Errors
-/// Where the file can't be written.
+/// Returns an error if the file can't be written.
 pub(crate) fn draw(path: &Path, naive: &TrialReport, placed: &TrialReport) -> Result<()> {
     let points = |report: &TrialReport| -> Vec<(f64, f64)> {
         let points = report.windows.iter().enumerate();
@@ -26,11 +27,11 @@
         .map_err(|error| Error::Plot(path.display().to_string(), error.to_string()))
 }
 
-/// Draws the new version's share, second by second, into the SVG file at `path`: equal steps in
-/// red.
+/// Plots the new version's share of requests over time into the SVG file at `path`: the linear
+/// schedule in red, the canary schedule in blue.
 ///
 /// # Errors
-/// Where the file can't be written.
+/// Returns an error if the file can't be written.
 pub(crate) fn draw_shares(path: &Path, linear: &[f64], canary: &[f64]) -> Result<()> {
     let points = |shares: &[f64]| -> Vec<(f64, f64)> {
         let points = shares.iter().enumerate();
--- a/bin/lh-load/src/quota.rs
+++ b/bin/lh-load/src/quota.rs
@@ -1,4 +1,4 @@
-//! Ways to keep quotas, played on the same loads.
+//! Compares quota strategies on the same scenarios.
 
 use emulate::quota::{
     EqualShares, LeasedShares, QuotaChange, QuotaOutcome, QuotaScenario, SharedCounts,
@@ -6,14 +6,14 @@
 };
 use team::quota::QuotaLimiter;
 
-/// Entries that get requests: of fleets of 12, 64, 300 and 1,000.
+/// Entries that get requests, in fleets of 12, 64, 300 and 1,000 entries.
 const SIZES: [usize; 4] = [8, 9, 30, 100];
-/// Teams, a few of them large.
+/// Number of teams, a few of them large.
 const TEAMS: usize = 74;
-/// Requests a second for each entry.
+/// Requests per second and entry.
 const RATE: f64 = 220.0;
 
-/// Plays all loads at all sizes with `seeds`, and prints a row a way.
+/// Simulates all scenarios at all sizes with `seeds` seeds, and prints a row for each strategy.
 pub(crate) fn run(seeds: u64) {
     println!(
         "{:<9} {:>7} {:>4} {:<7} {:>6} {:>13} {:>11} {:>6} {:>8}",
--- a/bin/lh-load/src/rollout.rs
+++ b/bin/lh-load/src/rollout.rs
@@ -1,4 +1,5 @@
-//! Rollouts of good and bad versions, by the schedule that entries use and by equal steps.
+//! Compares the canary schedule that entries use with a linear one, on rollouts of good and bad
+//! versions.
 
 use std::path::Path;
 use std::time::Duration;
@@ -12,19 +13,19 @@
 use crate::error::Result;
 use crate::plot;
 
-/// Steps of the schedule with equal ones.
+/// Number of steps of the linear schedule.
 const STEPS: u32 = 5;
 /// Entries that get requests.
 const SIZES: [usize; 3] = [3, 12, 40];
-/// Requests a second of the service.
+/// Requests per second of the service.
 const RATE: f64 = 600.0;
 const DURATION: Duration = Duration::from_secs(20);
 
-/// Plays all histories with `seeds`, prints a row each, and draws the shares over time of the
-/// last one into the file at `path`.
+/// Simulates all scenarios with `seeds` seeds, prints a row for each schedule, and plots the
+/// shares of the last scenario over time into the file at `path`.
 ///
 /// # Errors
-/// Where the file can't be written.
+/// Returns an error if the file can't be written.
 pub(crate) fn run(seeds: u64, path: Option<&Path>) -> Result<()> {
     println!(
         "{:<12} {:>7} {:>4} {:<6} {:<12} {:>7} {:>9} {:>7} {:>6}",
@@ -92,7 +93,7 @@
     let end = outcome.phase.map_or("none", RolloutPhase::as_str);
     let at = outcome.ended.map_or(f64::NAN, |at| at.as_secs_f64());
     let beyond = match scenario.fault {
-        // A good version may get any number.
+        // A good version may get any number of requests.
         RolloutFault::None => 0.0,
         _ => outcome.excess().max(0.0),
     };
