--- a/bin/lh-burn/src/collect.rs
+++ b/bin/lh-burn/src/collect.rs
@@ -1,4 +1,4 @@
-//! `collect`: reads metrics and keeps slices.
+//! The `collect` command: scrapes metrics and stores slices.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,12 +15,12 @@
 use crate::error::Result;
 use crate::slices;
 
-/// Longest wait for one instance.
+/// Timeout for scraping one instance.
 const SCRAPE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest metrics text in bytes.
+/// Maximum size of a metrics response.
 const MAX_METRICS_BYTES: usize = 4 << 20;
 
-/// Collects until SIGTERM or for the number of readings.
+/// Collects until SIGTERM or for the given number of scrapes.
 pub(crate) async fn run(arguments: &CollectArguments) -> Result<()> {
     let platform = PlatformClient::new(arguments.platform);
     let mut recorder = SliceRecorder::new();
@@ -38,11 +38,11 @@
         for instance in &arguments.instances {
             match scrape(*instance).await {
                 Some(scrape) => recorder.record(slices::current_slice(), &scrape),
-                None => log::warn!(instance:% = instance; "metrics not read"),
+                None => log::warn!(instance:% = instance; "can't read the metrics of an instance"),
             }
         }
         if let Err(error) = slices::store(&platform, recorder.slice()).await {
-            log::warn!(error:% = error; "slice not stored; it will be with the next reading");
+            log::warn!(error:% = error; "can't store the slice; retrying after the next scrape");
         }
         count += 1;
         if arguments.readings.is_some_and(|limit| count >= limit) {
--- a/bin/lh-burn/src/error.rs
+++ b/bin/lh-burn/src/error.rs
@@ -4,25 +4,25 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why the program ended.
+    /// An error that ends the program.
     #[derive(Debug)]
     pub enum Error {
-        /// The settings are wrong.
+        /// The settings are invalid.
         Settings(cause: conf::Error) {
             display("{}", cause)
             from()
         }
-        /// The platform can't be used.
+        /// A request to the platform failed.
         Platform(cause: store::Error) {
             display("{}", cause)
             from()
         }
-        /// The report can't be made.
+        /// The report can't be created.
         Report(cause: burn::Error) {
             display("{}", cause)
             from()
         }
-        /// A file or the process failed.
+        /// An I/O operation failed.
         System(cause: std::io::Error) {
             display("{}", cause)
             from()
@@ -31,7 +31,7 @@
 }
 
 impl Error {
-    /// The kind of end that this error means.
+    /// The exit class for this error.
     pub fn class(&self) -> ExitClass {
         match self {
             Self::Settings(_) => ExitClass::Settings,
--- a/bin/lh-burn/src/lib.rs
+++ b/bin/lh-burn/src/lib.rs
@@ -1,5 +1,5 @@
-//! The report on service-level burn: a collector that turns instances' metrics into
-//! slices kept in the platform's object store, and the report made from them.
+//! Error budget reports: a collector that aggregates the metrics of instances into slices in the
+//! platform's object store, and the report that is computed from them.
 
 mod cli;
 mod collect;
@@ -11,10 +11,11 @@
 
 pub use error::{Error, Result};
 
-/// Reads the command line and does what it says.
+/// Parses the command line and runs the command.
 ///
 /// # Errors
-/// Where the platform can't be reached, the settings are wrong or a file can't be written.
+/// Returns an error if the platform is unreachable, the settings are invalid or a file can't be
+/// written.
 pub fn run() -> Result<()> {
     let arguments = cli::Arguments::parse();
     kernel::init_logging(log::LevelFilter::Info);
--- a/bin/lh-burn/src/main.rs
+++ b/bin/lh-burn/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `lh-burn`.
+//! Entry point of `lh-burn`.
 
 use std::process::ExitCode;
 
--- a/bin/lh-burn/src/report.rs
+++ b/bin/lh-burn/src/report.rs
@@ -1,4 +1,4 @@
-//! `report`: text, JSON and HTML from the slices.
+//! The `report` command: prints the report as text or JSON, and writes it as HTML.
 
 use burn::{SLICE_LENGTH, burn_rows, html_page, text_report};
 use conf::ConfigBundle;
@@ -8,7 +8,7 @@
 use crate::error::Result;
 use crate::slices;
 
-/// Makes the report.
+/// Creates the report from the stored slices.
 pub(crate) async fn run(arguments: &ReportArguments) -> Result<()> {
     let deployment = ConfigBundle::from_folder(&arguments.deploy)?.deployment()?;
     let platform = PlatformClient::new(arguments.platform);
--- a/bin/lh-burn/src/slices.rs
+++ b/bin/lh-burn/src/slices.rs
@@ -1,4 +1,4 @@
-//! Slices in the platform's object store, one object each.
+//! Stores each slice as an object in the platform's object store.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -8,7 +8,7 @@
 
 use crate::error::Result;
 
-/// Number of the present slice.
+/// The number of the current slice.
 pub(crate) fn current_slice() -> u64 {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -16,13 +16,13 @@
     since.as_secs() / SLICE_LENGTH.as_secs()
 }
 
-/// Reads the slice `number`; `None` where there is none or it can't be read.
+/// Loads the slice `number`; `None` if it doesn't exist or is malformed.
 pub(crate) async fn load(platform: &PlatformClient, number: u64) -> Result<Option<BurnSlice>> {
     let content = platform.get(&format!("burn-{number}")).await?;
     Ok(content.and_then(|content| serde_json::from_slice(&content).ok()))
 }
 
-/// Stores a slice, over its earlier state.
+/// Stores a slice and overwrites its earlier state.
 pub(crate) async fn store(platform: &PlatformClient, slice: &BurnSlice) -> Result<()> {
     let content = serde_json::to_vec(slice).unwrap_or_default();
     platform
--- a/crates/burn/src/error.rs
+++ b/crates/burn/src/error.rs
@@ -3,16 +3,16 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why no report could be made.
+    /// An error of the burn report.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Error {
-        /// The metrics can't be read.
+        /// The metrics of an instance can't be parsed.
         Metrics(cause: String) {
-            display("an instance's metrics can't be read: {}", cause)
+            display("can't parse the metrics of an instance: {}", cause)
         }
         /// The plot can't be drawn.
         Plot(cause: String) {
-            display("a plot can't be drawn: {}", cause)
+            display("can't draw a plot: {}", cause)
         }
     }
 }
--- a/crates/burn/src/html.rs
+++ b/crates/burn/src/html.rs
@@ -1,4 +1,4 @@
-//! The report as one HTML page with plots that needs no network.
+//! The report as a self-contained HTML page with plots.
 
 use plotters::prelude::*;
 
@@ -7,15 +7,15 @@
 use crate::report;
 use crate::slice::{BurnSlice, SLICE_LENGTH};
 
-/// Size of a plot in pixels.
+/// Size of a plot, in pixels.
 const PLOT_SIZE: (u32, u32) = (760, 240);
-/// Least top of a plot's scale.
+/// Minimum upper end of a plot's y axis.
 const MIN_Y_MAX: f64 = 2.0;
 
-/// The page for the slices up to `now`.
+/// Renders the page for the slices up to the slice `now`.
 ///
 /// # Errors
-/// Where a plot can't be drawn.
+/// Returns an error if a plot can't be drawn.
 pub fn html_page(deployment: &conf::Deployment, slices: &[BurnSlice], now: u64) -> Result<String> {
     let rows = burn_rows(deployment, slices, now);
     let mut plots = String::new();
@@ -45,7 +45,7 @@
         .replace('>', "&gt;")
 }
 
-/// The five-minute burn rate of every service and region over time.
+/// Plots the five-minute burn rate of every service and region over time.
 fn plot(
     deployment: &conf::Deployment,
     slices: &[BurnSlice],
--- a/crates/burn/src/lib.rs
+++ b/crates/burn/src/lib.rs
@@ -1,8 +1,8 @@
-//! Service-level burn: how fast each service uses up what its objectives allow, by
-//! region, over fast and slow windows.
+//! Error budget burn: how fast each service uses up the error budgets of its objectives, by
+//! region, over short and long windows.
 //!
-//! Counters of instances are turned into slices of five minutes, which outlive the
-//! instances; the report is worked out from slices alone.
+//! The counters of instances are aggregated into slices of five minutes, which outlive the
+//! instances; the report is computed from slices alone.
 
 mod error;
 mod html;
--- a/crates/burn/src/objective.rs
+++ b/crates/burn/src/objective.rs
@@ -1,5 +1,5 @@
-//! Burn rates: the share of bad events over what the objective allows. A rate of 1
-//! uses the budget up exactly by the end of its period.
+//! Burn rates: the share of bad events relative to the share that the objective allows. A rate
+//! of 1 uses up the error budget exactly at the end of its period.
 
 use std::collections::BTreeMap;
 
@@ -8,18 +8,18 @@
 
 use crate::slice::{BurnSlice, SLICE_LENGTH, SliceKey, SliceSums};
 
-/// A window with the burn rate from which somebody should be woken or told.
+/// A window with the burn rate at which operators should be alerted.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BurnWindow {
-    /// Its name in the report.
+    /// The name in the report.
     pub name: &'static str,
-    /// Its length.
+    /// The length of the window.
     pub length: Duration,
-    /// The burn rate that is too fast for it.
+    /// The burn rate from which on the budget burns too fast.
     pub threshold: f64,
 }
 
-/// The fast and the slow windows, for a budget of 28 days.
+/// The windows from short to long, for an error budget of 28 days.
 pub const BURN_WINDOWS: [BurnWindow; 4] = [
     BurnWindow {
         name: "5m",
@@ -44,7 +44,7 @@
 ];
 
 base::common! {
-    /// What an objective is about.
+    /// The kinds of objective.
     #[derive(Copy, Eq)]
     #[serde(rename_all = "kebab-case")]
     pub enum BurnKind {
@@ -56,21 +56,21 @@
         Headroom,
     }
 
-    /// One line of the report.
+    /// One row of the report.
     pub struct BurnRow {
         /// The service and region.
         pub key: SliceKey,
-        /// What the objective is about.
+        /// The kind of objective.
         pub kind: BurnKind,
-        /// Share that must be good.
+        /// Share of events that must be good.
         pub goal: f64,
-        /// Share that was good over the longest window; 1 without any event.
+        /// Share of events that were good over the longest window; 1 if there were no events.
         pub reached: f64,
-        /// Burn rates in the order of [`BURN_WINDOWS`]; `None` without any event.
+        /// Burn rates in the order of [`BURN_WINDOWS`]; `None` if there were no events.
         pub rates: Vec<Option<f64>>,
-        /// Share of the budget that is left over the longest window.
+        /// Share of the budget that the longest window leaves; negative if overspent.
         pub budget_left: f64,
-        /// Whether the fast or the slow windows burn too fast.
+        /// Whether the budget burns too fast in two neighbouring windows.
         pub alarm: bool,
     }
 }
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Share of bad events over the share that is allowed. For headroom, the part of
-    /// the wanted free rights that is missing.
+    /// The share of bad events relative to the share that is allowed. For headroom, the missing
+    /// share of the free slots that the goal demands.
     fn rate(self, sums: &SliceSums, goal: f64) -> Option<f64> {
         match self {
             Self::Latency => burn_rate(sums.done - sums.good, sums.done, goal),
@@ -124,7 +124,7 @@
     Some(bad / all / (1.0 - goal).max(1e-9))
 }
 
-/// The report's rows at the end of slice `now`.
+/// Computes the rows of the report at the end of the slice `now`.
 pub fn burn_rows(deployment: &Deployment, slices: &[BurnSlice], now: u64) -> Vec<BurnRow> {
     let sums: Vec<BTreeMap<SliceKey, SliceSums>> = BURN_WINDOWS
         .iter()
@@ -164,7 +164,7 @@
     rows
 }
 
-/// Counts what belongs to a part of a split for its service.
+/// Adds the counts of the parts of a traffic split to those of their service.
 fn merge_split_parts(
     deployment: &Deployment,
     sums: BTreeMap<SliceKey, SliceSums>,
@@ -179,7 +179,7 @@
     services
 }
 
-/// Too fast means: in a short window and in a longer one that confirms it.
+/// The budget burns too fast if a window and the next longer one both exceed their thresholds.
 fn is_burning_too_fast(rates: &[Option<f64>]) -> bool {
     let exceeds =
         |index: usize| rates[index].is_some_and(|rate| rate >= BURN_WINDOWS[index].threshold);
--- a/crates/burn/src/report.rs
+++ b/crates/burn/src/report.rs
@@ -1,11 +1,11 @@
-//! The report as text for a terminal.
+//! The report as plain text for a terminal.
 
 use std::fmt::Write as _;
 
 use crate::objective::{BURN_WINDOWS, BurnRow};
 use crate::slice::BurnSlice;
 
-/// The report's text: a row an objective, then the planned stops.
+/// Renders a row for each objective, followed by the planned stops of instances.
 pub fn text_report(rows: &[BurnRow], slices: &[BurnSlice]) -> String {
     let mut text = format!(
         "{:<18} {:<16} {:<13} {:>8} {:>8}",
--- a/crates/burn/src/scrape.rs
+++ b/crates/burn/src/scrape.rs
@@ -1,4 +1,4 @@
-//! One reading of an instance's metrics.
+//! Parses the metrics of an instance.
 
 use std::collections::BTreeMap;
 
@@ -7,29 +7,29 @@
 use crate::error::{Error, Result};
 
 base::common! {
-    /// Counters of one service at one instance; they only rise within one run.
+    /// Counters of a service at one instance. They never decrease while the instance runs.
     #[derive(Copy, Default)]
     pub struct ServiceCounters {
-        /// Requests done.
+        /// Answered requests.
         pub done: f64,
-        /// Requests done within the latency objective.
+        /// Requests answered within the latency objective.
         pub good: f64,
-        /// Requests that this system failed: refused, or of unknown outcome.
+        /// Requests that failed because of this system: refused, or with unknown outcome.
         pub failed: f64,
         /// Slots of the service's servers in the region, a gauge.
         pub slots: f64,
-        /// Slots thought free, a gauge.
+        /// Slots that the instance considers free, a gauge.
         pub free: f64,
     }
 
-    /// One reading.
+    /// The metrics of an instance at one time.
     #[derive(Default)]
     pub struct Scrape {
         /// The instance.
         pub instance: String,
         /// Its region.
         pub region: String,
-        /// Time since a planned stop began, in seconds.
+        /// Seconds since a planned stop started.
         pub draining: f64,
         /// Counters by service.
         pub services: CounterSet,
@@ -39,10 +39,10 @@
 /// Counters by service.
 pub type CounterSet = BTreeMap<String, ServiceCounters>;
 
-/// Reads metrics in the text format.
+/// Parses metrics in the Prometheus text format.
 ///
 /// # Errors
-/// Where the text is none, or tells no instance.
+/// Returns an error if the text is malformed or doesn't name the instance.
 pub fn parse_scrape(text: &str) -> Result<Scrape> {
     let lines = text.lines().map(|line| Ok(line.to_owned()));
     let parsed = ParsedText::parse(lines).map_err(|cause| Error::Metrics(cause.to_string()))?;
@@ -64,7 +64,7 @@
                 match label("outcome") {
                     "answered" => counters.done += value,
                     "not-run" | "unknown" => counters.failed += value,
-                    // Requests that were wrong or whose caller left burn no budget.
+                    // Invalid requests and those whose caller left burn no budget.
                     _ => {}
                 }
             }
--- a/crates/burn/src/slice.rs
+++ b/crates/burn/src/slice.rs
@@ -1,4 +1,4 @@
-//! Slices of time in which the counters of all instances are summed up.
+//! Aggregates the counters of all instances into time slices.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -18,35 +18,35 @@
         pub region: String,
     }
 
-    /// What happened to a service in a region within a slice.
+    /// Sums for a service in a region over a slice.
     #[derive(Copy, Default)]
     pub struct SliceSums {
-        /// Requests done.
+        /// Answered requests.
         pub done: f64,
-        /// Requests done within the latency objective.
+        /// Requests answered within the latency objective.
         pub good: f64,
-        /// Requests that this system failed.
+        /// Requests that failed because of this system.
         pub failed: f64,
-        /// Sum of readings of slots.
+        /// Sum of all samples of the slots gauge.
         pub slots: f64,
-        /// Sum of readings of free slots.
+        /// Sum of all samples of the free slots gauge.
         pub free: f64,
     }
 
-    /// One slice.
+    /// The aggregated counters of a time slice.
     #[derive(Default)]
     pub struct BurnSlice {
-        /// Number of the slice: time since 1970 over the slice's length.
+        /// Number of the slice: the Unix time divided by the length of a slice.
         pub number: u64,
         /// Sums by service and region.
         pub sums: Vec<(SliceKey, SliceSums)>,
-        /// Longest planned stop seen by instance, in seconds.
+        /// Longest duration of a planned stop of each instance, in seconds.
         pub drains: BTreeMap<String, f64>,
     }
 }
 
 impl SliceSums {
-    /// Adds `other`.
+    /// Adds the sums of `other`.
     pub fn add(&mut self, other: &Self) {
         self.done += other.done;
         self.good += other.good;
@@ -56,7 +56,7 @@
     }
 }
 
-/// Turns readings into slices. A counter that falls belongs to a new run of its instance.
+/// Aggregates scrapes into slices. A counter that decreases means that its instance restarted.
 #[derive(Debug, Default)]
 pub struct SliceRecorder {
     last: HashMap<String, CounterSet>,
@@ -64,22 +64,22 @@
 }
 
 impl SliceRecorder {
-    /// An empty book.
+    /// Creates an empty recorder.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Goes on with a slice that was stored before a restart.
+    /// Continues a slice that was stored before a restart.
     pub fn resume(&mut self, slice: BurnSlice) {
         self.slice = slice;
     }
 
-    /// The slice that is being filled.
+    /// The current slice.
     pub fn slice(&self) -> &BurnSlice {
         &self.slice
     }
 
-    /// Takes a reading in that was made in the slice `number`.
+    /// Adds a scrape that was made during the slice `number`.
     pub fn record(&mut self, number: u64, scrape: &Scrape) {
         if self.slice.number != number {
             self.slice = BurnSlice {
@@ -119,8 +119,8 @@
     }
 }
 
-/// What the counters rose by. The first reading of an instance counts nothing, since
-/// nobody knows when its counters rose.
+/// Returns the increase of the counters. The first scrape of an instance counts as none, as it is
+/// unknown when its counters increased.
 fn counter_increase(previous: Option<ServiceCounters>, now: &ServiceCounters) -> SliceSums {
     let mut sums = SliceSums {
         slots: now.slots,
--- a/crates/burn/tests/burn.rs
+++ b/crates/burn/tests/burn.rs
@@ -1,4 +1,4 @@
-//! Burn rates from readings, across restarts of instances.
+//! Burn rates from scrapes, across restarts of instances.
 
 use burn::{BurnKind, BurnSlice, SliceRecorder, burn_rows, html_page, parse_scrape, text_report};
 use conf::{ConfigBundle, Deployment};
@@ -39,7 +39,8 @@
     recorder.slice().clone()
 }
 
-/// 100 done of which 80 good, with a goal of 90%: twice the budget. One refused of 101.
+/// 80 of 100 answers are good with a goal of 90%, which is twice the budget; one of 101 requests
+/// is refused.
 #[test]
 fn rates_are_bad_over_allowed() {
     let slices = [slice(1000, &[(0, 0, 0, 10), (100, 80, 1, 1)])];
@@ -50,7 +51,7 @@
     assert_eq!(rate(BurnKind::Headroom), 0.0);
 }
 
-/// A counter that falls belongs to a new run, and nothing of it is lost or counted twice.
+/// A counter that decreases after a restart must not lose increases or count them twice.
 #[test]
 fn restarts_of_an_instance_keep_the_sums_right() {
     let slices = [slice(
@@ -66,7 +67,7 @@
     assert_eq!((sums.done, sums.good), (90.0, 90.0));
 }
 
-/// Fast burn that a longer window confirms is an alarm; a short peak isn't.
+/// Burning too fast must raise an alarm only if a longer window confirms it, not on a short peak.
 #[test]
 fn an_alarm_needs_two_windows() {
     let bad = |number| slice(number, &[(0, 0, 0, 5), (100, 0, 60, 5)]);
@@ -82,7 +83,8 @@
     assert!(alarm(&lasting));
 }
 
-/// Text and page show every objective; the page needs no network and escapes names.
+/// The text and the HTML page must show every objective; the page must load nothing from the
+/// network and escape its text.
 #[test]
 fn text_and_page_show_the_objectives() {
     let slices = [
@@ -101,7 +103,7 @@
     assert!(!html_page.contains("src=") && !html_page.contains("href="));
 }
 
-/// Text that is no metrics is an error, never a panic.
+/// Malformed metrics must give an error instead of a panic.
 #[test]
 fn strange_metrics_are_an_error() {
     assert!(parse_scrape("").is_err());
