--- a/crates/emulate/src/lib.rs
+++ b/crates/emulate/src/lib.rs
@@ -5,7 +5,6 @@
 //! queues, cached objects, cold starts, delayed load updates, timeouts and callers that
 //! retry. It does not simulate a cluster: there is no network, store or process.
 
-mod events;
 mod experiment;
 mod model;
 mod policy;
@@ -15,6 +14,7 @@
 pub mod rollout;
 mod run;
 mod setup;
+mod timeline;
 
 pub use experiment::{Experiment, FaultKind, ServerFault, TrafficStep};
 pub use policy::{EntryPolicy, NaivePolicy, PlacerPolicy, PolicyChoice, PolicyRequest};
--- a/crates/emulate/src/quota/scenario.rs
+++ b/crates/emulate/src/quota/scenario.rs
@@ -17,11 +17,11 @@
 /// An event of a scenario. Times are in seconds from the start.
 #[derive(Debug, Clone, Copy)]
 pub enum QuotaChange {
-    /// The team multiplies its usual rate.
+    /// The team sends a multiple of its usual rate.
     Hot {
         /// The team.
         team: usize,
-        /// The factor.
+        /// The multiple.
         factor: f64,
         /// Start.
         from: f64,
--- a/crates/emulate/src/rollout/world.rs
+++ b/crates/emulate/src/rollout/world.rs
@@ -8,7 +8,7 @@
 use rand_chacha::ChaCha8Rng;
 use rollout::prelude::*;
 
-use crate::rollout::scenario::{
+use crate::rollout::history::{
     EXPOSURE_SHARE, EXPOSURE_SLACK, RolloutFault, RolloutOutcome, RolloutScenario,
 };
 
--- a/crates/emulate/src/run.rs
+++ b/crates/emulate/src/run.rs
@@ -9,13 +9,13 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::events::{Event, EventQueue, Micros};
 use crate::experiment::{Experiment, FaultKind};
 use crate::model::{Job, ModelServer};
 use crate::policy::{EntryPolicy, PolicyChoice, PolicyRequest};
 use crate::regions::RegionCounts;
 use crate::report::TrialReport;
 use crate::setup::{desired_state, entry_hash, placer_config, server_entries};
+use crate::timeline::{Event, EventQueue, Micros};
 
 /// One-way network delay within a region.
 const IN_REGION_DELAY_US: u64 = 800;
