--- a/crates/emulate/tests/fairness.rs
+++ b/crates/emulate/tests/fairness.rs
@@ -56,7 +56,7 @@
     worths
 }
 
-/// Under overload, teams that stay within their share must keep most of it, however much one
+/// Under overload, teams that stay within their share must keep much of it, however much one
 /// team requests beyond its own, and total worth must not drop. Without ranking, the large team
 /// crowds them out.
 #[test]
