--- a/crates/burn/src/lib.rs
+++ b/crates/burn/src/lib.rs
@@ -1,8 +1,8 @@
-//! Service-level burn: how fast each service uses up what its objectives allow, by
-//! region, over fast and slow windows.
+//! Error budget burn: how fast each service uses up the error budgets of its objectives, by
+//! region, over short and long windows.
 //!
-//! Counters of instances are turned into slices of five minutes, which outlive the
-//! instances; the report is worked out from slices alone.
+//! The counters of instances are aggregated into slices of five minutes, which outlive the
+//! instances; the report is computed from slices alone.
 
 mod error;
 mod html;
@@ -12,8 +12,8 @@
 mod slice;
 
 pub use error::{Error, Result};
-pub use html::page;
-pub use objective::{BurnKind, BurnRow, BurnWindow, WINDOWS, burn_rows};
-pub use report::text;
+pub use html::html_page;
+pub use objective::{BURN_WINDOWS, BurnKind, BurnRow, BurnWindow, burn_rows};
+pub use report::text_report;
 pub use scrape::{CounterSet, Scrape, ServiceCounters, parse_scrape};
-pub use slice::{BurnSlice, SLICE, SliceBook, SliceKey, SliceSums};
+pub use slice::{BurnSlice, SLICE_LENGTH, SliceKey, SliceRecorder, SliceSums};
--- a/crates/burn/src/objective.rs
+++ b/crates/burn/src/objective.rs
@@ -1,50 +1,50 @@
-//! Burn rates: the share of bad events over what the objective allows. A rate of 1
-//! uses the budget up exactly by the end of its period.
+//! Burn rates: the share of bad events relative to the share that the objective allows. A rate
+//! of 1 uses up the error budget exactly at the end of its period.
 
 use std::collections::BTreeMap;
 
 use base::prelude::*;
 use conf::{Deployment, Objective};
 
-use crate::slice::{BurnSlice, SLICE, SliceKey, SliceSums};
+use crate::slice::{BurnSlice, SLICE_LENGTH, SliceKey, SliceSums};
 
-/// A window with the burn rate from which somebody should be woken or told.
+/// A window with the burn rate at which operators should be alerted.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BurnWindow {
-    /// Its name in the report.
+    /// The name in the report.
     pub name: &'static str,
-    /// Its length.
+    /// The length of the window.
     pub length: Duration,
-    /// The burn rate that is too fast for it.
-    pub alarm: f64,
+    /// The burn rate from which on the budget burns too fast.
+    pub threshold: f64,
 }
 
-/// The fast and the slow windows, for a budget of 28 days.
-pub const WINDOWS: [BurnWindow; 4] = [
+/// The windows from short to long, for an error budget of 28 days.
+pub const BURN_WINDOWS: [BurnWindow; 4] = [
     BurnWindow {
         name: "5m",
         length: Duration::from_secs(300),
-        alarm: 14.4,
+        threshold: 14.4,
     },
     BurnWindow {
         name: "1h",
         length: Duration::from_secs(3600),
-        alarm: 14.4,
+        threshold: 14.4,
     },
     BurnWindow {
         name: "6h",
         length: Duration::from_secs(6 * 3600),
-        alarm: 6.0,
+        threshold: 6.0,
     },
     BurnWindow {
         name: "3d",
         length: Duration::from_secs(3 * 86400),
-        alarm: 1.0,
+        threshold: 1.0,
     },
 ];
 
 base::common! {
-    /// What an objective is about.
+    /// The kinds of objective.
     #[derive(Copy, Eq)]
     #[serde(rename_all = "kebab-case")]
     pub enum BurnKind {
@@ -56,21 +56,21 @@
         Headroom,
     }
 
-    /// One line of the report.
+    /// One row of the report.
     pub struct BurnRow {
         /// The service and region.
         pub key: SliceKey,
-        /// What the objective is about.
+        /// The kind of objective.
         pub kind: BurnKind,
-        /// Share that must be good.
+        /// Share of events that must be good.
         pub goal: f64,
-        /// Share that was good over the longest window; 1 without any event.
+        /// Share of events that were good over the longest window; 1 if there were no events.
         pub reached: f64,
-        /// Burn rates in the order of [`WINDOWS`]; `None` without any event.
+        /// Burn rates in the order of [`BURN_WINDOWS`]; `None` if there were no events.
         pub rates: Vec<Option<f64>>,
-        /// Share of the budget that is left over the longest window.
+        /// Share of the budget that the longest window leaves; negative if overspent.
         pub budget_left: f64,
-        /// Whether the fast or the slow windows burn too fast.
+        /// Whether the budget burns too fast in two neighbouring windows.
         pub alarm: bool,
     }
 }
@@ -93,12 +93,12 @@
         }
     }
 
-    /// Share of bad events over the share that is allowed. For headroom, the part of
-    /// the wanted free rights that is missing.
+    /// The share of bad events relative to the share that is allowed. For headroom, the missing
+    /// share of the free slots that the goal demands.
     fn rate(self, sums: &SliceSums, goal: f64) -> Option<f64> {
         match self {
-            Self::Latency => rate(sums.done - sums.good, sums.done, goal),
-            Self::Availability => rate(sums.failed, sums.done + sums.failed, goal),
+            Self::Latency => burn_rate(sums.done - sums.good, sums.done, goal),
+            Self::Availability => burn_rate(sums.failed, sums.done + sums.failed, goal),
             Self::Headroom => {
                 let free = (sums.slots > 0.0).then(|| sums.free / sums.slots)?;
                 let missing = (goal - free).max(0.0);
@@ -117,24 +117,24 @@
     }
 }
 
-fn rate(bad: f64, all: f64, goal: f64) -> Option<f64> {
+fn burn_rate(bad: f64, all: f64, goal: f64) -> Option<f64> {
     if all <= 0.0 {
         return None;
     }
     Some(bad / all / (1.0 - goal).max(1e-9))
 }
 
-/// The report's rows at the end of slice `now`.
+/// Computes the rows of the report at the end of the slice `now`.
 pub fn burn_rows(deployment: &Deployment, slices: &[BurnSlice], now: u64) -> Vec<BurnRow> {
-    let sums: Vec<BTreeMap<SliceKey, SliceSums>> = WINDOWS
+    let sums: Vec<BTreeMap<SliceKey, SliceSums>> = BURN_WINDOWS
         .iter()
         .map(|window| window_sums(slices, now, window.length))
         .collect();
     let sums: Vec<_> = sums
         .into_iter()
-        .map(|sums| by_service(deployment, sums))
+        .map(|sums| merge_split_parts(deployment, sums))
         .collect();
-    let longest = &sums[WINDOWS.len() - 1];
+    let longest = &sums[BURN_WINDOWS.len() - 1];
     let mut rows = Vec::new();
     for (key, total) in longest {
         let Some(service) = deployment.services.get(key.service.as_str()) else {
@@ -156,7 +156,7 @@
                 goal,
                 reached: kind.reached(total),
                 budget_left: 1.0 - kind.rate(total, goal).unwrap_or(0.0),
-                alarm: is_alarm(&rates),
+                alarm: is_burning_too_fast(&rates),
                 rates,
             });
         }
@@ -164,8 +164,8 @@
     rows
 }
 
-/// Counts what belongs to a part of a split for its service.
-fn by_service(
+/// Adds the counts of the parts of a traffic split to those of their service.
+fn merge_split_parts(
     deployment: &Deployment,
     sums: BTreeMap<SliceKey, SliceSums>,
 ) -> BTreeMap<SliceKey, SliceSums> {
@@ -179,14 +179,15 @@
     services
 }
 
-/// Too fast means: in a short window and in a longer one that confirms it.
-fn is_alarm(rates: &[Option<f64>]) -> bool {
-    let over = |index: usize| rates[index].is_some_and(|rate| rate >= WINDOWS[index].alarm);
-    (over(0) && over(1)) || (over(1) && over(2)) || (over(2) && over(3))
+/// The budget burns too fast if a window and the next longer one both exceed their thresholds.
+fn is_burning_too_fast(rates: &[Option<f64>]) -> bool {
+    let exceeds =
+        |index: usize| rates[index].is_some_and(|rate| rate >= BURN_WINDOWS[index].threshold);
+    (exceeds(0) && exceeds(1)) || (exceeds(1) && exceeds(2)) || (exceeds(2) && exceeds(3))
 }
 
 fn window_sums(slices: &[BurnSlice], now: u64, length: Duration) -> BTreeMap<SliceKey, SliceSums> {
-    let count = length.as_secs() / SLICE.as_secs();
+    let count = length.as_secs() / SLICE_LENGTH.as_secs();
     let mut sums: BTreeMap<SliceKey, SliceSums> = BTreeMap::new();
     for slice in slices {
         if slice.number > now || slice.number + count <= now {
--- a/crates/burn/tests/burn.rs
+++ b/crates/burn/tests/burn.rs
@@ -1,6 +1,6 @@
-//! Burn rates from readings, across restarts of instances.
+//! Burn rates from scrapes, across restarts of instances.
 
-use burn::{BurnKind, BurnSlice, SliceBook, burn_rows, page, parse_scrape, text};
+use burn::{BurnKind, BurnSlice, SliceRecorder, burn_rows, html_page, parse_scrape, text_report};
 use conf::{ConfigBundle, Deployment};
 
 fn deployment() -> Deployment {
@@ -31,15 +31,16 @@
 }
 
 fn slice(number: u64, readings: &[(u32, u32, u32, u32)]) -> BurnSlice {
-    let mut book = SliceBook::new();
+    let mut recorder = SliceRecorder::new();
     for (done, good, refused, free) in readings {
         let scrape = parse_scrape(&metrics(*done, *good, *refused, *free)).unwrap();
-        book.record(number, &scrape);
+        recorder.record(number, &scrape);
     }
-    book.slice().clone()
+    recorder.slice().clone()
 }
 
-/// 100 done of which 80 good, with a goal of 90%: twice the budget. One refused of 101.
+/// 80 of 100 answers are good with a goal of 90%, which is twice the budget; one of 101 requests
+/// is refused.
 #[test]
 fn rates_are_bad_over_allowed() {
     let slices = [slice(1000, &[(0, 0, 0, 10), (100, 80, 1, 1)])];
@@ -50,7 +51,7 @@
     assert_eq!(rate(BurnKind::Headroom), 0.0);
 }
 
-/// A counter that falls belongs to a new run, and nothing of it is lost or counted twice.
+/// A counter that decreases after a restart must not lose increases or count them twice.
 #[test]
 fn restarts_of_an_instance_keep_the_sums_right() {
     let slices = [slice(
@@ -66,7 +67,7 @@
     assert_eq!((sums.done, sums.good), (90.0, 90.0));
 }
 
-/// Fast burn that a longer window confirms is an alarm; a short peak isn't.
+/// Burning too fast must raise an alarm only if a longer window confirms it, not on a short peak.
 #[test]
 fn an_alarm_needs_two_windows() {
     let bad = |number| slice(number, &[(0, 0, 0, 5), (100, 0, 60, 5)]);
@@ -82,26 +83,27 @@
     assert!(alarm(&lasting));
 }
 
-/// Text and page show every objective; the page needs no network and escapes names.
+/// The text and the HTML page must show every objective; the page must load nothing from the
+/// network and escape its text.
 #[test]
 fn text_and_page_show_the_objectives() {
     let slices = [
         slice(999, &[(0, 0, 0, 1), (100, 80, 1, 1)]),
         slice(1000, &[(0, 0, 0, 1), (10, 1, 1, 1)]),
     ];
-    let shown = text(&burn_rows(&deployment(), &slices, 1000), &slices);
+    let shown = text_report(&burn_rows(&deployment(), &slices, 1000), &slices);
     for word in ["board", "north", "latency", "availability", "headroom"] {
         assert!(shown.contains(word), "{shown}");
     }
-    let page = page(&deployment(), &slices, 1000).unwrap();
+    let html_page = html_page(&deployment(), &slices, 1000).unwrap();
     assert!(
-        page.contains("<svg")
-            && page.contains("&lt;- burns too fast") == page.contains("burns too fast")
+        html_page.contains("<svg")
+            && html_page.contains("&lt;- burns too fast") == html_page.contains("burns too fast")
     );
-    assert!(!page.contains("src=") && !page.contains("href="));
+    assert!(!html_page.contains("src=") && !html_page.contains("href="));
 }
 
-/// Text that is no metrics is an error, never a panic.
+/// Malformed metrics must give an error instead of a panic.
 #[test]
 fn strange_metrics_are_an_error() {
     assert!(parse_scrape("").is_err());
--- a/crates/emulate/src/model.rs
+++ b/crates/emulate/src/model.rs
@@ -1,4 +1,4 @@
-//! A backend server: slots, a queue, and the objects that it holds.
+//! The model of a backend server: slots, a queue, and a cache of objects.
 
 use std::collections::VecDeque;
 
@@ -6,55 +6,56 @@
 
 use crate::experiment::FaultKind;
 
-/// A request at a server.
+/// A request that runs or waits at a server.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Job {
     /// Index of the attempt.
     pub(crate) attempt: usize,
-    /// The object that it concerns.
+    /// The object that the request is for.
     pub(crate) object: u64,
 }
 
-/// A server without time: whoever runs it says when work ends.
+/// A server without a clock: the caller decides when work ends.
 #[derive(Debug)]
 pub(crate) struct ModelServer {
     slots: usize,
     queue: usize,
-    holds: usize,
+    cache_size: usize,
     running: usize,
     waiting: VecDeque<Job>,
-    held: VecDeque<u64>,
+    cache: VecDeque<u64>,
     pub(crate) down: bool,
-    pub(crate) slowness: f64,
+    pub(crate) slowdown: f64,
     pub(crate) shed_share: f64,
 }
 
 impl ModelServer {
-    /// Lets a fault begin or end.
-    pub(crate) fn set_fault(&mut self, kind: FaultKind, begins: bool) {
+    /// Applies a fault or ends it.
+    pub(crate) fn set_fault(&mut self, kind: FaultKind, is_start: bool) {
         match kind {
-            FaultKind::Down if begins => self.crash(),
+            FaultKind::Down if is_start => self.crash(),
             FaultKind::Down => self.down = false,
-            FaultKind::Slow(times) => self.slowness = if begins { times } else { 1.0 },
-            FaultKind::Shed(share) => self.shed_share = if begins { share } else { 0.0 },
+            FaultKind::Slow(factor) => self.slowdown = if is_start { factor } else { 1.0 },
+            FaultKind::Shed(share) => self.shed_share = if is_start { share } else { 0.0 },
         }
     }
 
-    pub(crate) fn new(slots: usize, queue: usize, holds: usize) -> Self {
+    pub(crate) fn new(slots: usize, queue: usize, cache_size: usize) -> Self {
         Self {
             slots,
             queue,
-            holds,
+            cache_size,
             running: 0,
             waiting: VecDeque::new(),
-            held: VecDeque::new(),
+            cache: VecDeque::new(),
             down: false,
-            slowness: 1.0,
+            slowdown: 1.0,
             shed_share: 0.0,
         }
     }
 
-    /// Takes `job` into a slot (`Some(true)`), into the queue, or rejects it.
+    /// Accepts `job`: `Some(true)` if it runs in a slot, `Some(false)` if it waits in the
+    /// queue, `None` if it is rejected.
     pub(crate) fn accept(&mut self, job: Job) -> Option<bool> {
         if self.running < self.slots {
             self.running += 1;
@@ -67,7 +68,7 @@
         Some(false)
     }
 
-    /// A slot is free again; the next job that takes it.
+    /// Frees a slot and returns the queued job that takes it, if any.
     pub(crate) fn release(&mut self) -> Option<Job> {
         let next = self.waiting.pop_front();
         if next.is_none() {
@@ -76,31 +77,32 @@
         next
     }
 
-    /// Drops a job that still waits; whether it did.
+    /// Removes a job from the queue; returns whether it was there.
     pub(crate) fn cancel(&mut self, attempt: usize) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|job| job.attempt != attempt);
         before != self.waiting.len()
     }
 
-    /// Uses `object`; whether it was held. The one not used for longest leaves.
-    pub(crate) fn touch(&mut self, object: u64) -> bool {
-        let position = self.held.iter().position(|held| *held == object);
+    /// Accesses `object` and returns whether it was cached; evicts the least recently used
+    /// object if the cache is full.
+    pub(crate) fn access(&mut self, object: u64) -> bool {
+        let position = self.cache.iter().position(|cached| *cached == object);
         if let Some(position) = position {
-            self.held.remove(position);
+            self.cache.remove(position);
         }
-        self.held.push_back(object);
-        if self.held.len() > self.holds {
-            self.held.pop_front();
+        self.cache.push_back(object);
+        if self.cache.len() > self.cache_size {
+            self.cache.pop_front();
         }
         position.is_some()
     }
 
-    /// Loses everything.
+    /// Stops the server; it loses its jobs and its cache.
     fn crash(&mut self) {
         self.down = true;
         self.running = 0;
-        self.held.clear();
+        self.cache.clear();
         self.waiting.clear();
     }
 
--- a/crates/emulate/src/policy.rs
+++ b/crates/emulate/src/policy.rs
@@ -1,4 +1,4 @@
-//! How an entry places requests: the product's way, and a naive one to compare.
+//! Placement policies of an entry: the one of the daemon, and a naive one as a baseline.
 
 use std::time::{Duration, Instant};
 
@@ -10,39 +10,39 @@
 use team::fairness::FairnessRanker;
 use team::spec::TeamSpec;
 
-/// Servers busier than this multiple of their slots get nothing from the naive way.
-const NAIVE_QUEUE: f64 = 1.0;
-/// When the naive way asks callers to come back.
-const NAIVE_RETURN: Duration = Duration::from_millis(300);
+/// The naive policy sends nothing to servers whose requests reach this multiple of their slots.
+const NAIVE_MAX_OCCUPANCY: f64 = 1.0;
+/// Delay after which the naive policy asks refused callers to retry.
+const NAIVE_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// What became of a placement.
+/// The result of placing a request.
 #[derive(Debug)]
 pub enum PolicyChoice {
-    /// Sent to the server with this id.
+    /// Send the request to the server of this placement.
     Send(Box<Placement>),
-    /// Refused; come back after this time.
+    /// Refuse the request; the caller may retry after this time.
     Refuse(Duration),
 }
 
-/// A request that comes to an entry.
+/// A request that arrives at an entry.
 #[derive(Debug, Clone, Copy)]
 pub struct PolicyRequest<'a> {
-    /// The object that it concerns.
+    /// The object that the request is for.
     pub object: u64,
-    /// How long its caller waits.
-    pub left: Duration,
-    /// Whether it was not refused before.
-    pub fresh: bool,
-    /// The team whose it is.
+    /// Time until the caller's deadline.
+    pub remaining: Duration,
+    /// Whether the request was not refused before.
+    pub is_first_try: bool,
+    /// The caller's team.
     pub team: &'a str,
 }
 
-/// Placing as an entry does it.
+/// The placement decisions of one entry.
 pub trait EntryPolicy {
     /// Places a request.
     fn place(&mut self, now: Instant, request: &PolicyRequest<'_>) -> PolicyChoice;
 
-    /// Takes in what became of a placement.
+    /// Records the outcome of a placement.
     fn on_outcome(
         &mut self,
         now: Instant,
@@ -52,24 +52,24 @@
         report: Option<&ServerReport>,
     );
 
-    /// Own requests at servers.
-    fn load(&mut self, now: Instant) -> LoadUpdate;
+    /// The load update with the entry's own requests at servers.
+    fn load_update(&mut self, now: Instant) -> LoadUpdate;
 
-    /// Another entry's requests at servers.
-    fn on_load(&mut self, now: Instant, entry: u64, word: LoadUpdate);
+    /// Records the load update of another entry.
+    fn on_load_update(&mut self, now: Instant, entry: u64, update: LoadUpdate);
 }
 
-/// The product's way.
+/// The policy of the daemon.
 #[derive(Debug)]
 pub struct PlacerPolicy {
     placer: RequestPlacer,
     route: RouteSpec,
-    /// Ranks teams; `None` where all rank alike.
-    shares: Option<FairnessRanker>,
+    /// Ranks teams; `None` if all have the same rank.
+    fairness: Option<FairnessRanker>,
 }
 
-/// The naive way: the least busy server by own count, never beyond its slots,
-/// no regard for objects or other entries.
+/// The baseline policy: the least busy server by the entry's own count, never beyond its
+/// slots. It ignores objects and the load of other entries.
 #[derive(Debug)]
 pub struct NaivePolicy {
     catalog: ServerCatalog,
@@ -78,55 +78,57 @@
 }
 
 impl PlacerPolicy {
-    /// The policy of an entry that knows `servers` and the hashes of all `entries`.
+    /// Creates the policy of an entry that knows `servers` and the hashes of all `entries`, of
+    /// which `peers_in_region` others are in its region.
     pub fn new(
         config: PlacerConfig,
         desired: &DesiredState,
         servers: &CatalogSnapshot,
         entries: &[u64],
-        in_region: usize,
+        peers_in_region: usize,
     ) -> Self {
         let mut placer = RequestPlacer::new(config);
         placer.set_desired(desired);
-        placer.set_entries(entries.to_vec(), in_region);
+        placer.set_entries(entries.to_vec(), peers_in_region);
         placer.catalog.on_read(servers.begun, servers);
         Self {
             placer,
             route: desired.routes[0].clone(),
-            shares: None,
+            fairness: None,
         }
     }
 
-    /// Ranks teams that ask for more than their part behind others.
+    /// Ranks teams that request more than their share behind others.
     #[must_use]
-    pub fn with_shares(mut self, teams: &[TeamSpec]) -> Self {
-        let mut shares = FairnessRanker::default();
-        shares.set_teams(teams);
-        self.shares = Some(shares);
+    pub fn with_fairness(mut self, teams: &[TeamSpec]) -> Self {
+        let mut fairness = FairnessRanker::default();
+        fairness.set_teams(teams);
+        self.fairness = Some(fairness);
         self
     }
 }
 
 impl EntryPolicy for PlacerPolicy {
-    fn place(&mut self, now: Instant, asked: &PolicyRequest<'_>) -> PolicyChoice {
-        let object = stable_hash(&asked.object.to_le_bytes());
-        let left = asked.left;
+    fn place(&mut self, now: Instant, policy_request: &PolicyRequest<'_>) -> PolicyChoice {
+        let object = stable_hash(&policy_request.object.to_le_bytes());
+        let remaining = policy_request.remaining;
         self.placer
-            .on_request(now, &self.route, Some(object), Some(left));
-        let shares = self.shares.as_mut();
-        let steps = shares.map_or(0, |shares| shares.on_request(now, asked.team));
+            .on_request(now, &self.route, Some(object), Some(remaining));
+        let fairness = self.fairness.as_mut();
+        let priority_steps =
+            fairness.map_or(0, |fairness| fairness.on_request(now, policy_request.team));
         let request = PlacementRequest {
-            priority: self.route.priority + steps,
-            returning: !asked.fresh,
+            priority: self.route.priority + priority_steps,
+            returning: !policy_request.is_first_try,
             ..PlacementRequest::new(&self.route, 0)
                 .with_object(Some(object))
-                .with_remaining(left.min(self.route.timeout.unwrap_or(left)))
+                .with_remaining(remaining.min(self.route.timeout.unwrap_or(remaining)))
         };
         match self.placer.place(now, &request) {
             Ok(placement) => PolicyChoice::Send(Box::new(placement)),
             Err(refusal) => {
-                if let Some(shares) = &mut self.shares {
-                    shares.on_refused(now);
+                if let Some(fairness) = &mut self.fairness {
+                    fairness.on_refused(now);
                 }
                 PolicyChoice::Refuse(refusal.retry_after)
             }
@@ -147,17 +149,17 @@
             .on_outcome(now, placement, &request, outcome, report);
     }
 
-    fn load(&mut self, now: Instant) -> LoadUpdate {
+    fn load_update(&mut self, now: Instant) -> LoadUpdate {
         self.placer.own_load(now)
     }
 
-    fn on_load(&mut self, now: Instant, entry: u64, word: LoadUpdate) {
-        self.placer.on_peer_load(now, entry, word);
+    fn on_load_update(&mut self, now: Instant, entry: u64, update: LoadUpdate) {
+        self.placer.on_peer_load(now, entry, update);
     }
 }
 
 impl NaivePolicy {
-    /// The policy of an entry that knows `servers`.
+    /// Creates the policy of an entry that knows `servers`.
     pub fn new(config: &PlacerConfig, desired: &DesiredState, servers: &CatalogSnapshot) -> Self {
         let mut catalog = ServerCatalog::new(config.domains.clone());
         catalog.on_read(servers.begun, servers);
@@ -168,15 +170,17 @@
         }
     }
 
-    fn least_busy(&self, now: Instant, near: bool) -> Option<ServerHandle> {
+    fn least_busy(&self, now: Instant, in_own_region: bool) -> Option<ServerHandle> {
         let mut best: Option<(f64, ServerHandle)> = None;
         for (handle, record) in self.catalog.open_servers(&self.service) {
-            let busy = record.occupancy(now) / f64::from(record.entry.slots);
-            if busy >= NAIVE_QUEUE || (record.region == self.region) != near {
+            let occupancy_share = record.occupancy(now) / f64::from(record.entry.slots);
+            if occupancy_share >= NAIVE_MAX_OCCUPANCY
+                || (record.region == self.region) != in_own_region
+            {
                 continue;
             }
-            if best.is_none_or(|(least, _)| busy < least) {
-                best = Some((busy, handle));
+            if best.is_none_or(|(least, _)| occupancy_share < least) {
+                best = Some((occupancy_share, handle));
             }
         }
         best.map(|(_, handle)| handle)
@@ -185,12 +189,12 @@
 
 impl EntryPolicy for NaivePolicy {
     fn place(&mut self, now: Instant, _: &PolicyRequest<'_>) -> PolicyChoice {
-        let near = self.least_busy(now, true);
-        let Some(handle) = near.or_else(|| self.least_busy(now, false)) else {
-            return PolicyChoice::Refuse(NAIVE_RETURN);
+        let local = self.least_busy(now, true);
+        let Some(handle) = local.or_else(|| self.least_busy(now, false)) else {
+            return PolicyChoice::Refuse(NAIVE_RETRY_AFTER);
         };
         let Some(record) = self.catalog.get_mut(handle) else {
-            return PolicyChoice::Refuse(NAIVE_RETURN);
+            return PolicyChoice::Refuse(NAIVE_RETRY_AFTER);
         };
         record.in_flight += 1;
         PolicyChoice::Send(Box::new(Placement::new(now, handle, &record.entry)))
@@ -213,9 +217,9 @@
         record.in_flight = record.in_flight.saturating_sub(1);
     }
 
-    fn load(&mut self, _: Instant) -> LoadUpdate {
+    fn load_update(&mut self, _: Instant) -> LoadUpdate {
         LoadUpdate::default()
     }
 
-    fn on_load(&mut self, _: Instant, _: u64, _: LoadUpdate) {}
+    fn on_load_update(&mut self, _: Instant, _: u64, _: LoadUpdate) {}
 }
--- a/crates/emulate/src/quota/mod.rs
+++ b/crates/emulate/src/quota/mod.rs
@@ -1,13 +1,12 @@
-//! Ways to hold all entries within a team's quota, played against each other in virtual time:
-//! entries that let requests in, words among them that take their time and get lost, cuts,
-//! restarts, teams that ask for many times their usual.
+//! Simulation of strategies that enforce a team's quota over all entries, with delayed and lost
+//! messages, partitions, restarts, and teams that request many times their usual rate.
 
-mod play;
-mod report;
-mod ways;
+mod outcome;
+mod scenario;
+mod strategies;
 mod world;
 
-pub use play::{QuotaChange, QuotaPlay, TeamLoad};
-pub use report::QuotaReport;
-pub use ways::{EntryQuota, EqualParts, LeasedParts, ToldCounts};
-pub use world::play_quota;
+pub use outcome::QuotaOutcome;
+pub use scenario::{QuotaChange, QuotaScenario, TeamLoad};
+pub use strategies::{EqualShares, LeasedShares, QuotaStrategy, SharedCounts};
+pub use world::simulate_quotas;
--- a/crates/emulate/src/quota/world.rs
+++ b/crates/emulate/src/quota/world.rs
@@ -1,4 +1,4 @@
-//! Plays a way, event by event.
+//! Simulates a quota strategy event by event.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -9,103 +9,108 @@
 use rand_chacha::ChaCha8Rng;
 use team::spec::{TeamQuota, TeamSpec};
 
-use crate::quota::play::{QuotaChange, QuotaPlay};
-use crate::quota::report::{QuotaReport, TeamLog, TrueBucket, span};
-use crate::quota::ways::{EntryQuota, REGIONS};
+use crate::quota::outcome::{QuotaOutcome, ReferenceBucket, TeamLog, duration_from_secs};
+use crate::quota::scenario::{QuotaChange, QuotaScenario};
+use crate::quota::strategies::{QuotaStrategy, REGIONS};
 
-/// One way within a region and between two, in microseconds.
-const NEAR: u64 = 1_000;
-const FAR: u64 = 36_000;
-/// Entries run for so long before callers come.
-const LEAD: f64 = 3.0;
-/// How often a refused caller comes back.
-const RETURNS: u32 = 1;
-/// Time after which an entry that has started knows the others.
-const MET_AFTER: f64 = 0.3;
+/// One-way network delays within a region and between regions.
+const IN_REGION_DELAY_US: u64 = 1_000;
+const CROSS_REGION_DELAY_US: u64 = 36_000;
+/// Entries run for this long before the load starts.
+const WARMUP_SECS: f64 = 3.0;
+/// How often a caller retries a refused request.
+const MAX_RETRIES: u32 = 1;
+/// Time after its start until an entry knows the others.
+const DISCOVERY_DELAY_SECS: f64 = 0.3;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Request {
+    RequestArrives {
         team: usize,
         refusals: u32,
-        again: bool,
+        is_retry: bool,
     },
-    Speak {
+    SendMessage {
         entry: usize,
         round: u32,
         run: u64,
     },
-    Heard {
+    ReceiveMessage {
         to: usize,
         from: usize,
-        word: usize,
+        message: usize,
         run: u64,
     },
-    Change {
+    ApplyChange {
         index: usize,
     },
-    Back,
-    Met {
+    RestartDone,
+    EntriesDiscovered {
         run: u64,
     },
 }
 
-struct World<'a, W: EntryQuota, F> {
-    play: &'a QuotaPlay,
+struct QuotaSimulation<'a, W: QuotaStrategy, F> {
+    scenario: &'a QuotaScenario,
     build: F,
     origin: Instant,
     now: u64,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
-    number: u64,
+    sequence: u64,
     rng: ChaCha8Rng,
     entries: Vec<W>,
     run: u64,
-    is_away: bool,
+    is_down: bool,
     specs: Vec<TeamSpec>,
-    homes: Vec<Option<usize>>,
+    pinned_entries: Vec<Option<usize>>,
     logs: Vec<TeamLog>,
-    buckets: Vec<TrueBucket>,
-    words: Vec<W::Word>,
-    sent: u64,
+    buckets: Vec<ReferenceBucket>,
+    messages: Vec<W::Message>,
+    messages_sent: u64,
     bytes: u64,
 }
 
-/// Plays `play`, with entries that `build` makes: when, which entry, and which run.
-pub fn play_quota<W, F>(play: &QuotaPlay, build: F) -> QuotaReport
+/// Simulates `scenario`. `build` creates the strategy of an entry from the time, the entry's index
+/// and its run.
+pub fn simulate_quotas<W, F>(scenario: &QuotaScenario, build: F) -> QuotaOutcome
 where
-    W: EntryQuota,
+    W: QuotaStrategy,
     F: Fn(Instant, usize, u64) -> W,
 {
-    let mut world = World::new(play, build);
-    world.run();
-    world.report()
+    let mut simulation = QuotaSimulation::new(scenario, build);
+    simulation.run();
+    simulation.outcome()
 }
 
-fn hash(entry: usize) -> u64 {
+fn entry_id(entry: usize) -> u64 {
     entry as u64 + 1
 }
 
-impl<'a, W: EntryQuota, F: Fn(Instant, usize, u64) -> W> World<'a, W, F> {
-    fn new(play: &'a QuotaPlay, build: F) -> Self {
-        let specs: Vec<TeamSpec> = play.teams.iter().map(|team| team.spec.clone()).collect();
+impl<'a, W: QuotaStrategy, F: Fn(Instant, usize, u64) -> W> QuotaSimulation<'a, W, F> {
+    fn new(scenario: &'a QuotaScenario, build: F) -> Self {
+        let specs: Vec<TeamSpec> = scenario
+            .teams
+            .iter()
+            .map(|team| team.spec.clone())
+            .collect();
         let quota = |spec: &TeamSpec| {
             spec.quota.unwrap_or(TeamQuota {
                 rate: 1e9,
                 burst: 1e9,
             })
         };
-        let mut world = Self {
-            play,
+        let mut simulation = Self {
+            scenario,
             build,
             origin: Instant::now(),
             now: 0,
             events: BinaryHeap::new(),
-            number: 0,
-            rng: ChaCha8Rng::seed_from_u64(play.seed),
+            sequence: 0,
+            rng: ChaCha8Rng::seed_from_u64(scenario.seed),
             entries: Vec::new(),
             run: 1,
-            is_away: false,
-            homes: play.teams.iter().map(|team| team.at).collect(),
+            is_down: false,
+            pinned_entries: scenario.teams.iter().map(|team| team.entry).collect(),
             logs: specs
                 .iter()
                 .map(|spec| TeamLog {
@@ -115,52 +120,55 @@
                 .collect(),
             buckets: specs
                 .iter()
-                .map(|spec| TrueBucket::new(quota(spec)))
+                .map(|spec| ReferenceBucket::new(quota(spec)))
                 .collect(),
             specs,
-            words: Vec::new(),
-            sent: 0,
+            messages: Vec::new(),
+            messages_sent: 0,
             bytes: 0,
         };
-        world.start();
-        for team in 0..world.specs.len() {
-            world.plan_request(LEAD, team);
+        simulation.start();
+        for team in 0..simulation.specs.len() {
+            simulation.schedule_request(WARMUP_SECS, team);
         }
-        for (index, change) in play.changes.iter().enumerate() {
+        for (index, change) in scenario.changes.iter().enumerate() {
             let at = match change {
                 QuotaChange::Restart { at, .. }
-                | QuotaChange::Set { at, .. }
-                | QuotaChange::Move { at, .. } => *at,
-                QuotaChange::Hot { .. } | QuotaChange::Cut { .. } => continue,
+                | QuotaChange::SetQuota { at, .. }
+                | QuotaChange::MoveCallers { at, .. } => *at,
+                QuotaChange::Hot { .. } | QuotaChange::Partition { .. } => continue,
             };
-            world.push(micros(LEAD + at), Event::Change { index });
+            simulation.schedule(micros(WARMUP_SECS + at), Event::ApplyChange { index });
         }
-        world
+        simulation
     }
 
     fn start(&mut self) {
         let now = self.instant();
         self.entries.clear();
-        for entry in 0..self.play.entries {
+        for entry in 0..self.scenario.entries {
             let mut quota = (self.build)(now, entry, self.run);
             quota.set_teams(now, &self.specs);
             self.entries.push(quota);
             let first = self.now + self.rng.random_range(0..80_000);
             let run = self.run;
-            self.push(
+            self.schedule(
                 first,
-                Event::Speak {
+                Event::SendMessage {
                     entry,
                     round: 0,
                     run,
                 },
             );
         }
-        self.push(self.now + micros(MET_AFTER), Event::Met { run: self.run });
+        self.schedule(
+            self.now + micros(DISCOVERY_DELAY_SECS),
+            Event::EntriesDiscovered { run: self.run },
+        );
     }
 
     fn run(&mut self) {
-        let ends = micros(LEAD + self.play.seconds);
+        let ends = micros(WARMUP_SECS + self.scenario.seconds);
         while let Some(Reverse((at, _, event))) = self.events.pop() {
             if at > ends {
                 return;
@@ -172,115 +180,121 @@
 
     fn on_event(&mut self, event: Event) {
         match event {
-            Event::Request {
+            Event::RequestArrives {
                 team,
                 refusals,
-                again,
+                is_retry,
             } => {
-                if !again {
-                    self.plan_request(self.seconds(), team);
+                if !is_retry {
+                    self.schedule_request(self.seconds(), team);
                 }
                 self.on_request(team, refusals);
             }
-            Event::Speak { entry, round, run } if run == self.run && !self.is_away => {
-                self.speak(entry, round);
+            Event::SendMessage { entry, round, run } if run == self.run && !self.is_down => {
+                self.send_messages(entry, round);
             }
-            Event::Heard {
+            Event::ReceiveMessage {
                 to,
                 from,
-                word,
+                message,
                 run,
             } => {
-                if run == self.run && !self.is_away {
-                    let (now, word) = (self.instant(), self.words[word].clone());
-                    self.entries[to].on_word(now, hash(from), &word);
+                if run == self.run && !self.is_down {
+                    let (now, message) = (self.instant(), self.messages[message].clone());
+                    self.entries[to].on_message(now, entry_id(from), &message);
                 }
             }
-            Event::Change { index } => self.change(self.play.changes[index]),
-            Event::Back => {
-                self.is_away = false;
+            Event::ApplyChange { index } => self.apply_change(self.scenario.changes[index]),
+            Event::RestartDone => {
+                self.is_down = false;
                 self.start();
             }
-            Event::Met { run } if run == self.run && !self.is_away => {
+            Event::EntriesDiscovered { run } if run == self.run && !self.is_down => {
                 let now = self.instant();
                 for entry in 0..self.entries.len() {
-                    let others: Vec<u64> = (0..self.play.entries)
+                    let others: Vec<u64> = (0..self.scenario.entries)
                         .filter(|other| *other != entry)
-                        .map(hash)
+                        .map(entry_id)
                         .collect();
                     self.entries[entry].set_entries(now, &others);
                 }
             }
-            Event::Speak { .. } | Event::Met { .. } => {}
+            Event::SendMessage { .. } | Event::EntriesDiscovered { .. } => {}
         }
     }
 
     fn on_request(&mut self, team: usize, refusals: u32) {
         let at = self.seconds();
-        if self.is_away {
+        if self.is_down {
             return;
         }
-        let is_owed = self.buckets[team].take(at);
-        self.logs[team].owed += u32::from(is_owed);
-        let entry = match self.homes[team] {
+        let is_within_quota = self.buckets[team].take(at);
+        self.logs[team].within_quota += u32::from(is_within_quota);
+        let entry = match self.pinned_entries[team] {
             Some(entry) => entry,
-            None => self.rng.random_range(0..self.play.entries),
+            None => self.rng.random_range(0..self.scenario.entries),
         };
         let now = self.instant();
         match self.entries[entry].admit(now, &self.specs[team].name) {
-            Ok(()) => self.logs[team].let_in.push(at),
+            Ok(()) => self.logs[team].admitted.push(at),
             Err(wait) => {
-                self.logs[team].refused += u32::from(is_owed);
-                if refusals < RETURNS {
-                    let again = Event::Request {
+                self.logs[team].refused += u32::from(is_within_quota);
+                if refusals < MAX_RETRIES {
+                    let retry = Event::RequestArrives {
                         team,
                         refusals: refusals + 1,
-                        again: true,
+                        is_retry: true,
                     };
-                    let back = self.now + wait.as_micros() as u64 + 1;
-                    self.push(back, again);
+                    let retry_at = self.now + wait.as_micros() as u64 + 1;
+                    self.schedule(retry_at, retry);
                 }
             }
         }
     }
 
-    fn speak(&mut self, entry: usize, round: u32) {
+    fn send_messages(&mut self, entry: usize, round: u32) {
         let now = self.instant();
-        let near = self.play.entries.div_ceil(REGIONS).saturating_sub(1) as u32;
-        let far = self.play.entries as u32 - near - 1;
-        let (word, bytes) = self.entries[entry].word(now);
-        let tells_far = is_sent_to_other_regions(round, near, far);
-        self.words.push(word);
-        let index = self.words.len() - 1;
-        for to in 0..self.play.entries {
+        let near = self.scenario.entries.div_ceil(REGIONS).saturating_sub(1) as u32;
+        let far = self.scenario.entries as u32 - near - 1;
+        let (message, bytes) = self.entries[entry].next_message(now);
+        let reaches_far = is_sent_to_other_regions(round, near, far);
+        self.messages.push(message);
+        let index = self.messages.len() - 1;
+        for to in 0..self.scenario.entries {
             let is_far = to % REGIONS != entry % REGIONS;
-            let is_told = to != entry && (tells_far || !is_far);
-            if !is_told || !self.entries[entry].is_told(hash(to), &self.words[index]) {
+            let is_recipient = to != entry && (reaches_far || !is_far);
+            if !is_recipient
+                || !self.entries[entry].is_recipient(entry_id(to), &self.messages[index])
+            {
                 continue;
             }
-            self.sent += 1;
+            self.messages_sent += 1;
             self.bytes += bytes as u64;
-            let is_lost = self.rng.random_bool(self.play.loses);
-            if is_lost || self.is_cut(entry) || self.is_cut(to) {
+            let is_lost = self.rng.random_bool(self.scenario.loss);
+            if is_lost || self.is_partitioned(entry) || self.is_partitioned(to) {
                 continue;
             }
-            let delay = if is_far { FAR } else { NEAR };
-            let (from, word, run) = (entry, index, self.run);
-            self.push(
+            let delay = if is_far {
+                CROSS_REGION_DELAY_US
+            } else {
+                IN_REGION_DELAY_US
+            };
+            let (from, message, run) = (entry, index, self.run);
+            self.schedule(
                 self.now + delay,
-                Event::Heard {
+                Event::ReceiveMessage {
                     to,
                     from,
-                    word,
+                    message,
                     run,
                 },
             );
         }
         let pause = load_interval(near).as_micros() as u64;
         let run = self.run;
-        self.push(
+        self.schedule(
             self.now + pause,
-            Event::Speak {
+            Event::SendMessage {
                 entry,
                 round: round + 1,
                 run,
@@ -288,15 +302,15 @@
         );
     }
 
-    fn change(&mut self, change: QuotaChange) {
+    fn apply_change(&mut self, change: QuotaChange) {
         let at = self.seconds();
         match change {
-            QuotaChange::Restart { away, .. } => {
-                self.is_away = true;
+            QuotaChange::Restart { downtime, .. } => {
+                self.is_down = true;
                 self.run += 1;
-                self.push(self.now + micros(away), Event::Back);
+                self.schedule(self.now + micros(downtime), Event::RestartDone);
             }
-            QuotaChange::Set { team, rate, .. } => {
+            QuotaChange::SetQuota { team, rate, .. } => {
                 let quota = TeamQuota { rate, burst: rate };
                 self.specs[team].quota = Some(quota);
                 self.buckets[team].quota = quota;
@@ -306,92 +320,96 @@
                     entry.set_teams(now, &self.specs);
                 }
             }
-            QuotaChange::Move { team, to, .. } => self.homes[team] = Some(to),
-            QuotaChange::Hot { .. } | QuotaChange::Cut { .. } => {}
+            QuotaChange::MoveCallers { team, to, .. } => self.pinned_entries[team] = Some(to),
+            QuotaChange::Hot { .. } | QuotaChange::Partition { .. } => {}
         }
     }
 
-    fn plan_request(&mut self, from: f64, team: usize) {
-        let rate = self.play.teams[team].usual * self.times(from - LEAD, team);
-        let chance: f64 = self.rng.random_range(1e-9..1.0);
-        let at = from - chance.ln() / rate;
-        let (refusals, again) = (0, false);
-        self.push(
+    fn schedule_request(&mut self, from: f64, team: usize) {
+        let rate = self.scenario.teams[team].base_rate * self.rate_factor(from - WARMUP_SECS, team);
+        let draw: f64 = self.rng.random_range(1e-9..1.0);
+        let at = from - draw.ln() / rate;
+        let (refusals, is_retry) = (0, false);
+        self.schedule(
             micros(at),
-            Event::Request {
+            Event::RequestArrives {
                 team,
                 refusals,
-                again,
+                is_retry,
             },
         );
     }
 
-    fn times(&self, at: f64, team: usize) -> f64 {
-        for change in &self.play.changes {
+    fn rate_factor(&self, at: f64, team: usize) -> f64 {
+        for change in &self.scenario.changes {
             if let QuotaChange::Hot {
                 team: hot,
-                times,
+                factor,
                 from,
                 until,
             } = change
                 && *hot == team
                 && (*from..*until).contains(&at)
             {
-                return *times;
+                return *factor;
             }
         }
         1.0
     }
 
-    fn is_cut(&self, entry: usize) -> bool {
-        let at = self.seconds() - LEAD;
-        let cuts = self.play.changes.iter();
-        cuts.into_iter().any(|change| {
-            matches!(change, QuotaChange::Cut { count, from, until }
+    fn is_partitioned(&self, entry: usize) -> bool {
+        let at = self.seconds() - WARMUP_SECS;
+        let changes = self.scenario.changes.iter();
+        changes.into_iter().any(|change| {
+            matches!(change, QuotaChange::Partition { count, from, until }
                 if entry < *count && (*from..*until).contains(&at))
         })
     }
 
     fn is_hot(&self, team: usize) -> bool {
-        let changes = self.play.changes.iter();
+        let changes = self.scenario.changes.iter();
         changes.into_iter().any(|change| match change {
-            QuotaChange::Hot { team: hot, .. } | QuotaChange::Set { team: hot, .. } => *hot == team,
+            QuotaChange::Hot { team: hot, .. } | QuotaChange::SetQuota { team: hot, .. } => {
+                *hot == team
+            }
             _ => false,
         })
     }
 
-    fn report(&self) -> QuotaReport {
-        let mut report = QuotaReport::default();
+    fn outcome(&self) -> QuotaOutcome {
+        let mut outcome = QuotaOutcome::default();
         let (mut calm, mut hot) = ((0, 0), (0, 0));
-        let mut let_in = 0;
+        let mut admitted = 0;
         for (team, log) in self.logs.iter().enumerate() {
-            report.worst = report.worst.max(log.worst(&self.play.bounds));
+            outcome.worst = outcome.worst.max(log.worst_share(&self.scenario.bounds));
             let sums = if self.is_hot(team) {
                 &mut hot
             } else {
                 &mut calm
             };
             sums.0 += log.refused;
-            sums.1 += log.owed;
-            let_in += if self.is_hot(team) {
-                log.let_in.len()
+            sums.1 += log.within_quota;
+            admitted += if self.is_hot(team) {
+                log.admitted.len()
             } else {
                 0
             };
         }
-        let share = |(refused, owed): (u32, u32)| f64::from(refused) / f64::from(owed.max(1));
-        let entry_seconds = self.play.entries as f64 * (LEAD + self.play.seconds);
-        report.calm_refused = share(calm);
-        report.hot_refused = share(hot);
-        report.hot_served = let_in as f64 / f64::from(hot.1.max(1));
-        report.words = self.sent as f64 / entry_seconds;
-        report.bytes = self.bytes as f64 / entry_seconds;
-        report
+        let share = |(refused, within_quota): (u32, u32)| {
+            f64::from(refused) / f64::from(within_quota.max(1))
+        };
+        let entry_seconds = self.scenario.entries as f64 * (WARMUP_SECS + self.scenario.seconds);
+        outcome.calm_refused = share(calm);
+        outcome.hot_refused = share(hot);
+        outcome.hot_served = admitted as f64 / f64::from(hot.1.max(1));
+        outcome.messages = self.messages_sent as f64 / entry_seconds;
+        outcome.bytes = self.bytes as f64 / entry_seconds;
+        outcome
     }
 
-    fn push(&mut self, at: u64, event: Event) {
-        self.number += 1;
-        self.events.push(Reverse((at, self.number, event)));
+    fn schedule(&mut self, at: u64, event: Event) {
+        self.sequence += 1;
+        self.events.push(Reverse((at, self.sequence, event)));
     }
 
     fn seconds(&self) -> f64 {
@@ -399,7 +417,7 @@
     }
 
     fn instant(&self) -> Instant {
-        self.origin + span(self.seconds())
+        self.origin + duration_from_secs(self.seconds())
     }
 }
 
--- a/crates/emulate/src/timeline.rs
+++ b/crates/emulate/src/timeline.rs
@@ -1,4 +1,4 @@
-//! What happens in a trial, in the order of time.
+//! The event queue of a trial.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,46 +8,45 @@
 /// Microseconds from the start.
 pub(crate) type Micros = u64;
 
-/// Something that happens. Numbers are places in the trial's lists.
+/// An event. `usize` values are indices into the trial's lists.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Event {
-    /// A new request arrives.
-    Arrive,
-    /// A request asks its entry, for the first time or again.
-    Ask(usize),
+    /// A new request arrives at its entry.
+    RequestArrives,
+    /// An entry places a request, for the first time or after a refusal.
+    PlaceRequest(usize),
     /// An attempt reaches its server.
-    Reach(usize),
-    /// The work of an attempt ends, in that run of the server.
-    Finish(usize, u64),
-    /// An attempt is answered, and whether it ran.
-    Answer(usize, bool),
-    /// An attempt's time is over.
-    OutOfTime(usize),
-    /// An entry tells its load.
-    Load(usize),
-    /// An entry hears another's load.
-    Hear(usize, u64, LoadUpdate),
-    /// A fault begins.
-    FaultBegins(usize),
+    AttemptArrives(usize),
+    /// The work of an attempt ends; ignored if the server has crashed since that epoch.
+    WorkDone(usize, u64),
+    /// The answer to an attempt arrives; the flag says whether the server accepted it.
+    ReceiveAnswer(usize, bool),
+    /// The timeout of an attempt expires.
+    AttemptTimesOut(usize),
+    /// An entry sends its load to the others.
+    SendLoad(usize),
+    /// An entry receives the load of the entry with this hash.
+    ReceiveLoad(usize, u64, LoadUpdate),
+    /// A fault starts.
+    FaultStarts(usize),
     /// A fault ends.
     FaultEnds(usize),
 }
 
-/// The events to come; those of one moment in the order in which they were scheduled.
+/// Pending events; events with the same time are in the order in which they were scheduled.
 #[derive(Debug, Default)]
 pub(crate) struct EventQueue {
-    order: u64,
+    next_sequence: u64,
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
 }
 
 impl EventQueue {
-    /// Lets `event` happen at `at`.
     pub(crate) fn schedule(&mut self, at: Micros, event: Event) {
-        self.order += 1;
-        self.events.push(Reverse((at, self.order, event)));
+        self.next_sequence += 1;
+        self.events.push(Reverse((at, self.next_sequence, event)));
     }
 
-    /// The next event and its time.
+    /// Removes the next event and returns it with its time.
     pub(crate) fn pop(&mut self) -> Option<(Micros, Event)> {
         let Reverse((at, _, event)) = self.events.pop()?;
         Some((at, event))
--- a/crates/emulate/tests/patterns.rs
+++ b/crates/emulate/tests/patterns.rs
@@ -1,5 +1,5 @@
-//! Load patterns played against the placing decisions, beside the naive way.
-//! The bounds leave room below what was measured when they were set.
+//! Load patterns simulated with the daemon's placement policy and with the naive one. The bounds
+//! leave a margin below the values that were measured when they were set.
 
 use std::time::Instant;
 
@@ -14,9 +14,12 @@
 const SEEDS: [u64; 3] = [1, 2, 3];
 
 fn placed(experiment: &Experiment) -> TrialReport {
-    run_trial(experiment, |config, desired, servers, entries, near| {
-        PlacerPolicy::new(config, desired, servers, entries, near)
-    })
+    run_trial(
+        experiment,
+        |config, desired, servers, entries, peers_in_region| {
+            PlacerPolicy::new(config, desired, servers, entries, peers_in_region)
+        },
+    )
 }
 
 fn naive(experiment: &Experiment) -> TrialReport {
@@ -28,15 +31,15 @@
 fn fault(count: usize, kind: FaultKind) -> ServerFault {
     ServerFault {
         at: 10.0,
-        lasts: 8.0,
-        first: 0,
+        duration: 8.0,
+        first_server: 0,
         count,
         kind,
     }
 }
 
-/// Pattern: all caches empty at first, then the same load all the time. The naive
-/// way never gets warm; placing by object does within seconds.
+/// All caches are empty at first, and the load is steady. Placement by object must fill them
+/// within seconds; the naive policy never does.
 #[test]
 fn caches_fill_and_stay_filled() {
     for seed in SEEDS {
@@ -60,8 +63,8 @@
     }
 }
 
-/// Pattern: a wave of twice the load for four seconds. It must not tip the
-/// servers into working on misses for good.
+/// A burst of twice the load for four seconds must not leave the servers stuck with cache
+/// misses after it has ended.
 #[test]
 fn a_burst_leaves_no_trace() {
     for seed in SEEDS {
@@ -74,8 +77,8 @@
     }
 }
 
-/// Pattern: more than the servers bear, all the time. Most of what they bear must
-/// still be in time: a new request isn't pushed behind those that are late anyway.
+/// Under permanent overload, most of the capacity must still go to answers in time: new requests
+/// must not queue behind those that are late anyway.
 #[test]
 fn overload_keeps_answers_in_time() {
     for seed in SEEDS {
@@ -87,7 +90,7 @@
     }
 }
 
-/// Pattern: a third of the servers crash at once and come back empty.
+/// A third of the servers crash at once and come back with empty caches.
 #[test]
 fn a_crash_is_absorbed() {
     for seed in SEEDS {
@@ -100,7 +103,7 @@
     }
 }
 
-/// Pattern: a fifth of the servers turn five times slower while they look healthy.
+/// A fifth of the servers become five times slower but look healthy.
 #[test]
 fn slow_servers_are_passed_over() {
     for seed in SEEDS {
@@ -110,7 +113,7 @@
     }
 }
 
-/// Pattern: a fifth of the servers reject half of what they get.
+/// A fifth of the servers reject half of their requests.
 #[test]
 fn rejecting_servers_are_passed_over() {
     for seed in SEEDS {
@@ -120,9 +123,9 @@
     }
 }
 
-/// Pattern: each of the above without faults, and a region that gets three quarters
-/// of all requests from one moment to the next. No region moves more of its
-/// requests than the cap from one window to the next.
+/// Runs the patterns above that have no faults, and one in which a region suddenly gets three
+/// quarters of all requests. No region may move more of its requests than the cap between two
+/// consecutive windows.
 #[test]
 fn no_load_moves_a_region_beyond_its_cap() {
     const CAP: f64 = 0.15;
@@ -146,35 +149,34 @@
     }
 }
 
-/// The same seed gives the same trial.
+/// The same seed must give the same results.
 #[test]
 fn trials_repeat() {
     let experiment = Experiment::new(9, 0.7);
     assert_eq!(placed(&experiment).windows, placed(&experiment).windows);
 }
 
-/// Pattern: as much as the servers bear, and a little more, with many entries, of which
-/// each knows only a part of what the servers have. Words on load that come three times
-/// a second keep more answers in time than words that come once.
+/// Load slightly above capacity, with many entries that each see only a part of the servers'
+/// load. Load updates three times per second must keep more answers in time than one per second.
 #[test]
-fn frequent_words_on_load_keep_answers_in_time() {
+fn frequent_load_updates_keep_answers_in_time() {
     for seed in SEEDS {
-        let every = |millis| {
-            let every = std::time::Duration::from_millis(millis);
-            let mut experiment = Experiment::new(seed, 1.1).with_load_every(every);
+        let worth_at = |millis| {
+            let interval = std::time::Duration::from_millis(millis);
+            let mut experiment = Experiment::new(seed, 1.1).with_load_interval(interval);
             experiment.entries = 12;
             experiment.seconds = 12.0;
             placed(&experiment).total().worth()
         };
-        let (often, seldom) = (every(330), every(1000));
+        let (often, seldom) = (worth_at(330), worth_at(1000));
         assert!(often > seldom + 0.02, "seed {seed}: {often} and {seldom}");
     }
 }
 
-/// The product's way without what other entries tell of objects at servers.
-struct UntoldPolicy(PlacerPolicy);
+/// The daemon's policy, but entries don't learn from others which servers handled which objects.
+struct NoSharedSightings(PlacerPolicy);
 
-impl EntryPolicy for UntoldPolicy {
+impl EntryPolicy for NoSharedSightings {
     fn place(&mut self, now: Instant, request: &PolicyRequest<'_>) -> PolicyChoice {
         self.0.place(now, request)
     }
@@ -190,31 +192,43 @@
         self.0.on_outcome(now, placement, object, outcome, report);
     }
 
-    fn load(&mut self, now: Instant) -> LoadUpdate {
-        self.0.load(now)
+    fn load_update(&mut self, now: Instant) -> LoadUpdate {
+        self.0.load_update(now)
     }
 
-    fn on_load(&mut self, now: Instant, entry: u64, mut word: LoadUpdate) {
-        word.handled.clear();
-        self.0.on_load(now, entry, word);
+    fn on_load_update(&mut self, now: Instant, entry: u64, mut update: LoadUpdate) {
+        update.handled.clear();
+        self.0.on_load_update(now, entry, update);
     }
 }
 
-/// Pattern: servers spread unevenly, so that one region's requests run elsewhere, over
-/// entries of which each handles a part. Told which servers handled which objects, they keep more answers in
-/// time than when each learns that for itself.
+/// The servers are spread unevenly, so that one region's requests run in other regions and each
+/// entry sees only a part of them. Entries that tell each other which servers handled which
+/// objects must keep more answers in time than entries that learn it on their own.
 #[test]
-fn told_sightings_keep_answers_in_time() {
+fn shared_sightings_keep_answers_in_time() {
     let (mut with, mut without) = (0.0, 0.0);
     for seed in SEEDS {
         let mut experiment = Experiment::new(seed, 0.85);
         experiment.servers = vec![1, 6, 8];
         experiment.seconds = 20.0;
         with += placed(&experiment).total().worth();
-        let untold = run_trial(&experiment, |config, desired, servers, entries, near| {
-            UntoldPolicy(PlacerPolicy::new(config, desired, servers, entries, near))
-        });
-        without += untold.total().worth();
+        let not_shared = run_trial(
+            &experiment,
+            |config, desired, servers, entries, peers_in_region| {
+                NoSharedSightings(PlacerPolicy::new(
+                    config,
+                    desired,
+                    servers,
+                    entries,
+                    peers_in_region,
+                ))
+            },
+        );
+        without += not_shared.total().worth();
     }
-    assert!(with > without + 0.03, "told {with}, untold {without}, of 3");
+    assert!(
+        with > without + 0.03,
+        "shared {with}, not shared {without}, of 3"
+    );
 }
