--- a/bin/lh-soak/src/callers.rs
+++ b/bin/lh-soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that keep using an open connection until the process behind it is gone.
+//! Simulated callers. Each reuses its connection until a request on it fails.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,20 +12,20 @@
 
 use crate::history::{RunEvent, RunRecorder};
 
-/// Time between two requests of a caller.
+/// Interval between two requests of a caller.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(60);
-/// Pause before a new connection is tried.
+/// Extra delay after a failed connection attempt.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
-/// Longest wait for an response.
+/// Time within which a complete response must arrive.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Number of objects that requests concern.
+/// Number of distinct objects that are requested.
 const OBJECT_COUNT: u64 = 997;
-/// One request in so many must not repeat.
+/// Every nth request of a caller is an at-most-once request.
 const AT_MOST_ONCE_EVERY: u64 = 3;
-/// End of the id of a request that must not repeat.
+/// Suffix of the ids of at-most-once requests.
 const AT_MOST_ONCE_SUFFIX: &str = "-once";
 
-/// Sends requests to the entry with the number `entry` until it is dropped.
+/// Sends requests to the entry number `entry` until the task is aborted.
 pub(crate) async fn run_caller(
     entry: usize,
     caller: usize,
@@ -64,12 +64,12 @@
     }
 }
 
-/// Whether the request must not repeat, by its id.
+/// Whether the request with this id must be executed at most once.
 pub(crate) fn is_at_most_once(request: &str) -> bool {
     request.ends_with(AT_MOST_ONCE_SUFFIX)
 }
 
-/// The status of `GET path` at `address`; none where nobody answers.
+/// Returns the status code of `GET path` at `address`, or `None` without a response.
 pub(crate) async fn get_status(address: SocketAddr, path: &str) -> Option<u16> {
     let mut sender = connect(address).await?;
     let request = Request::get(path)
@@ -87,7 +87,7 @@
     Some(sender)
 }
 
-/// Sends a request; status and body of its answer, unless none came whole.
+/// Sends a request and returns status and body, or `None` if no complete response arrived.
 async fn exchange(
     sender: &mut SendRequest<Full<Bytes>>,
     id: &str,
--- a/bin/lh-soak/src/churn.rs
+++ b/bin/lh-soak/src/churn.rs
@@ -1,4 +1,4 @@
-//! Servers that leave and others that come in their place.
+//! Server churn: backend servers leave and are replaced.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,22 +11,25 @@
 use crate::servers::{LeaveKind, SoakServer};
 use crate::world::World;
 
-/// Shortest and longest time between two servers that leave, in milliseconds.
+/// Range of the interval between two departures, in milliseconds.
 const LEAVE_INTERVAL_MS: std::ops::Range<u64> = 150..1500;
-/// Most servers that leave at once.
+/// Largest number of servers that leave at the same time.
 const MAX_LEAVING_AT_ONCE: usize = 4;
-/// Time until the row of a server that said it leaves is dropped, in milliseconds.
+/// Range of the delay until the row of a server that announced its departure is deleted, in
+/// milliseconds.
 const ROW_DELETE_DELAY_MS: std::ops::Range<u64> = 500..6000;
-/// Time after which a heartbeat is performed that was sent before, in milliseconds.
+/// Range of the delay until the store applies a heartbeat that was sent before the departure, in
+/// milliseconds.
 const LATE_HEARTBEAT_DELAY_MS: std::ops::Range<u64> = 300..6000;
-/// Part of the servers that leave without saying so.
+/// Share of the servers that leave without announcing it.
 const UNANNOUNCED_SHARE: f64 = 0.5;
-/// Time between two heartbeats of a server.
+/// Interval between the heartbeats of a server.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1500);
-/// Time without heartbeats after which a row lapses.
+/// Time without heartbeats after which a row expires.
 const ROW_EXPIRY: Duration = Duration::from_millis(4500);
 
-/// Servers leave, others come in their place; heartbeats of some that left are performed late.
+/// Lets servers leave and starts replacements. For some departed servers an earlier heartbeat is
+/// applied late.
 pub(crate) async fn replace_servers(world: Arc<World>, config: SoakConfig) {
     let mut rng = ChaCha8Rng::seed_from_u64(config.seed ^ u64::MAX);
     loop {
@@ -45,13 +48,13 @@
                 .then(|| rng.random_range(LATE_HEARTBEAT_DELAY_MS));
             tokio::spawn(write_rows(Arc::clone(&world), server, row, late));
             if let Err(error) = world.server_pool.start_server().await {
-                eprintln!("no server in place of one that left: {error}");
+                eprintln!("failed to start a replacement server: {error}");
             }
         }
     }
 }
 
-/// What the store does with the row of a server that has left.
+/// Applies the writes to the row of a departed server: a late heartbeat and the deletion.
 async fn write_rows(world: Arc<World>, server: SoakServer, row: Option<u64>, late: Option<u64>) {
     let drops = async {
         if let Some(row) = row {
@@ -64,7 +67,7 @@
             sleep(Duration::from_millis(late)).await;
             world.server_pool.write_late_heartbeat(&server);
             if let Some(remaining_ms) = row.and_then(|row| row.checked_sub(late)) {
-                // The next heartbeat of a server that still lives says again that it leaves.
+                // A server that is still running repeats with its next heartbeat that it is draining.
                 if Duration::from_millis(remaining_ms) > HEARTBEAT_INTERVAL {
                     sleep(HEARTBEAT_INTERVAL).await;
                     world.server_pool.write_draining(&server);
--- a/bin/lh-soak/src/cli.rs
+++ b/bin/lh-soak/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line interface.
 
 use std::path::PathBuf;
 
@@ -9,18 +9,18 @@
 use crate::history::RunHistory;
 use crate::{judge, soak};
 
-/// Runs real entries under faults drawn by a seed and checks what they promise.
+/// Runs real entries under faults generated from a seed and checks their guarantees.
 #[derive(Debug, Parser)]
 #[command(name = "lh-soak", version)]
 #[command(
-    after_help = "Exit codes: 0 every promise held, 1 one was broken or the run failed, \
+    after_help = "Exit codes: 0 all guarantees held, 1 one was violated or the run failed, \
                         2 wrong usage."
 )]
 struct Arguments {
-    /// Seed of the faults.
+    /// Seed for the faults and the departures of servers.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Length of the run, in seconds.
+    /// Duration of the run, in seconds.
     #[arg(long, default_value_t = 60)]
     seconds: u64,
     /// Number of entries.
@@ -29,20 +29,20 @@
     /// Number of backend servers.
     #[arg(long, default_value_t = 60)]
     servers: usize,
-    /// Part of the servers that leave of which the store performs an older heartbeat late.
+    /// Share of the departed servers for which the store applies an earlier heartbeat late.
     #[arg(long, default_value_t = 0.35, value_name = "SHARE")]
     late_words: f64,
-    /// Threads that keep processors busy meanwhile.
+    /// Number of threads that spin to generate CPU load during the run.
     #[arg(long, default_value_t = 0)]
     busy: usize,
-    /// The program of an entry; by default the one beside this program.
+    /// Path of the `lh-entry` binary; by default the one next to this program.
     #[arg(long, value_name = "FILE")]
     entry_program: Option<PathBuf>,
-    /// Where the history and the entries' lines are kept; by default only where a promise
-    /// was broken, in a folder of its own.
+    /// Folder for the history and the logs of the entries; by default they are kept in a temporary
+    /// folder, and only if a guarantee was violated.
     #[arg(long, value_name = "FOLDER")]
     keep: Option<PathBuf>,
-    /// Judges a kept history again instead of running anything.
+    /// Checks a saved history again instead of starting a run.
     #[arg(long, value_name = "FILE")]
     judge: Option<PathBuf>,
 }
@@ -68,10 +68,10 @@
     }
 }
 
-/// Runs the program.
+/// Parses the command line and runs the program.
 ///
 /// # Errors
-/// Where the run can't be made, or a promise was broken.
+/// If the run fails or a guarantee was violated.
 pub fn run() -> Result<()> {
     let arguments = Arguments::parse();
     let history = match &arguments.judge {
--- a/bin/lh-soak/src/config.rs
+++ b/bin/lh-soak/src/config.rs
@@ -1,45 +1,46 @@
-//! What a run is made of.
+//! Configuration of a soak run.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
 use crate::error::{Error, Result};
 
-/// The regions; each has two failure domains.
+/// Regions of the run. Each has two failure domains.
 pub const REGIONS: [&str; 3] = ["north", "south", "west"];
-/// Time within which a leaving server must get no more requests.
+/// Time after the departure of a server from which it must receive no more requests.
 pub const DRAIN_TIMEOUT: Duration = Duration::from_millis(3000);
-/// Time without faults after which bounds hold.
+/// Time without faults after which the time bounds apply again.
 pub const STABLE_WINDOW: Duration = Duration::from_millis(4000);
-/// Most entries of a run: with their connections they stay within the limits of one machine.
+/// Largest number of entries. More of them, with their connections, exceed the limits of one
+/// machine.
 const MAX_ENTRIES: usize = 250;
 
-/// The settings of a run.
+/// Configuration of a run.
 #[derive(Debug, Clone)]
 pub struct SoakConfig {
-    /// Seed of the faults.
+    /// Seed for the faults and the departures of servers.
     pub seed: u64,
-    /// Length of the run, in seconds.
+    /// Duration of the run, in seconds.
     pub seconds: u64,
     /// Number of entries.
     pub entries: usize,
     /// Number of backend servers at the start.
     pub servers: usize,
-    /// Part of the servers that leave of which an older heartbeat is performed late, 0 to 1.
+    /// Share of the departed servers for which the store applies an earlier heartbeat late, 0 to 1.
     pub late_heartbeats: f64,
-    /// Threads that keep processors busy.
+    /// Number of threads that spin to generate CPU load.
     pub busy_threads: usize,
-    /// The program of an entry.
+    /// Path of the `lh-entry` binary.
     pub entry_program: PathBuf,
-    /// Where the history and the entries' lines are kept.
+    /// Folder for the history and the logs of the entries.
     pub keep: Option<PathBuf>,
 }
 
 impl SoakConfig {
-    /// Checks the settings.
+    /// Validates the configuration.
     ///
     /// # Errors
-    /// [`Error::Usage`] with what to do.
+    /// [`Error::Usage`], which names the option to change.
     pub fn validate(&self) -> Result<()> {
         let domains = REGIONS.len() * 2;
         if self.entries < domains || self.entries > MAX_ENTRIES {
@@ -47,7 +48,7 @@
             return Err(Error::Usage(text));
         }
         if self.servers < domains {
-            let text = format!("give {domains} servers at least with --servers");
+            let text = format!("give at least {domains} servers with --servers");
             return Err(Error::Usage(text));
         }
         if !(0.0..=1.0).contains(&self.late_heartbeats) {
@@ -65,7 +66,7 @@
     }
 }
 
-/// The region and failure domain of the thing with the number `index`.
+/// Assigns a region and a failure domain to the entry or server number `index`.
 pub fn region_and_domain(index: usize) -> (&'static str, String) {
     let region = REGIONS[index % REGIONS.len()];
     let side = if (index / REGIONS.len()).is_multiple_of(2) {
--- a/bin/lh-soak/src/error.rs
+++ b/bin/lh-soak/src/error.rs
@@ -1,43 +1,43 @@
-//! Errors that end the program.
+//! Fatal errors of `lh-soak`.
 
 use kernel::ExitClass;
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why the program ended.
+    /// A fatal error.
     #[derive(Debug)]
     pub enum Error {
-        /// The command line is wrong.
+        /// An invalid command line.
         Usage(detail: String) {
             display("{}", detail)
         }
-        /// A socket, file or process failed.
+        /// An I/O error of a socket, file or process.
         System(cause: std::io::Error) {
             display("{}", cause)
             from()
         }
-        /// A history can't be read.
+        /// A history file that can't be parsed.
         History(cause: serde_json::Error) {
-            display("the history isn't one of this program: {}", cause)
+            display("invalid history file: {}", cause)
             from()
         }
-        /// The entries didn't start.
+        /// The entries failed to start.
         Start(detail: String) {
             display("{}", detail)
         }
-        /// A signal ended the run.
+        /// The run was interrupted by a signal.
         Stopped {
-            display("stopped by a signal; nothing was judged")
+            display("interrupted by a signal; no guarantee was checked")
         }
-        /// Promises were broken.
+        /// Guarantees were violated, this many times.
         GuaranteesViolated(count: usize) {
-            display("{} promises were broken; the history and the entries' lines are kept", count)
+            display("{} violations of guarantees; the history and the logs of the entries are kept", count)
         }
     }
 }
 
 impl Error {
-    /// The kind of end that this error means.
+    /// The exit class of this error.
     pub fn class(&self) -> ExitClass {
         match self {
             Self::Usage(_) => ExitClass::Settings,
@@ -46,5 +46,5 @@
     }
 }
 
-/// Result of the program.
+/// Result of `lh-soak` operations.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/bin/lh-soak/src/faults.rs
+++ b/bin/lh-soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Which faults come when, drawn by a seed. Faults come in series and overlap.
+//! Random fault schedule, reproducible by its seed. Faults may overlap.
 
 use std::time::Duration;
 
@@ -6,48 +6,48 @@
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 
-/// Time before the first fault: entries and servers settle.
+/// Time without faults at the start, in which entries and servers settle.
 const FAULT_FREE_START: Duration = Duration::from_secs(5);
-/// Time without faults at the end of a run, in which bounds hold again.
+/// Time without faults at the end, after which the time bounds apply again.
 const FAULT_FREE_END: Duration = Duration::from_secs(9);
-/// Shortest and longest time between the beginnings of two faults, in milliseconds.
+/// Range of the interval between the starts of two faults, in milliseconds.
 const START_INTERVAL_MS: std::ops::Range<u64> = 300..5000;
-/// Shortest and longest fault, in milliseconds.
+/// Range of the duration of a fault, in milliseconds.
 const DURATION_MS: std::ops::Range<u64> = 500..7000;
 
-/// What goes wrong.
+/// Kind of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultKind {
-    /// The store refuses the entries.
+    /// Connections of the entries to the store are refused.
     LinkRefused,
-    /// The store doesn't answer the entries.
+    /// The entries get no data from the store, on open connections.
     LinkSilent,
-    /// The store's answers to the entries are lost.
+    /// Requests reach the store, but responses to the entries are lost.
     LinkLosesAnswers,
-    /// The store's answers to the entries take this long.
+    /// Responses of the store to the entries are delayed by this duration.
     LinkDelayed(Duration),
-    /// The entries' connections to the store break each time after this.
+    /// Connections of the entries to the store break repeatedly, at this interval.
     LinkBreaks(Duration),
-    /// The entries stand still.
+    /// The processes are suspended.
     Frozen,
-    /// The entries get a small part of a processor.
+    /// The processes get only a small share of CPU time.
     Starved,
-    /// The entries are killed and started again.
+    /// The processes are killed and restarted.
     Killed,
-    /// The entries are stopped as planned and started again.
+    /// The processes are stopped with SIGTERM and restarted.
     Stopped,
-    /// The store refuses everybody.
+    /// The store rejects all requests.
     StoreDown,
-    /// The same, and this part of the servers' rows lapses, in percent.
+    /// The store rejects all requests, and this percentage of the servers' rows expires.
     StoreLapses(u32),
-    /// The store's answers take this long.
+    /// All responses of the store are delayed by this duration.
     StoreSlow(Duration),
-    /// The store forgets its history.
+    /// The store discards its change history.
     StoreForgets,
 }
 
 impl FaultKind {
-    /// The kind in a word.
+    /// Name of the kind, as recorded in the history.
     pub fn name(self) -> &'static str {
         match self {
             Self::LinkRefused => "link-refused",
@@ -67,35 +67,35 @@
     }
 }
 
-/// Which entries a fault concerns.
+/// Target of a fault.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FaultTarget {
-    /// None: it is the store's.
+    /// The store.
     Store,
-    /// These.
+    /// The entries with these numbers.
     Entries(Vec<usize>),
-    /// Those that lead the region with this number when the fault begins.
+    /// The entries that lead the region with this number when the fault begins.
     Leads(usize),
-    /// All of the region with this number.
+    /// All entries of the region with this number.
     Region(usize),
-    /// All.
+    /// All entries.
     All,
 }
 
-/// One fault of a run.
+/// A scheduled fault.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlannedFault {
-    /// When it begins.
+    /// Start time, relative to the start of the run.
     pub at: Duration,
-    /// How long it lasts.
+    /// Duration.
     pub duration: Duration,
-    /// What goes wrong.
+    /// Kind of a fault.
     pub kind: FaultKind,
-    /// Whom it concerns.
+    /// Target.
     pub target: FaultTarget,
 }
 
-/// The faults of a run of `seconds` with `entries` in `regions`.
+/// Draws the faults of a run of `seconds` with `entries` entries in `regions` regions.
 pub fn draw_faults(seed: u64, seconds: u64, entries: usize, regions: usize) -> Vec<PlannedFault> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let end = Duration::from_secs(seconds).saturating_sub(FAULT_FREE_END);
--- a/bin/lh-soak/src/fleet.rs
+++ b/bin/lh-soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The entries' processes. Each is ended by its own id.
+//! Processes of the entries. Signals go to each process by its own id.
 
 use std::fs::File;
 use std::io::{BufRead as _, BufReader, Write as _};
@@ -21,10 +21,10 @@
 const LOOKUP_PORT: u16 = 20_003;
 const METRICS_PORT: u16 = 20_004;
 const PEER_PORT: u16 = 20_005;
-/// Entries that others are told of at their start.
+/// Number of entries that are configured as peer seeds.
 const SEED_COUNT: usize = 3;
 
-/// One entry with its way to the store.
+/// An `lh-entry` process with its proxy to the store.
 #[derive(Debug)]
 pub(crate) struct EntryProcess {
     index: usize,
@@ -34,13 +34,13 @@
     proxy: StoreProxy,
     run: u32,
     child: Option<Child>,
-    /// Whether its present run leads its region, by its lines.
+    /// Whether the current run leads its region, according to its log.
     is_lead: Arc<AtomicBool>,
     recorder: RunRecorder,
 }
 
 impl EntryProcess {
-    /// The entry with the number `index`, not started; its settings and lines go to `folder`.
+    /// Creates entry number `index` without starting it. Its settings and log go to `folder`.
     pub(crate) fn new(
         index: usize,
         (program, folder): (&Path, &Path),
@@ -63,17 +63,17 @@
         Ok(entry)
     }
 
-    /// Where it takes callers.
+    /// Address for callers.
     pub(crate) fn caller_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, CALLER_PORT)
     }
 
-    /// Where it says that it is ready.
+    /// Address of the readiness endpoint.
     pub(crate) fn ready_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, READY_PORT)
     }
 
-    /// Its way to the store.
+    /// Proxy through which it reaches the store.
     pub(crate) fn proxy(&self) -> &StoreProxy {
         &self.proxy
     }
@@ -83,7 +83,7 @@
         self.is_lead.load(Ordering::Relaxed)
     }
 
-    /// Starts its process, unless it runs.
+    /// Starts the process if it is not running.
     pub(crate) fn start(&mut self) -> Result<()> {
         if self.is_running() {
             return Ok(());
@@ -97,7 +97,8 @@
             .stderr(Stdio::null())
             .spawn()?;
         let output = child.stdout.take();
-        let output = output.ok_or_else(|| Error::Start("no output of an entry".to_owned()))?;
+        let output = output
+            .ok_or_else(|| Error::Start("the output of an entry is not captured".to_owned()))?;
         let file = File::options()
             .create(true)
             .append(true)
@@ -116,13 +117,13 @@
         Ok(())
     }
 
-    /// Whether its process runs.
+    /// Whether the process is running.
     pub(crate) fn is_running(&mut self) -> bool {
         let child = self.child.as_mut();
         child.is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
-    /// Sends a signal to its process, if it runs.
+    /// Sends a signal to the process if it is running.
     pub(crate) fn signal(&mut self, signal: Signal) -> Result<()> {
         if !self.is_running() {
             return Ok(());
@@ -135,7 +136,7 @@
         Ok(())
     }
 
-    /// Ends its process at once.
+    /// Kills the process and waits for its end.
     pub(crate) fn kill(&mut self) -> Result<()> {
         if let Some(mut child) = self.child.take() {
             child.kill()?;
@@ -182,24 +183,28 @@
 impl Drop for EntryProcess {
     fn drop(&mut self) {
         if let Err(error) = self.kill() {
-            eprintln!("entry {} may still run: {error}", self.index);
+            eprintln!(
+                "failed to kill entry {}, which may still be running: {error}",
+                self.index
+            );
         }
     }
 }
 
-/// The loopback address of an entry; runs beside each other have different ones.
+/// Loopback address of an entry. It depends on the process id, so that concurrent runs don't
+/// conflict.
 fn loopback_ip(index: usize) -> IpAddr {
     let [_, _, high, low] = std::process::id().to_be_bytes();
     let last = u8::try_from(index % 250 + 1).unwrap_or(u8::MAX);
     IpAddr::from([127, 32 + high % 64, low, last])
 }
 
-/// The entries that others are told of at their start.
+/// Addresses of the entries that are configured as peer seeds.
 pub(crate) fn seed_addresses(entries: usize) -> Vec<IpAddr> {
     (0..entries.min(SEED_COUNT)).map(loopback_ip).collect()
 }
 
-/// Reads the lines of one run of an entry.
+/// Reads the log of one run of an entry.
 struct LogReader {
     entry: usize,
     run: u32,
@@ -210,7 +215,7 @@
 impl LogReader {
     fn read(&self, lines: BufReader<std::process::ChildStdout>, mut file: File) {
         for line in lines.lines().map_while(std::result::Result::ok) {
-            // Lines are kept for whoever traces a finding; the judge needs none of the files.
+            // The log files are for debugging only; the judge does not read them.
             let _ = writeln!(file, "{line}");
             let Ok(line) = serde_json::from_str::<Value>(&line) else {
                 continue;
@@ -235,10 +240,10 @@
     }
 }
 
-/// What a line says of a server.
+/// Extracts a change of a server from a log line.
 fn server_change(line: &Value) -> Option<(String, ServerChange)> {
     let change = match line["event"].as_str()? {
-        // A server may be listed anew as leaving.
+        // A server that was unknown before may be listed as draining from the start.
         "server joined" if line["state"] == "draining" => ServerChange::Left,
         "server joined" => ServerChange::Joined,
         "server is leaving" | "server is gone" => ServerChange::Left,
--- a/bin/lh-soak/src/history.rs
+++ b/bin/lh-soak/src/history.rs
@@ -1,4 +1,4 @@
-//! Everything that a run's judge needs, with times since its start.
+//! Recorded events of a run, with times since its start. The judge needs nothing else.
 
 use std::fs;
 use std::path::Path;
@@ -8,45 +8,45 @@
 use crate::error::Result;
 
 base::common! {
-    /// What happened.
+    /// An event of a run.
     #[derive(Eq)]
     #[serde(rename_all = "kebab-case")]
     pub enum RunEvent {
-        /// The store acknowledged that the server is leaving or dropped its row.
+        /// The store acknowledged that the server is leaving, or deleted its row.
         Left {
             /// The server.
             server: String,
         },
-        /// An older word of a server that has left was written to the store.
+        /// An earlier heartbeat of a departed server was written to the store late.
         LateWord {
             /// The server.
             server: String,
         },
-        /// A request reached a server, which runs it.
+        /// A server received a request and executes it.
         Arrived {
             /// The server.
             server: String,
             /// The entry that sent it.
             entry: usize,
-            /// The request.
+            /// Id of the request.
             request: String,
         },
-        /// An entry wrote a line on a server.
+        /// An entry logged a change of a server.
         Line {
             /// The entry.
             entry: usize,
-            /// The entry's run.
+            /// Run number of the entry's process.
             run: u32,
             /// The server.
             server: String,
-            /// What became of it.
+            /// The change.
             change: ServerChange,
         },
-        /// A process of an entry was started.
+        /// The process of an entry was started.
         Started {
             /// The entry.
             entry: usize,
-            /// The entry's run.
+            /// Run number of the entry's process.
             run: u32,
         },
         /// The process of an entry has ended.
@@ -54,91 +54,91 @@
             /// The entry.
             entry: usize,
         },
-        /// A fault began or was renewed.
+        /// A fault began.
         Fault {
-            /// What it is.
+            /// Name of the fault.
             name: String,
-            /// The entry that it concerns; none where it is the store's.
+            /// The affected entry; `None` for faults of the store.
             entry: Option<usize>,
         },
         /// A fault ended.
         Calm {
-            /// The entry that it concerned; none where it was the store's.
+            /// The affected entry; `None` for faults of the store.
             entry: Option<usize>,
         },
-        /// The run's own threads were late by so many milliseconds.
+        /// The tasks of the soak process itself were delayed.
         Lag {
-            /// Milliseconds.
+            /// Delay in milliseconds.
             ms: u64,
         },
-        /// A caller has got an answer.
+        /// A caller's request ended.
         Answered {
-            /// The request.
+            /// Id of the request.
             request: String,
-            /// The status; 0 where no whole answer came.
+            /// Status code; 0 if no complete response was received.
             status: u16,
-            /// The answer's body.
+            /// Body of the response.
             body: String,
         },
     }
 
-    /// What an entry wrote of a server.
+    /// A change of a server that an entry logged.
     #[derive(Copy, Eq)]
     #[serde(rename_all = "kebab-case")]
     pub enum ServerChange {
-        /// It takes requests from now on.
+        /// The server takes requests from now on.
         Joined,
-        /// It leaves or is gone.
+        /// The server is leaving or gone.
         Left,
     }
 
-    /// An event and when it happened.
+    /// An event with its time.
     #[derive(Eq)]
     pub struct TimedEvent {
         /// Milliseconds since the start of the run.
         pub at: u64,
-        /// What happened.
+        /// The event.
         pub event: RunEvent,
     }
 
-    /// What happened in a run, in the order of time.
+    /// All events of a run, ordered by time.
     pub struct RunHistory {
-        /// Seed of the faults.
+        /// Seed of the run.
         pub seed: u64,
-        /// What happened.
+        /// The events, ordered by time.
         pub events: Vec<TimedEvent>,
     }
 }
 
 impl RunHistory {
-    /// Reads a history that was kept.
+    /// Reads a saved history.
     ///
     /// # Errors
-    /// Where the file can't be read or isn't a history.
+    /// If the file can't be read or is not a history.
     pub fn read(path: &Path) -> Result<Self> {
         Ok(serde_json::from_slice(&fs::read(path)?)?)
     }
 
-    /// Keeps the history in the file `path`.
+    /// Writes the history to the file `path`.
     ///
     /// # Errors
-    /// Where the file can't be written.
+    /// If the file can't be written.
     pub fn write(&self, path: &Path) -> Result<()> {
         Ok(fs::write(path, serde_json::to_vec(self)?)?)
     }
 }
 
-/// Takes down the events of a run.
+/// Records the events of a run.
 #[derive(Debug, Clone)]
 pub(crate) struct RunRecorder {
     started: Instant,
-    /// The same by the time of day.
+    /// Wall-clock time of `started`, to place log lines of the entries.
     started_at: SystemTime,
     events: Arc<Mutex<Vec<TimedEvent>>>,
 }
 
 impl RunRecorder {
-    /// A recorder of a run that begins now.
+    /// Creates a recorder for a run that starts now.
     pub(crate) fn new() -> Self {
         Self {
             started: Instant::now(),
@@ -147,22 +147,23 @@
         }
     }
 
-    /// Takes down `event`, which happens now.
+    /// Records `event` with the current time.
     pub(crate) fn record(&self, event: RunEvent) {
         let mut events = self.lock();
         let at = millis(self.started.elapsed());
         events.push(TimedEvent { at, event });
     }
 
-    /// Takes down `event`, which happened at `time_ms`, in Unix milliseconds. Lines of a process
-    /// that gets little processor time are read seconds later.
+    /// Records `event` with the time `time_ms`, in Unix milliseconds. The time of reading a log
+    /// line is no substitute: the output of a process that is starved of CPU time arrives seconds
+    /// late.
     pub(crate) fn record_at(&self, time_ms: u64, event: RunEvent) {
         let started = self.started_at.duration_since(UNIX_EPOCH);
         let at = time_ms.saturating_sub(millis(started.unwrap_or_default()));
         self.lock().push(TimedEvent { at, event });
     }
 
-    /// The history so far.
+    /// Returns the events recorded so far, sorted by time.
     pub(crate) fn history(&self, seed: u64) -> RunHistory {
         let mut events = self.lock().clone();
         events.sort_by_key(|event| event.at);
@@ -174,7 +175,7 @@
     }
 }
 
-/// Whole milliseconds.
+/// Converts a duration to whole milliseconds.
 pub(crate) fn millis(span: Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
--- a/bin/lh-soak/src/judge.rs
+++ b/bin/lh-soak/src/judge.rs
@@ -1,15 +1,15 @@
-//! Which promises a run has broken.
+//! Checks the guarantees against a recorded history.
 //!
-//! - **Drain.** No request reaches a server later than [`DRAIN_TIMEOUT`] after the store acknowledged
-//!   its leaving, from an entry without faults for [`STABLE_WINDOW`] and of a store without
-//!   faults for as long. Where the store lists an older word of it and no process that had
-//!   seen the server leave before runs any more, the store's word is all that there is: counted
-//!   apart.
-//! - **Return.** An entry that has written that a server left doesn't take it in again in the
-//!   same run, and sends it nothing [`DRAIN_TIMEOUT`] later; this holds under all faults.
-//! - **Once.** A request that must not repeat runs once at most, one that was answered as not run
-//!   has not run, and a good answer is the whole one of a server that ran the request; under all
-//!   faults.
+//! - **Drain.** No request reaches a server later than [`DRAIN_TIMEOUT`] after the store
+//!   acknowledged its departure, if the entry and the store have been free of faults for
+//!   [`STABLE_WINDOW`]. Late requests are counted separately if the store lists an earlier
+//!   heartbeat of the server and every process that had seen it leave before that has ended:
+//!   then no entry can know better.
+//! - **Return.** An entry that logged the departure of a server does not take it in again in the
+//!   same run, and sends it no request [`DRAIN_TIMEOUT`] later. This holds under all faults.
+//! - **Once.** An at-most-once request is executed at most once. A request that was answered as
+//!   not run has not been executed. A successful response is the complete response of a server
+//!   that executed the request. This holds under all faults.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt;
@@ -18,42 +18,44 @@
 use crate::history::{RunEvent, RunHistory, ServerChange, millis};
 use crate::{callers, servers};
 
-/// Status of a good answer.
+/// Status code of a successful response.
 const STATUS_OK: u16 = 200;
-/// Statuses which promise that the request has not run and never will.
+/// Status codes which guarantee that the request was not executed and never will be.
 const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
-/// Broken promises that are told one by one.
+/// Largest number of violations that are printed in full.
 const MAX_PRINTED_VIOLATIONS: usize = 12;
 
-/// What came of a run.
+/// Result of checking a history.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SoakReport {
-    /// Seed of the faults.
+    /// Seed of the run.
     pub seed: u64,
-    /// Requests that reached servers.
+    /// Number of requests that reached servers.
     pub arrivals: usize,
-    /// Servers that have left.
+    /// Number of servers that left.
     pub servers_left: usize,
-    /// Faults by name.
+    /// Number of faults by name.
     pub faults: BTreeMap<String, usize>,
-    /// Late requests by entries without faults.
+    /// Violations of **Drain**: late requests by entries without faults.
     pub drain_violations: Vec<String>,
-    /// Servers that were taken in again by entries that had written of their leaving.
+    /// Violations of **Return**: servers that an entry took in again, or sent requests to, after it
+    /// had logged their departure.
     pub readmissions: Vec<String>,
-    /// Requests that ran twice, were run though refused, or got another answer than their own.
+    /// Violations of **Once**: requests that were executed twice or in spite of a refusal, or got
+    /// the wrong response.
     pub once_violations: Vec<String>,
-    /// Late requests to servers that the store lists by an older word, and whose leaving no
-    /// process has seen that runs.
+    /// Late requests to servers that the store lists with an earlier heartbeat, and whose departure
+    /// was seen by no process that still runs.
     pub forgotten: usize,
-    /// Late requests by entries or of a store with faults, and the latest of them in
-    /// milliseconds; no promise binds there.
+    /// Number of late requests while the entry or the store was faulty, and their largest delay in
+    /// milliseconds. No guarantee applies to them.
     pub late_under_faults: (usize, u64),
-    /// Answers of status 200 and others.
+    /// Number of responses with status 200, and of all others.
     pub responses: (usize, usize),
 }
 
 impl SoakReport {
-    /// Number of broken promises.
+    /// Number of violations.
     pub fn violation_count(&self) -> usize {
         self.drain_violations.len() + self.readmissions.len() + self.once_violations.len()
     }
@@ -95,7 +97,7 @@
     }
 }
 
-/// Times without faults of an entry or of the store.
+/// Current faults of an entry or of the store.
 #[derive(Debug, Default, Clone, Copy)]
 struct FaultState {
     active_faults: u32,
@@ -112,35 +114,35 @@
         self.fault_free_since = at;
     }
 
-    /// Whether there was no fault for the stable window at `at`.
+    /// Whether at `at` there has been no fault for [`STABLE_WINDOW`].
     fn is_stable(&self, at: u64) -> bool {
         self.active_faults == 0 && at >= self.fault_free_since + millis(STABLE_WINDOW)
     }
 }
 
-/// An entry and the number of its run.
+/// Entry number and run number.
 type EntryRun = (usize, u32);
 
 #[derive(Debug, Default)]
 struct RunJudge {
     store: FaultState,
     entries: HashMap<usize, FaultState>,
-    /// When each leaving was acknowledged.
+    /// Time at which the store acknowledged the departure of each server.
     left_at: HashMap<String, u64>,
-    /// When each run of an entry wrote that a server left.
+    /// Time at which each run of an entry logged the departure of a server.
     seen_leaving_at: HashMap<(usize, u32, String), u64>,
     runs: HashMap<usize, u32>,
     max_lag_ms: u64,
-    /// When an older word of a server was written, and the runs of entries that had seen the
-    /// server leave.
+    /// For each server, when an earlier heartbeat was written late, and the runs that had seen
+    /// the departure by then.
     late_heartbeats: HashMap<String, (u64, Vec<EntryRun>)>,
-    /// The servers that ran each request.
+    /// The servers that executed each request.
     servers_by_request: HashMap<String, Vec<String>>,
-    /// Requests that were answered as not run.
+    /// At-most-once requests that were answered as not run.
     refused: HashSet<String>,
 }
 
-/// Judges `history`.
+/// Checks `history` against the guarantees.
 pub fn judge(history: &RunHistory) -> SoakReport {
     let mut report = SoakReport {
         seed: history.seed,
@@ -226,7 +228,7 @@
         let seen_leaving_at = self.seen_leaving_at.get(&(entry, run, server.to_owned()));
         if seen_leaving_at.is_some_and(|seen_at| at > seen_at + bound) {
             let text = format!(
-                "returned: {server} got a request at {at} ms from entry {entry}, which knew of its leaving; left {left_at} ms"
+                "returned: {server} got a request at {at} ms from entry {entry}, which knew that it left at {left_at} ms"
             );
             report.readmissions.push(text);
             return;
@@ -236,7 +238,7 @@
         }
         let late = at - left_at;
         let is_stable = self.fault_state(Some(entry)).is_stable(at) && self.store.is_stable(at);
-        // A leaving in a disturbance counts from the time when the store was stable again.
+        // If the store was faulty at the departure, the bound starts when it is stable again.
         let bound_start = left_at.max(self.store.fault_free_since + millis(STABLE_WINDOW));
         let late_heartbeat = self.late_heartbeats.get(server);
         if !is_stable || at <= bound_start + bound {
@@ -248,7 +250,7 @@
             let written_at = late_heartbeat.map(|(at, _)| at);
             report.drain_violations.push(format!(
                 "drain: {server} got a request at {at} ms from entry {entry}, {late} ms after its \
-                 leaving; older word written at {written_at:?}"
+                 departure; earlier heartbeat written at {written_at:?}"
             ));
         }
     }
@@ -298,7 +300,7 @@
         }
     }
 
-    /// The runs that have seen `server` leave.
+    /// Returns the running processes that have logged the departure of `server`.
     fn runs_aware_of(&self, server: &str) -> Vec<EntryRun> {
         let runs = self.runs.iter().map(|(entry, run)| (*entry, *run));
         let is_aware = |(entry, run): &EntryRun| {
@@ -328,7 +330,7 @@
             }
             ServerChange::Joined if self.seen_leaving_at.contains_key(&key) => {
                 let text = format!(
-                    "returned: entry {entry} took {server} in again at {at} ms, having written that it left"
+                    "returned: entry {entry} took {server} in again at {at} ms, after it had logged its departure"
                 );
                 report.readmissions.push(text);
             }
--- a/bin/lh-soak/src/lib.rs
+++ b/bin/lh-soak/src/lib.rs
@@ -1,8 +1,8 @@
-//! A fault soak: real `lh-entry` processes in real time before stand-ins of the store and the
-//! backend servers, with faults from outside, drawn by a seed.
+//! Soak test with fault injection: runs real `lh-entry` processes in real time against fakes of
+//! the store and the backend servers, and injects faults that are generated from a seed.
 //!
-//! What servers and entries report goes into a [`history::RunHistory`]; [`judge`] decides
-//! from that alone which promises were broken, so that a history can be judged again.
+//! All events are recorded in a [`history::RunHistory`]. [`judge`] checks the guarantees from
+//! this history alone, so that a saved history can be checked again.
 
 mod callers;
 mod churn;
--- a/bin/lh-soak/src/main.rs
+++ b/bin/lh-soak/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `lh-soak`.
+//! Entry point of `lh-soak`.
 
 use std::process::ExitCode;
 
--- a/bin/lh-soak/src/proxy.rs
+++ b/bin/lh-soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy between one entry and the store, with faults on demand.
+//! TCP proxy between one entry and the store, with fault injection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,28 +8,28 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Bytes passed on at once.
+/// Size of the copy buffer.
 const CHUNK_BYTES: usize = 16 << 10;
 
-/// What the way to the store does.
+/// Fault of the link to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) enum LinkFault {
-    /// Passes everything on.
+    /// Forwards everything.
     #[default]
     None,
-    /// Closes each connection.
+    /// Closes open connections, and new ones at once.
     Refuse,
-    /// Passes nothing on and closes nothing.
+    /// Forwards nothing but keeps connections open.
     Stall,
-    /// Passes calls on and loses their answers.
+    /// Forwards requests but no responses.
     DropResponses,
-    /// Passes each answer on after this time.
+    /// Delays responses by this duration.
     DelayResponses(Duration),
-    /// Closes what is open now and then passes on.
+    /// Closes the open connections, then forwards everything.
     Reset,
 }
 
-/// The proxy of one entry.
+/// Proxy of one entry.
 #[derive(Debug, Clone)]
 pub(crate) struct StoreProxy {
     address: SocketAddr,
@@ -37,7 +37,7 @@
 }
 
 impl StoreProxy {
-    /// A proxy to the store at `store_address`.
+    /// Starts a proxy to the store at `store_address`.
     pub(crate) async fn start(store_address: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -50,12 +50,12 @@
         Ok(Self { address, fault })
     }
 
-    /// Where the entry finds the store.
+    /// Address to which the entry connects.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Puts `fault` in force, also for connections that are open.
+    /// Sets the fault for new and open connections.
     pub(crate) fn set(&self, fault: LinkFault) {
         self.fault.send_replace(fault);
     }
--- a/bin/lh-soak/src/servers.rs
+++ b/bin/lh-soak/src/servers.rs
@@ -1,4 +1,4 @@
-//! Backend servers that come and leave, and what reaches them.
+//! Fake backend servers. They register at the store and record the requests that reach them.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -20,11 +20,11 @@
 use crate::error::Result;
 use crate::history::{RunEvent, RunRecorder};
 
-/// Name of the service.
+/// Name of the service that all servers offer.
 pub(crate) const SERVICE: &str = "board";
-/// Table of the servers' rows.
+/// Store table with the registrations of servers.
 const TABLE: &str = "servers";
-/// How long a request takes.
+/// Processing time of a request.
 const SERVICE_TIME: Duration = Duration::from_millis(30);
 /// Path of the health check.
 const HEALTH_PATH: &str = "/health";
@@ -32,19 +32,19 @@
 /// How a server leaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LeaveKind {
-    /// It says so, and its row is dropped later.
+    /// It writes the state `draining`; its row is deleted later.
     Announced,
-    /// Its row is dropped.
+    /// Its row is deleted at once.
     Unannounced,
 }
 
-/// One server.
+/// A backend server.
 #[derive(Debug, Clone)]
 pub(crate) struct SoakServer {
     id: String,
     address: SocketAddr,
     domain: String,
-    /// Number of its newest word.
+    /// Sequence number of its latest registration.
     seq: u64,
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// All servers and the store that they register at.
+/// All running servers and the store at which they register.
 #[derive(Debug, Clone)]
 pub(crate) struct ServerPool {
     store: FakeStore,
@@ -64,7 +64,7 @@
 }
 
 impl ServerPool {
-    /// A park without servers.
+    /// Creates an empty pool.
     pub(crate) fn new(store: FakeStore, recorder: RunRecorder) -> Self {
         Self {
             store,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Starts a server, which registers at once.
+    /// Starts a server and registers it.
     pub(crate) async fn start_server(&self) -> Result<()> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let index = {
@@ -95,12 +95,12 @@
         Ok(())
     }
 
-    /// Number of servers that live.
+    /// Number of servers that have not left.
     pub(crate) fn live_count(&self) -> usize {
         self.live().len()
     }
 
-    /// The server at `index` begins to leave; it serves on.
+    /// Lets the server at `index` leave. It still serves requests that reach it.
     pub(crate) fn start_leaving(&self, index: usize, kind: LeaveKind) -> SoakServer {
         let mut server = self.live().swap_remove(index);
         let server_id = server.id.clone();
@@ -116,18 +116,18 @@
         server
     }
 
-    /// The row of a server that has left is dropped.
+    /// Deletes the row of a departed server.
     pub(crate) fn delete_row(&self, server: &SoakServer) {
         self.store.delete_row(TABLE, &server.id);
     }
 
-    /// A server that announced its leaving says so again, after all words so far.
+    /// Registers a departed server as draining again, with a sequence number above all earlier ones.
     pub(crate) fn write_draining(&self, server: &SoakServer) {
         let registration = server.registration("draining", server.seq + 1);
         self.store.put(TABLE, &server.id, &registration);
     }
 
-    /// The store performs a heartbeat late that `server` sent before it left.
+    /// Applies a heartbeat that `server` sent before it left, with its old sequence number.
     pub(crate) fn write_late_heartbeat(&self, server: &SoakServer) {
         let id = server.id.clone();
         self.recorder.record(RunEvent::LateWord { server: id });
@@ -135,7 +135,7 @@
         self.store.put(TABLE, &server.id, &registration);
     }
 
-    /// The rows of the share `share` of the servers lapse; they are listed again by
+    /// Deletes the rows of the share `share` of the servers and returns their ids, for
     /// [`ServerPool::reregister`].
     pub(crate) fn expire_rows(&self, share: f64) -> Vec<String> {
         let live = self.live();
@@ -148,7 +148,7 @@
         expired
     }
 
-    /// The servers `expired` that live are listed again.
+    /// Registers those of the servers `expired` again that have not left.
     pub(crate) fn reregister(&self, expired: &[String]) {
         let mut live = self.live();
         for server in live.iter_mut() {
@@ -177,7 +177,7 @@
         let (id, recorder) = (id.clone(), recorder.clone());
         async move { Ok::<_, Infallible>(handle_request(&id, &recorder, request).await) }
     });
-    // A connection that breaks is its entry's matter.
+    // Connection errors are left to the entry, which reconnects.
     let _ = http1::Builder::new()
         .serve_connection(TokioIo::new(stream), service)
         .await;
@@ -225,12 +225,12 @@
     response.unwrap_or_else(|_| Response::new(Full::new(Bytes::new())))
 }
 
-/// The answer's body to `request` by `server`.
+/// The body with which `server` responds to `request`.
 pub(crate) fn response_body(request: &str, server: &str) -> String {
     format!("{request} ran at {server}")
 }
 
-/// The entry that a caller sent the request to, by the request's id.
+/// Parses the number of the entry to which the caller sent the request from the request id.
 fn entry_of(request_id: &str) -> Option<usize> {
     request_id.split('-').next()?.parse().ok()
 }
--- a/bin/lh-soak/src/soak.rs
+++ b/bin/lh-soak/src/soak.rs
@@ -1,4 +1,4 @@
-//! One run, read from top to bottom in [`run_soak`].
+//! The course of a run; see [`run_soak`].
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -17,13 +17,13 @@
 use crate::trouble::inject;
 use crate::world::World;
 
-/// Time between two looks at whether the run's own threads are late.
+/// Interval between two measurements of the scheduling delay of this process.
 const LAG_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Plays a run and returns what happened.
+/// Executes a run and returns its history.
 ///
 /// # Errors
-/// Where sockets, files or processes fail, or the entries don't start.
+/// If sockets, files or processes fail, the entries don't start, or a signal interrupts the run.
 pub(crate) fn run_soak(config: &SoakConfig) -> Result<RunHistory> {
     let busy = BusyThreads::start(config.busy_threads);
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -35,13 +35,13 @@
             stopped = stop_signal() => Err(stopped),
         }
     });
-    // Ends the entries of a run that was stopped.
+    // Kills the entries of an interrupted run, by dropping its tasks.
     drop(runtime);
     drop(busy);
     result
 }
 
-/// Waits for a signal that ends the run.
+/// Waits for SIGTERM or SIGINT.
 async fn stop_signal() -> Error {
     let sigterm = signal(SignalKind::terminate());
     let mut terminate = match sigterm {
@@ -82,7 +82,7 @@
     Ok(history)
 }
 
-/// Keeps history and lines where they were asked for or a promise was broken.
+/// Saves the history and the logs if `--keep` was given or a guarantee was violated.
 fn save_results(
     config: &SoakConfig,
     history: &RunHistory,
@@ -94,12 +94,12 @@
     if judge::judge(history).violation_count() > 0 {
         let folder: PathBuf = temp_folder.keep();
         history.write(&folder.join("history.json"))?;
-        eprintln!("kept in {}", folder.display());
+        eprintln!("history and logs kept in {}", folder.display());
     }
     Ok(())
 }
 
-/// Takes down how late this process's own tasks run.
+/// Records the scheduling delay of this process whenever it reaches a new maximum.
 async fn measure_lag(recorder: RunRecorder) {
     let mut worst = Duration::ZERO;
     loop {
@@ -113,7 +113,7 @@
     }
 }
 
-/// Threads that keep processors busy.
+/// Threads that spin until dropped, to generate CPU load.
 struct BusyThreads {
     stop: Arc<AtomicBool>,
     threads: Vec<std::thread::JoinHandle<()>>,
--- a/bin/lh-soak/src/trouble.rs
+++ b/bin/lh-soak/src/trouble.rs
@@ -1,4 +1,4 @@
-//! Causes faults and ends them.
+//! Fault injection.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,21 +13,21 @@
 use crate::proxy::LinkFault;
 use crate::world::World;
 
-/// Time within which servers are listed again after an outage of the store.
+/// Time over which expired servers register again after an outage of the store.
 const REREGISTER_DURATION: Duration = Duration::from_millis(1900);
-/// A starved entry runs and stands still in turn.
+/// Alternating running and stopped times of a starved entry.
 const STARVED_RUN_TIME: Duration = Duration::from_millis(40);
 const STARVED_STOP_TIME: Duration = Duration::from_millis(360);
-/// Pause of an entry between its end and its next start.
+/// Delay between the end of an entry's process and its restart.
 const RESTART_DELAY: Duration = Duration::from_millis(400);
-/// Time in which a planned stop must end.
+/// Time after SIGTERM after which a process is killed.
 const STOP_TIMEOUT: Duration = Duration::from_secs(7);
-/// Time between two looks at whether stopped entries have ended.
+/// Interval between two checks whether stopped processes have exited.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// A link that breaks is closed for this long.
+/// Time for which a broken link refuses connections.
 const LINK_BREAK_DURATION: Duration = Duration::from_millis(30);
 
-/// Causes `fault` and ends it.
+/// Injects `fault`, waits for its duration and removes it.
 pub(crate) async fn inject(world: Arc<World>, fault: PlannedFault) -> Result<()> {
     let targets = world.targets(&fault.target);
     let name = fault.kind.name();
@@ -78,7 +78,7 @@
         _ => set(LinkFault::Refuse),
     }
     sleep(end.saturating_duration_since(Instant::now())).await;
-    // What was held back is lost: connections are new.
+    // Close all connections, so that data that was held back is never delivered.
     set(LinkFault::Reset);
     set(LinkFault::None);
 }
@@ -155,7 +155,7 @@
     }
 }
 
-/// Servers whose rows lapsed are listed again one after the other.
+/// Registers the servers whose rows expired again, one after the other.
 async fn reregister(world: &World, expired: Vec<String>) {
     let step = REREGISTER_DURATION / u32::try_from(expired.len().max(1)).unwrap_or(1);
     for id in expired {
--- a/bin/lh-soak/src/world.rs
+++ b/bin/lh-soak/src/world.rs
@@ -1,4 +1,4 @@
-//! Everything that runs: the store, the servers, the entries and their callers.
+//! Setup of a run: the store, the backend servers, the entries and their callers.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -17,11 +17,11 @@
 use crate::proxy::StoreProxy;
 use crate::servers::{SERVICE, ServerPool};
 
-/// Longest wait for all entries to become ready.
+/// Time within which all entries must become ready.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time between two looks at whether an entry is ready.
+/// Interval between two readiness checks of an entry.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Callers of each entry.
+/// Number of callers per entry.
 const CALLERS_PER_ENTRY: usize = 2;
 
 const BOARD: RouteText<'static> = RouteText {
@@ -39,7 +39,7 @@
     ..BOARD
 };
 
-/// Everything that runs.
+/// All components of a run.
 pub(crate) struct World {
     pub(crate) store: FakeStore,
     pub(crate) server_pool: ServerPool,
@@ -82,7 +82,7 @@
             let address = self.entry(index).ready_address();
             while !is_ready(address).await {
                 if started.elapsed() > START_TIMEOUT {
-                    let text = format!("entry {index} isn't ready after {START_TIMEOUT:?}");
+                    let text = format!("entry {index} is not ready after {START_TIMEOUT:?}");
                     return Err(Error::Start(text));
                 }
                 sleep(READY_POLL_INTERVAL).await;
@@ -115,7 +115,7 @@
         Ok(())
     }
 
-    /// The entries that `target` names now.
+    /// Resolves `target` to entry numbers. Leads are those at the time of the call.
     pub(crate) fn targets(&self, target: &FaultTarget) -> Vec<usize> {
         let all = 0..self.entries.len();
         let is_in = |index: &usize, region: usize| region_and_domain(*index).0 == REGIONS[region];
--- a/bin/lh-soak/tests/judge.rs
+++ b/bin/lh-soak/tests/judge.rs
@@ -1,4 +1,4 @@
-//! What the judge reports, by histories that were made up, and how faults are drawn.
+//! Tests of the judge with constructed histories, and of the fault schedule.
 
 use lh_soak::faults;
 use lh_soak::history::{RunEvent, RunHistory, ServerChange, TimedEvent};
@@ -48,7 +48,7 @@
     RunEvent::Fault { name, entry }
 }
 
-/// The verdict on `events` of entry 1 in its first run and entry 2.
+/// Judges `events`, with entries 1 and 2 running from the start, both in run 1.
 fn report(events: &[(u64, RunEvent)]) -> SoakReport {
     let started = |entry| (0, RunEvent::Started { entry, run: 1 });
     let events = [&[started(1), started(2)], events].concat();
@@ -57,8 +57,8 @@
     judge(&RunHistory { seed: 1, events })
 }
 
-/// Promise: a late request is reported, one in time isn't, and the run's own delay is allowed
-/// for.
+/// A late request is reported, a timely one is not. The bound is extended by the scheduling delay
+/// of the soak process itself.
 #[test]
 fn a_late_request_is_reported() {
     let base = [(10_000, left())];
@@ -73,8 +73,8 @@
     );
 }
 
-/// Promise: no bound holds for an entry with a fault, or of a store with one, nor for the
-/// stable window after it; another entry isn't excused by it.
+/// No bound applies while an entry or the store is faulty, nor in the stable window after that.
+/// The fault of one entry does not excuse another entry.
 #[test]
 fn a_fault_excuses_its_own_entry_only() {
     let base = [
@@ -97,8 +97,8 @@
     assert_eq!(with(18_100).drain_violations.len(), 1);
 }
 
-/// Promise: an entry that takes a server in again, or sends it requests, after it wrote that
-/// the server left is reported under any fault; a run of it that began later isn't.
+/// An entry that takes a server in again, or sends it requests, after it logged the departure is
+/// reported even under faults. A later run of the same entry is not.
 #[test]
 fn a_server_taken_in_again_is_reported() {
     let base = [
@@ -114,8 +114,8 @@
     assert_eq!(with(14_100, arrived(1)).readmissions.len(), 1);
 }
 
-/// Promise: an older word is the store's own where no process that runs has seen the server
-/// leave; where one has, the request is late.
+/// A late heartbeat excuses requests only if no running process has seen the departure.
+/// Otherwise the request is reported as late.
 #[test]
 fn what_one_process_has_seen_counts_for_all() {
     let word = RunEvent::LateWord {
@@ -132,8 +132,8 @@
     assert_eq!(with(&[seen, ended]).forgotten, 1);
 }
 
-/// Promise: a second run of what must not repeat, a run of what was refused, and an answer that
-/// isn't the request's own are reported; other repeats aren't.
+/// A second execution of an at-most-once request, an execution of a refused one, and a response to
+/// another request are reported. Repeated idempotent requests are not.
 #[test]
 fn what_must_not_repeat_runs_once() {
     let once = |events: &[RunEvent]| {
@@ -166,7 +166,7 @@
     );
 }
 
-/// Promise: the same seed draws the same faults, and a run ends without any.
+/// The fault schedule is determined by the seed, and the end of a run is free of faults.
 #[test]
 fn a_seed_draws_its_faults() {
     let drawn = faults::draw_faults(7, 60, 24, 3);
--- a/bin/lh-soak/tests/soak.rs
+++ b/bin/lh-soak/tests/soak.rs
@@ -1,5 +1,5 @@
-//! A short run of real entries. What hangs on the machine's speed isn't asked for here; the
-//! long runs do that.
+//! A short run of real entries. It checks only guarantees that don't depend on the speed of the
+//! machine; longer runs check the time bounds.
 
 use std::path::Path;
 use std::process::Command;
@@ -10,8 +10,8 @@
 const SEED: &str = "1";
 const SECONDS: &str = "24";
 
-/// Promise: whatever fails, no entry takes in a server again that it knew to have left, what must
-/// not repeat runs once at most, and callers get answers, each its own.
+/// Under all faults, no entry takes a server in again whose departure it has logged, at-most-once
+/// requests are executed at most once, and callers get the responses to their own requests.
 #[test]
 fn no_entry_takes_in_a_server_that_left() {
     let program = Path::new(env!("CARGO_BIN_EXE_lh-soak"));
