--- a/bin/lh-soak/src/callers.rs
+++ b/bin/lh-soak/src/callers.rs
@@ -38,19 +38,19 @@
         if sender.is_none() {
             sender = connect(address).await;
         }
-        let Some(open) = sender.as_mut() else {
+        let Some(connection) = sender.as_mut() else {
             tokio::time::sleep(RECONNECT_DELAY).await;
             continue;
         };
-        let mark = if number.is_multiple_of(AT_MOST_ONCE_EVERY) {
+        let suffix = if number.is_multiple_of(AT_MOST_ONCE_EVERY) {
             AT_MOST_ONCE_SUFFIX
         } else {
             ""
         };
-        let request = format!("{entry}-{caller}-{number}{mark}");
+        let request = format!("{entry}-{caller}-{number}{suffix}");
         let object = number.wrapping_mul(31 + caller as u64) % OBJECT_COUNT;
         let response =
-            tokio::time::timeout(RESPONSE_TIMEOUT, exchange(open, &request, object)).await;
+            tokio::time::timeout(RESPONSE_TIMEOUT, exchange(connection, &request, object)).await;
         let response = response.ok().flatten();
         if response.is_none() {
             sender = None;
--- a/bin/lh-soak/src/churn.rs
+++ b/bin/lh-soak/src/churn.rs
@@ -42,11 +42,17 @@
                 LeaveKind::Announced
             };
             let server = world.server_pool.start_leaving(index, kind);
-            let row = (kind == LeaveKind::Announced).then(|| rng.random_range(ROW_DELETE_DELAY_MS));
-            let late = rng
+            let delete_delay_ms =
+                (kind == LeaveKind::Announced).then(|| rng.random_range(ROW_DELETE_DELAY_MS));
+            let late_delay_ms = rng
                 .random_bool(config.late_heartbeats)
                 .then(|| rng.random_range(LATE_HEARTBEAT_DELAY_MS));
-            tokio::spawn(write_rows(Arc::clone(&world), server, row, late));
+            tokio::spawn(write_rows(
+                Arc::clone(&world),
+                server,
+                delete_delay_ms,
+                late_delay_ms,
+            ));
             if let Err(error) = world.server_pool.start_server().await {
                 eprintln!("failed to start a replacement server: {error}");
             }
@@ -55,18 +61,25 @@
 }
 
 /// Applies the writes to the row of a departed server: a late heartbeat and the deletion.
-async fn write_rows(world: Arc<World>, server: SoakServer, row: Option<u64>, late: Option<u64>) {
-    let drops = async {
-        if let Some(row) = row {
-            sleep(Duration::from_millis(row)).await;
+async fn write_rows(
+    world: Arc<World>,
+    server: SoakServer,
+    delete_delay_ms: Option<u64>,
+    late_delay_ms: Option<u64>,
+) {
+    let deletion = async {
+        if let Some(delete_delay_ms) = delete_delay_ms {
+            sleep(Duration::from_millis(delete_delay_ms)).await;
             world.server_pool.delete_row(&server);
         }
     };
-    let writes = async {
-        if let Some(late) = late {
-            sleep(Duration::from_millis(late)).await;
+    let late_writes = async {
+        if let Some(late_delay_ms) = late_delay_ms {
+            sleep(Duration::from_millis(late_delay_ms)).await;
             world.server_pool.write_late_heartbeat(&server);
-            if let Some(remaining_ms) = row.and_then(|row| row.checked_sub(late)) {
+            if let Some(remaining_ms) = delete_delay_ms
+                .and_then(|delete_delay_ms| delete_delay_ms.checked_sub(late_delay_ms))
+            {
                 // A server that is still running repeats with its next heartbeat that it is draining.
                 if Duration::from_millis(remaining_ms) > HEARTBEAT_INTERVAL {
                     sleep(HEARTBEAT_INTERVAL).await;
@@ -78,5 +91,5 @@
             world.server_pool.delete_row(&server);
         }
     };
-    tokio::join!(drops, writes);
+    tokio::join!(deletion, late_writes);
 }
--- a/bin/lh-soak/src/fleet.rs
+++ b/bin/lh-soak/src/fleet.rs
@@ -214,21 +214,21 @@
 
 impl LogReader {
     fn read(&self, lines: BufReader<std::process::ChildStdout>, mut file: File) {
-        for line in lines.lines().map_while(std::result::Result::ok) {
+        for log_line in lines.lines().map_while(std::result::Result::ok) {
             // The log files are for debugging only; the judge does not read them.
-            let _ = writeln!(file, "{line}");
-            let Ok(line) = serde_json::from_str::<Value>(&line) else {
+            let _ = writeln!(file, "{log_line}");
+            let Ok(log_line) = serde_json::from_str::<Value>(&log_line) else {
                 continue;
             };
-            match line["event"].as_str() {
+            match log_line["event"].as_str() {
                 Some("leads its region") => self.is_lead.store(true, Ordering::Relaxed),
                 Some("leads no longer") => self.is_lead.store(false, Ordering::Relaxed),
                 _ => {}
             }
-            let Some((server, change)) = server_change(&line) else {
+            let Some((server, change)) = server_change(&log_line) else {
                 continue;
             };
-            let line_at = line["time_ms"].as_u64().unwrap_or_default();
+            let line_at = log_line["time_ms"].as_u64().unwrap_or_default();
             let event = RunEvent::Line {
                 entry: self.entry,
                 run: self.run,
@@ -241,13 +241,13 @@
 }
 
 /// Extracts a change of a server from a log line.
-fn server_change(line: &Value) -> Option<(String, ServerChange)> {
-    let change = match line["event"].as_str()? {
+fn server_change(log_line: &Value) -> Option<(String, ServerChange)> {
+    let change = match log_line["event"].as_str()? {
         // A server that was unknown before may be listed as draining from the start.
-        "server joined" if line["state"] == "draining" => ServerChange::Left,
+        "server joined" if log_line["state"] == "draining" => ServerChange::Left,
         "server joined" => ServerChange::Joined,
         "server is leaving" | "server is gone" => ServerChange::Left,
         _ => return None,
     };
-    Some((line["server"].as_str()?.to_owned(), change))
+    Some((log_line["server"].as_str()?.to_owned(), change))
 }
--- a/bin/lh-soak/src/lib.rs
+++ b/bin/lh-soak/src/lib.rs
@@ -12,11 +12,11 @@
 pub mod faults;
 mod fleet;
 pub mod history;
+mod injector;
 pub mod judge;
 mod proxy;
 mod servers;
 mod soak;
-mod trouble;
 mod world;
 
 pub use crate::cli::run;
--- a/bin/lh-soak/src/soak.rs
+++ b/bin/lh-soak/src/soak.rs
@@ -13,8 +13,8 @@
 use crate::error::{Error, Result};
 use crate::faults;
 use crate::history::{RunEvent, RunHistory, RunRecorder, millis};
+use crate::injector::inject;
 use crate::judge;
-use crate::trouble::inject;
 use crate::world::World;
 
 /// Interval between two measurements of the scheduling delay of this process.
--- a/bin/lh-soak/tests/judge.rs
+++ b/bin/lh-soak/tests/judge.rs
@@ -34,7 +34,7 @@
     }
 }
 
-fn line(run: u32, change: ServerChange) -> RunEvent {
+fn logged(run: u32, change: ServerChange) -> RunEvent {
     RunEvent::Line {
         entry: 1,
         run,
@@ -100,14 +100,14 @@
 /// An entry that takes a server in again, or sends it requests, after it logged the departure is
 /// reported even under faults. A later run of the same entry is not.
 #[test]
-fn a_server_taken_in_again_is_reported() {
+fn readmission_is_reported() {
     let base = [
         (9000, fault(Some(1))),
         (10_000, left()),
-        (11_000, line(1, ServerChange::Left)),
+        (11_000, logged(1, ServerChange::Left)),
     ];
     let with = |at, event| report(&[&base[..], &[(at, event)]].concat());
-    let again = |run| line(run, ServerChange::Joined);
+    let again = |run| logged(run, ServerChange::Joined);
     assert_eq!(with(12_000, again(1)).readmissions.len(), 1);
     assert_eq!(with(12_000, again(2)).readmissions.len(), 0);
     assert_eq!(with(13_900, arrived(1)).readmissions.len(), 0);
@@ -117,7 +117,7 @@
 /// A late heartbeat excuses requests only if no running process has seen the departure.
 /// Otherwise the request is reported as late.
 #[test]
-fn what_one_process_has_seen_counts_for_all() {
+fn late_heartbeat_excuses_only_unseen_departures() {
     let word = RunEvent::LateWord {
         server: "x".to_owned(),
     };
@@ -125,7 +125,7 @@
         let end = [(15_000, word.clone()), (16_000, arrived(2))];
         report(&[&[(10_000, left())], knows, &end].concat())
     };
-    let seen = (11_000, line(1, ServerChange::Left));
+    let seen = (11_000, logged(1, ServerChange::Left));
     assert_eq!(with(&[]).forgotten, 1);
     assert_eq!(with(std::slice::from_ref(&seen)).drain_violations.len(), 1);
     let ended = (12_000, RunEvent::Ended { entry: 1 });
@@ -135,7 +135,7 @@
 /// A second execution of an at-most-once request, an execution of a refused one, and a response to
 /// another request are reported. Repeated idempotent requests are not.
 #[test]
-fn what_must_not_repeat_runs_once() {
+fn at_most_once_violations_are_reported() {
     let once = |events: &[RunEvent]| {
         let events: Vec<(u64, RunEvent)> =
             events.iter().cloned().map(|event| (10, event)).collect();
@@ -168,12 +168,12 @@
 
 /// The fault schedule is determined by the seed, and the end of a run is free of faults.
 #[test]
-fn a_seed_draws_its_faults() {
-    let drawn = faults::draw_faults(7, 60, 24, 3);
-    assert_eq!(drawn, faults::draw_faults(7, 60, 24, 3));
-    assert_ne!(drawn, faults::draw_faults(8, 60, 24, 3));
-    let ends = drawn
+fn fault_schedule_is_reproducible() {
+    let schedule = faults::draw_faults(7, 60, 24, 3);
+    assert_eq!(schedule, faults::draw_faults(7, 60, 24, 3));
+    assert_ne!(schedule, faults::draw_faults(8, 60, 24, 3));
+    let ends = schedule
         .iter()
         .map(|fault| (fault.at + fault.duration).as_secs());
-    assert!(drawn.len() > 5 && ends.max().is_some_and(|last| last <= 52));
+    assert!(schedule.len() > 5 && ends.max().is_some_and(|last| last <= 52));
 }
