--- a/bin/lh-entry/tests/streams.rs
+++ b/bin/lh-entry/tests/streams.rs
@@ -13,7 +13,7 @@
 use hyper::client::conn::http1::handshake;
 use hyper_util::rt::TokioIo;
 use own::{OwnWorld, SERVICE_TIME, book, send, ticket};
-use standin::{REQUEST_ID_HEADER, payload};
+use standin::{REQUEST_ID_HEADER, response_body};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
@@ -87,7 +87,7 @@
 
 fn expected(id: &str, chunks: usize) -> String {
     let body = vec![b'x'; chunks << 16];
-    payload(id, body.len() as u64, standin::checksum(0, &body))
+    response_body(id, body.len() as u64, standin::checksum(0, &body))
 }
 
 /// Promise: bodies are streamed; a large upload leaves the entry's memory flat.
--- a/bin/lh-standin/src/callers.rs
+++ b/bin/lh-standin/src/callers.rs
@@ -10,54 +10,55 @@
 use place::blocks::parse_block;
 use place::desired::RequestKind;
 use standin::{
-    CallerSim, CallerSpec, LedgerEntry, LoadMix, LoadSpec, RunLedger, ServerView, judge, run_load,
+    CallerSim, CallerSpec, LedgerEntry, LoadClass, LoadSpec, RunCounts, ServerView, run_load,
+    verify_ledger,
 };
 
 use crate::cli::LoadArguments;
-use crate::client::exchange;
+use crate::client::send_request;
 use crate::error::{Error, Result};
 use crate::report;
 
 /// Callers in each region.
 const CALLERS_PER_REGION: u8 = 8;
 /// Time for late runs to be counted before the ledger is judged.
-const SETTLE: Duration = Duration::from_millis(300);
+const SETTLE_TIME: Duration = Duration::from_millis(300);
 /// Bytes of a request that writes.
-const WRITE_BODY: usize = 600;
+const WRITE_BODY_BYTES: usize = 600;
 /// Bytes of an upload.
-const UPLOAD_BODY: usize = 256 << 10;
+const UPLOAD_BODY_BYTES: usize = 256 << 10;
 
 /// Makes the load, judges it, prints a row; fails where a promise was broken.
 pub(crate) async fn run(arguments: &LoadArguments) -> Result<()> {
     let deployment = ConfigBundle::from_folder(&arguments.deploy)?.deployment()?;
     let callers = callers(&deployment, arguments);
     let spec = LoadSpec {
-        mix: mix(&deployment, arguments.load),
-        time: Duration::from_secs_f64(arguments.seconds),
-        prefix: arguments.phase.replace(' ', "_"),
+        classes: request_classes(&deployment, arguments.load),
+        duration: Duration::from_secs_f64(arguments.seconds),
+        id_prefix: arguments.phase.replace(' ', "_"),
         seed: arguments.seed,
     };
-    let before = counts(arguments).await?;
-    let sampled = tokio::spawn(headroom(arguments.lookups.clone(), spec.time / 2));
+    let before = server_counts(arguments).await?;
+    let free_slots_sample = tokio::spawn(free_slots(arguments.lookups.clone(), spec.duration / 2));
     let entries = run_load(&spec, &callers).await;
-    tokio::time::sleep(SETTLE).await;
-    let runs: RunLedger = fetch(arguments, "runs").await?;
-    let report = judge(&entries, &runs);
-    let after = counts(arguments).await?;
+    tokio::time::sleep(SETTLE_TIME).await;
+    let runs: RunCounts = fetch_control(arguments, "runs").await?;
+    let report = verify_ledger(&entries, &runs);
+    let after = server_counts(arguments).await?;
     let (shed, late) = (after.0 - before.0, after.1 - before.1);
     if arguments.header {
         println!("{}", report::header());
     }
     println!("{}", report::row(&arguments.phase, &report, shed, late));
-    if let Ok(line) = sampled.await {
+    if let Ok(line) = free_slots_sample.await {
         println!("    free slots half-way: {line}");
     }
     if let Some(path) = &arguments.ledger {
         write_ledger(path, &entries)?;
     }
     print_reasons(&entries);
-    if report.is_broken() || late > 0 {
-        return Err(Error::Broken(arguments.phase.clone()));
+    if report.has_violations() || late > 0 {
+        return Err(Error::GuaranteesViolated(arguments.phase.clone()));
     }
     Ok(())
 }
@@ -87,8 +88,8 @@
 }
 
 /// Every service at the same share of its capacity.
-fn mix(deployment: &Deployment, load: f64) -> Vec<LoadMix> {
-    let mut mix = Vec::new();
+fn request_classes(deployment: &Deployment, load: f64) -> Vec<LoadClass> {
+    let mut classes = Vec::new();
     for service in deployment.services.values() {
         let slots: u32 = deployment
             .regions
@@ -97,11 +98,11 @@
             .sum();
         let at_most_once = !service.kind.may_repeat();
         let body = match service.kind {
-            RequestKind::Upload => UPLOAD_BODY,
-            RequestKind::AtMostOnce => WRITE_BODY,
+            RequestKind::Upload => UPLOAD_BODY_BYTES,
+            RequestKind::AtMostOnce => WRITE_BODY_BYTES,
             RequestKind::Idempotent | RequestKind::Download => 0,
         };
-        mix.push(LoadMix {
+        classes.push(LoadClass {
             service: service.id.to_string(),
             at_most_once,
             deadline: service.deadline,
@@ -109,29 +110,32 @@
             rate: load * f64::from(slots) / service.servers.service_time.as_secs_f64(),
         });
     }
-    mix
+    classes
 }
 
-async fn fetch<T: serde::de::DeserializeOwned>(arguments: &LoadArguments, path: &str) -> Result<T> {
+async fn fetch_control<T: serde::de::DeserializeOwned>(
+    arguments: &LoadArguments,
+    path: &str,
+) -> Result<T> {
     let url = format!("http://{}/{path}", arguments.control);
-    let (_, body) = exchange("GET", &url, "").await?;
+    let (_, body) = send_request("GET", &url, "").await?;
     serde_json::from_slice(&body).map_err(|cause| Error::Exchange(format!("{url}: {cause}")))
 }
 
 /// Requests that servers shed so far, and those that came while they were leaving.
-async fn counts(arguments: &LoadArguments) -> Result<(u64, u64)> {
-    let views: Vec<ServerView> = fetch(arguments, "servers").await?;
+async fn server_counts(arguments: &LoadArguments) -> Result<(u64, u64)> {
+    let views: Vec<ServerView> = fetch_control(arguments, "servers").await?;
     let shed = views.iter().map(|view| view.shed).sum();
     let late = views.iter().map(|view| view.while_leaving).sum();
     Ok((shed, late))
 }
 
 /// Free slots of each service as an entry sees them, after `wait`.
-async fn headroom(lookups: Vec<SocketAddr>, wait: Duration) -> String {
+async fn free_slots(lookups: Vec<SocketAddr>, wait: Duration) -> String {
     tokio::time::sleep(wait).await;
     for address in lookups {
         let url = format!("http://{address}/v1/status");
-        let Ok((_, body)) = exchange("GET", &url, "").await else {
+        let Ok((_, body)) = send_request("GET", &url, "").await else {
             continue;
         };
         let status: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
@@ -159,13 +163,13 @@
 
 /// Prints why requests were not done, most frequent first.
 fn print_reasons(entries: &[LedgerEntry]) {
-    let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
+    let mut reason_counts: BTreeMap<&str, usize> = BTreeMap::new();
     for entry in entries.iter().filter(|entry| !entry.detail.is_empty()) {
-        *counts.entry(entry.detail.as_str()).or_default() += 1;
+        *reason_counts.entry(entry.detail.as_str()).or_default() += 1;
     }
-    let mut counts: Vec<_> = counts.into_iter().collect();
-    counts.sort_by_key(|(_, count)| std::cmp::Reverse(*count));
-    for (reason, count) in counts.into_iter().take(5) {
+    let mut reason_counts: Vec<_> = reason_counts.into_iter().collect();
+    reason_counts.sort_by_key(|(_, count)| std::cmp::Reverse(*count));
+    for (reason, count) in reason_counts.into_iter().take(5) {
         println!("    {count:>5} x {reason}");
     }
 }
--- a/bin/lh-standin/src/client.rs
+++ b/bin/lh-standin/src/client.rs
@@ -13,17 +13,17 @@
 use crate::error::{Error, Result};
 
 /// Time between two tries.
-const RETRY: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Longest wait for one answer.
-const TIME: Duration = Duration::from_secs(5);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Sends one request; gives status and body.
-pub(crate) async fn exchange(method: &str, url: &str, body: &str) -> Result<(u16, Bytes)> {
-    exchange_as(None, method, url, body).await
+pub(crate) async fn send_request(method: &str, url: &str, body: &str) -> Result<(u16, Bytes)> {
+    send_request_with_key(None, method, url, body).await
 }
 
 /// The same with the key of a team.
-async fn exchange_as(
+async fn send_request_with_key(
     key: Option<&str>,
     method: &str,
     url: &str,
@@ -40,20 +40,22 @@
         .body(Full::new(Bytes::from(body.to_owned())))
         .map_err(|_| Error::Url(url.to_owned()))?;
     let client = Client::builder(TokioExecutor::new()).build_http();
-    let failed = |cause: String| Error::Exchange(format!("{url}: {cause}"));
+    let exchange_error = |cause: String| Error::Exchange(format!("{url}: {cause}"));
     let exchange = async {
         let response = client
             .request(request)
             .await
-            .map_err(|cause| failed(cause.to_string()))?;
+            .map_err(|cause| exchange_error(cause.to_string()))?;
         let status = response.status().as_u16();
         let body = response.into_body().collect().await;
-        let body = body.map_err(|cause| failed(cause.to_string()))?.to_bytes();
+        let body = body
+            .map_err(|cause| exchange_error(cause.to_string()))?
+            .to_bytes();
         Ok((status, body))
     };
-    tokio::time::timeout(TIME, exchange)
+    tokio::time::timeout(RESPONSE_TIMEOUT, exchange)
         .await
-        .unwrap_or_else(|_| Err(failed("no answer in time".to_owned())))
+        .unwrap_or_else(|_| Err(exchange_error("no answer in time".to_owned())))
 }
 
 /// Sends one request and prints the answer; fails where its status isn't what is expected.
@@ -63,13 +65,13 @@
     (body, key): (&str, Option<&str>),
     expect: Option<u16>,
 ) -> Result<()> {
-    let (status, answer) = exchange_as(key, method, url, body).await?;
+    let (status, answer) = send_request_with_key(key, method, url, body).await?;
     println!("{}", String::from_utf8_lossy(&answer));
-    let is_expected = match expect {
+    let is_expected_status = match expect {
         Some(expected) => status == expected,
         None => (200..300).contains(&status),
     };
-    if is_expected {
+    if is_expected_status {
         return Ok(());
     }
     Err(Error::Exchange(format!("{url}: status {status}")))
@@ -77,11 +79,11 @@
 
 /// Waits until `server` has run nothing for a while, and prints how long its work lasted.
 pub(crate) async fn drained(server: SocketAddr, control: SocketAddr) -> Result<()> {
-    const QUIET: Duration = Duration::from_millis(500);
-    let began = Instant::now();
-    let mut last_work = began;
-    while last_work.elapsed() < QUIET {
-        let (_, body) = exchange("GET", &format!("http://{control}/servers"), "").await?;
+    const QUIET_TIME: Duration = Duration::from_millis(500);
+    let started = Instant::now();
+    let mut last_busy = started;
+    while last_busy.elapsed() < QUIET_TIME {
+        let (_, body) = send_request("GET", &format!("http://{control}/servers"), "").await?;
         let views: Vec<ServerView> = serde_json::from_slice(&body)
             .map_err(|cause| Error::Exchange(format!("{control}: {cause}")))?;
         let name = server.to_string();
@@ -89,32 +91,32 @@
             .iter()
             .any(|view| view.address == name && view.in_use > 0);
         if busy {
-            last_work = Instant::now();
+            last_busy = Instant::now();
         }
-        tokio::time::sleep(RETRY / 5).await;
+        tokio::time::sleep(POLL_INTERVAL / 5).await;
     }
     println!(
         "    {server} was drained after {} ms",
-        (last_work - began).as_millis()
+        (last_busy - started).as_millis()
     );
     Ok(())
 }
 
 /// Waits until every URL answers with success.
 pub(crate) async fn wait(urls: &[String], seconds: u64) -> Result<()> {
-    let until = Instant::now() + Duration::from_secs(seconds);
+    let deadline = Instant::now() + Duration::from_secs(seconds);
     for url in urls {
         loop {
-            let answered = exchange("GET", url, "").await;
+            let answered = send_request("GET", url, "").await;
             if matches!(answered, Ok((200..300, _))) {
                 break;
             }
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return Err(Error::Exchange(format!(
                     "{url}: not ready after {seconds} s"
                 )));
             }
-            tokio::time::sleep(RETRY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
     Ok(())
--- a/bin/lh-standin/src/error.rs
+++ b/bin/lh-standin/src/error.rs
@@ -26,7 +26,7 @@
             display("{}", detail)
         }
         /// A promise was broken.
-        Broken(phase: String) {
+        GuaranteesViolated(phase: String) {
             display("phase '{}': a promise was broken", phase)
         }
     }
--- a/bin/lh-standin/src/lib.rs
+++ b/bin/lh-standin/src/lib.rs
@@ -29,12 +29,12 @@
         .build()?;
     runtime.block_on(async {
         match arguments.command {
-            cli::Command::Platform { listen } => servers::platform(listen).await,
+            cli::Command::Platform { listen } => servers::run_store(listen).await,
             cli::Command::Servers {
                 deploy,
                 control,
                 platform,
-            } => servers::backends(&deploy, control, platform).await,
+            } => servers::run_backends(&deploy, control, platform).await,
             cli::Command::Callers(load) => callers::run(&load).await,
             cli::Command::Send {
                 method,
--- a/bin/lh-standin/src/servers.rs
+++ b/bin/lh-standin/src/servers.rs
@@ -17,11 +17,11 @@
 /// Time after a start in which a backend server is slower.
 const COLD_TIME: Duration = Duration::from_secs(2);
 /// Time between two registrations of a server, as on the users' platform.
-const HEARTBEAT: Duration = Duration::from_millis(1500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1500);
 /// Heartbeats after which the entry of a silent server lapses.
-const LAPSE_BEATS: u32 = 3;
+const EXPIRY_HEARTBEATS: u32 = 3;
 /// Time between two looks at whether a server's mode has changed.
-const LOOK: Duration = Duration::from_millis(50);
+const MODE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Table of the servers' registrations.
 const SERVER_TABLE: &str = "servers";
 
@@ -34,14 +34,14 @@
 }
 
 /// Runs the platform's store until SIGTERM.
-pub(crate) async fn platform(listen: SocketAddr) -> Result<()> {
+pub(crate) async fn run_store(listen: SocketAddr) -> Result<()> {
     let _store = FakeStore::serve(TcpListener::bind(listen).await?);
-    stopped().await;
+    wait_for_termination().await;
     Ok(())
 }
 
 /// Runs every backend server of a deployment until SIGTERM.
-pub(crate) async fn backends(
+pub(crate) async fn run_backends(
     deploy: &Path,
     control: SocketAddr,
     platform: SocketAddr,
@@ -75,7 +75,7 @@
     let acceptor = TcpAcceptor::from_tokio(TcpListener::bind(control).await?)?;
     let server = poem::Server::new_with_acceptor(acceptor);
     server
-        .run_with_graceful_shutdown(control_routes(&backends), stopped(), None)
+        .run_with_graceful_shutdown(control_routes(&backends), wait_for_termination(), None)
         .await?;
     Ok(())
 }
@@ -88,33 +88,38 @@
         let mode = placed.backend.mode();
         let id = backend_id(&placed.backend);
         if mode == ServerMode::Down {
-            wait_for_change(&placed.backend, mode, HEARTBEAT * LAPSE_BEATS).await;
-            write(&client, RowWrite::delete(SERVER_TABLE, &id)).await;
-            wait_for_change(&placed.backend, mode, Duration::MAX).await;
+            wait_for_mode_change(
+                &placed.backend,
+                mode,
+                HEARTBEAT_INTERVAL * EXPIRY_HEARTBEATS,
+            )
+            .await;
+            write_row(&client, RowWrite::delete(SERVER_TABLE, &id)).await;
+            wait_for_mode_change(&placed.backend, mode, Duration::MAX).await;
             continue;
         }
         seq += 1;
         let entry = backend_entry(&placed.backend, &placed.part, &placed.domain, seq);
         let row = RowWrite::new(SERVER_TABLE, &id, &entry.to_string());
-        write(&client, row).await;
-        wait_for_change(&placed.backend, mode, HEARTBEAT).await;
+        write_row(&client, row).await;
+        wait_for_mode_change(&placed.backend, mode, HEARTBEAT_INTERVAL).await;
     }
 }
 
-async fn wait_for_change(backend: &BackendSim, mode: ServerMode, most: Duration) {
-    let begun = tokio::time::Instant::now();
-    while backend.mode() == mode && begun.elapsed() < most {
-        tokio::time::sleep(LOOK).await;
+async fn wait_for_mode_change(backend: &BackendSim, mode: ServerMode, max_wait: Duration) {
+    let started = tokio::time::Instant::now();
+    while backend.mode() == mode && started.elapsed() < max_wait {
+        tokio::time::sleep(MODE_POLL_INTERVAL).await;
     }
 }
 
-async fn write(client: &PlatformClient, row: RowWrite) {
+async fn write_row(client: &PlatformClient, row: RowWrite) {
     if let Err(error) = client.commit(&[row]).await {
         log::debug!(error:%; "server not registered");
     }
 }
 
-async fn stopped() {
+async fn wait_for_termination() {
     if let Err(error) = kernel::wait_for_termination().await {
         log::error!(error:% = error; "signals can't be heard");
     }
--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -17,12 +17,12 @@
 use tokio::net::TcpSocket;
 
 use crate::error::{Error, Result};
-use crate::ledger::{LedgerEntry, REQUEST_ID_HEADER, checksum, payload};
+use crate::ledger::{LedgerEntry, REQUEST_ID_HEADER, checksum, response_body};
 
 /// Longest wait for a connection or a look-up.
-const CONNECT_TIME: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Added to a request's deadline before the caller gives up.
-const PATIENCE: Duration = Duration::from_millis(500);
+const RESPONSE_GRACE: Duration = Duration::from_millis(500);
 
 /// What a caller is like.
 #[derive(Debug, Clone)]
@@ -54,11 +54,11 @@
 #[derive(Debug)]
 pub enum CallResult {
     /// An answer came, with its outcome, whether its body was wrong, and its reason.
-    Answered(Outcome, bool, String),
+    Completed(Outcome, bool, String),
     /// Nothing was sent.
-    Unsent,
+    NotSent,
     /// The connection broke after something was sent.
-    Broken(String),
+    Interrupted(String),
 }
 
 #[derive(Debug, Clone, Deserialize)]
@@ -84,7 +84,7 @@
 pub struct CallerSim {
     spec: CallerSpec,
     cache: Mutex<HashMap<String, CachedLookup>>,
-    numbers: std::sync::atomic::AtomicU64,
+    next_number: std::sync::atomic::AtomicU64,
 }
 
 impl CallerSim {
@@ -93,7 +93,7 @@
         Self {
             spec,
             cache: Mutex::new(HashMap::new()),
-            numbers: std::sync::atomic::AtomicU64::new(1),
+            next_number: std::sync::atomic::AtomicU64::new(1),
         }
     }
 
@@ -101,7 +101,7 @@
     /// was sent. An at-most-once request that broke is repeated once, elsewhere, with
     /// the same ticket and number.
     pub async fn call(&self, call: &CallSpec) -> LedgerEntry {
-        let began = Instant::now();
+        let started = Instant::now();
         let mut entry = LedgerEntry {
             id: call.id.clone(),
             service: call.service.clone(),
@@ -111,52 +111,52 @@
             wrong: false,
             took: Duration::ZERO,
         };
-        let found = match self.look_up(&call.service).await {
+        let found = match self.lookup(&call.service).await {
             Ok(found) => found,
             Err(error) => {
                 entry.detail = format!("look-up: {error}");
-                entry.took = began.elapsed();
+                entry.took = started.elapsed();
                 // Nothing was sent, so nothing was run.
                 entry.outcome = Some(Outcome::NotRun);
                 return entry;
             }
         };
         let number = self
-            .numbers
+            .next_number
             .fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let mut sent_to: Option<&FoundEntry> = None;
         entry.outcome = Some(Outcome::NotRun);
         entry.detail = "no instance could be reached".to_owned();
         for found in &found.entries {
             let ticket = sent_to.unwrap_or(found);
-            let first = sent_to.is_none();
+            let is_first = sent_to.is_none();
             match self
-                .attempt(call, found.address, &ticket.ticket, number, first)
+                .attempt(call, found.address, &ticket.ticket, number, is_first)
                 .await
             {
-                CallResult::Answered(Outcome::NotRun, _, detail) if detail == "ticket-stale" => {
+                CallResult::Completed(Outcome::NotRun, _, detail) if detail == "ticket-stale" => {
                     self.forget(&call.service);
                     entry.detail = detail;
                 }
-                CallResult::Answered(outcome, wrong, detail) => {
+                CallResult::Completed(outcome, wrong, detail) => {
                     entry.outcome = Some(outcome);
                     entry.wrong = wrong;
                     entry.detail = detail;
                     break;
                 }
-                CallResult::Unsent => self.forget(&call.service),
-                CallResult::Broken(detail) => {
+                CallResult::NotSent => self.forget(&call.service),
+                CallResult::Interrupted(detail) => {
                     self.forget(&call.service);
                     entry.outcome = None;
                     entry.detail = detail;
-                    if sent_to.is_some() || began.elapsed() > call.deadline {
+                    if sent_to.is_some() || started.elapsed() > call.deadline {
                         break;
                     }
                     sent_to = Some(found);
                 }
             }
         }
-        entry.took = began.elapsed();
+        entry.took = started.elapsed();
         entry
     }
 
@@ -165,16 +165,16 @@
         cache.remove(service);
     }
 
-    async fn look_up(&self, service: &str) -> Result<FoundEntries> {
+    async fn lookup(&self, service: &str) -> Result<FoundEntries> {
         if let Some(found) = self.cached(service) {
             return Ok(found);
         }
         let start = rand::random_range(0..self.spec.lookups.len().max(1));
         let count = self.spec.lookups.len();
-        let mut last = Error::Answer("nowhere to look up".to_owned());
+        let mut last_error = Error::Answer("nowhere to look up".to_owned());
         for step in 0..count {
             let address = self.spec.lookups[(start + step) % count];
-            match self.ask(address, service).await {
+            match self.query_entries(address, service).await {
                 Ok(found) if !found.entries.is_empty() => {
                     let until = Instant::now() + Duration::from_millis(found.ttl_ms);
                     let cached = CachedLookup {
@@ -185,11 +185,11 @@
                     cache.insert(service.to_owned(), cached);
                     return Ok(found);
                 }
-                Ok(_) => last = Error::Answer("the look-up named no instance".to_owned()),
-                Err(error) => last = error,
+                Ok(_) => last_error = Error::Answer("the look-up named no instance".to_owned()),
+                Err(error) => last_error = error,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
     fn cached(&self, service: &str) -> Option<FoundEntries> {
@@ -198,13 +198,13 @@
         (cached.until > Instant::now()).then(|| cached.found.clone())
     }
 
-    async fn ask(&self, address: SocketAddr, service: &str) -> Result<FoundEntries> {
+    async fn query_entries(&self, address: SocketAddr, service: &str) -> Result<FoundEntries> {
         let request = Request::builder()
             .uri(format!("/v1/entries?service={service}"))
             .header("host", address.to_string())
             .body(Full::new(Bytes::new()))
             .map_err(|cause| Error::Answer(cause.to_string()))?;
-        let asking = async {
+        let query = async {
             let response = self.send(address, request).await?;
             let body = response.into_body().collect().await;
             let body = body
@@ -212,7 +212,7 @@
                 .to_bytes();
             serde_json::from_slice(&body).map_err(|cause| Error::Answer(cause.to_string()))
         };
-        tokio::time::timeout(CONNECT_TIME, asking)
+        tokio::time::timeout(CONNECT_TIMEOUT, query)
             .await
             .unwrap_or_else(|_| Err(Error::Answer("no answer in time".to_owned())))
     }
@@ -220,7 +220,7 @@
     async fn connect(&self, address: SocketAddr) -> std::io::Result<tokio::net::TcpStream> {
         let socket = TcpSocket::new_v4()?;
         socket.bind(SocketAddr::new(self.spec.source, 0))?;
-        let stream = tokio::time::timeout(CONNECT_TIME, socket.connect(address)).await??;
+        let stream = tokio::time::timeout(CONNECT_TIMEOUT, socket.connect(address)).await??;
         stream.set_nodelay(true)?;
         Ok(stream)
     }
@@ -231,10 +231,12 @@
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>> {
         let stream = self.connect(address).await?;
-        let broken = |cause: hyper::Error| Error::Answer(cause.to_string());
-        let (mut sender, connection) = handshake(TokioIo::new(stream)).await.map_err(broken)?;
+        let connection_error = |cause: hyper::Error| Error::Answer(cause.to_string());
+        let (mut sender, connection) = handshake(TokioIo::new(stream))
+            .await
+            .map_err(connection_error)?;
         tokio::spawn(connection);
-        sender.send_request(request).await.map_err(broken)
+        sender.send_request(request).await.map_err(connection_error)
     }
 
     async fn attempt(
@@ -243,10 +245,10 @@
         address: SocketAddr,
         ticket: &str,
         number: u64,
-        first: bool,
+        is_first: bool,
     ) -> CallResult {
         let body = vec![b'x'; call.body];
-        let expected = payload(&call.id, call.body as u64, checksum(0, &body));
+        let expected = response_body(&call.id, call.body as u64, checksum(0, &body));
         let mut request = Request::builder()
             .method(if call.body > 0 { "POST" } else { "GET" })
             .uri(format!("/{}/work", call.service))
@@ -263,26 +265,26 @@
             request = request
                 .header("laurelhill-ticket", ticket)
                 .header("laurelhill-number", number.to_string())
-                .header("laurelhill-attempt", if first { "1" } else { "2" });
+                .header("laurelhill-attempt", if is_first { "1" } else { "2" });
         }
         let Ok(request) = request.body(Full::new(Bytes::from(body))) else {
-            return CallResult::Unsent;
+            return CallResult::NotSent;
         };
         let exchange = async {
             let response = match self.send(address, request).await {
                 Ok(response) => response,
-                Err(Error::Socket(_)) => return CallResult::Unsent,
-                Err(error) => return CallResult::Broken(error.to_string()),
+                Err(Error::Socket(_)) => return CallResult::NotSent,
+                Err(error) => return CallResult::Interrupted(error.to_string()),
             };
-            read_answer(response, &expected).await
+            read_response(response, &expected).await
         };
-        tokio::time::timeout(call.deadline + PATIENCE, exchange)
+        tokio::time::timeout(call.deadline + RESPONSE_GRACE, exchange)
             .await
-            .unwrap_or_else(|_| CallResult::Broken("no answer in time".to_owned()))
+            .unwrap_or_else(|_| CallResult::Interrupted("no answer in time".to_owned()))
     }
 }
 
-async fn read_answer(response: Response<Incoming>, expected: &str) -> CallResult {
+async fn read_response(response: Response<Incoming>, expected: &str) -> CallResult {
     let status = response.status();
     let outcome = response
         .headers()
@@ -291,20 +293,20 @@
         .and_then(Outcome::parse);
     let body = match response.into_body().collect().await {
         Ok(body) => body.to_bytes(),
-        Err(cause) => return CallResult::Broken(format!("answer cut: {cause}")),
+        Err(cause) => return CallResult::Interrupted(format!("answer cut: {cause}")),
     };
     let Some(outcome) = outcome else {
-        return CallResult::Broken(format!("status {status} without an outcome"));
+        return CallResult::Interrupted(format!("status {status} without an outcome"));
     };
     if outcome != Outcome::Done || status != StatusCode::OK {
         let text = String::from_utf8_lossy(&body);
-        return CallResult::Answered(outcome, false, reason(&text));
+        return CallResult::Completed(outcome, false, problem_kind(&text));
     }
-    CallResult::Answered(outcome, body != expected.as_bytes(), String::new())
+    CallResult::Completed(outcome, body != expected.as_bytes(), String::new())
 }
 
 /// The kind of a problem document.
-fn reason(text: &str) -> String {
+fn problem_kind(text: &str) -> String {
     let document: serde_json::Value = serde_json::from_str(text).unwrap_or_default();
     let kind = document["type"].as_str().unwrap_or("unreadable");
     kind.trim_start_matches("urn:laurelhill:").to_owned()
--- a/crates/standin/src/ledger.rs
+++ b/crates/standin/src/ledger.rs
@@ -10,13 +10,13 @@
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
 /// Lines of an answer's body.
-const PAYLOAD_LINES: usize = 20;
+const RESPONSE_LINES: usize = 20;
 
 /// Longest time that is told apart, in microseconds.
-const MAX_MICROS: u64 = 600_000_000;
+const MAX_LATENCY_MICROS: u64 = 600_000_000;
 
 /// How often each request was run, by name.
-pub type RunLedger = HashMap<String, u32>;
+pub type RunCounts = HashMap<String, u32>;
 
 /// Adds `data` to a checksum.
 pub fn checksum(sum: u64, data: &[u8]) -> u64 {
@@ -27,9 +27,9 @@
 }
 
 /// The answer to request `id` whose body had `length` bytes with the checksum `sum`.
-pub fn payload(id: &str, length: u64, sum: u64) -> String {
+pub fn response_body(id: &str, length: u64, sum: u64) -> String {
     let mut text = String::new();
-    for line in 0..PAYLOAD_LINES {
+    for line in 0..RESPONSE_LINES {
         text.push_str(&format!("{id} {line} {length} {sum:016x}\n"));
     }
     text
@@ -84,16 +84,16 @@
 
 impl PhaseReport {
     /// Whether a promise was broken.
-    pub fn is_broken(&self) -> bool {
+    pub fn has_violations(&self) -> bool {
         self.lost + self.doubled + self.false_refusals + self.wrong > 0
     }
 }
 
 /// Holds the callers' ledger against what was run.
-pub fn judge(entries: &[LedgerEntry], runs: &RunLedger) -> PhaseReport {
-    let run_count = |entry: &LedgerEntry| runs.get(&entry.id).copied().unwrap_or(0);
+pub fn verify_ledger(entries: &[LedgerEntry], runs: &RunCounts) -> PhaseReport {
+    let times_run = |entry: &LedgerEntry| runs.get(&entry.id).copied().unwrap_or(0);
     let with = |outcome: Outcome| entries.iter().filter(move |e| e.outcome == Some(outcome));
-    let mut times = Histogram::<u64>::new_with_max(MAX_MICROS, 3)
+    let mut times = Histogram::<u64>::new_with_max(MAX_LATENCY_MICROS, 3)
         .unwrap_or_else(|_| unreachable!("3 digits are valid"));
     for entry in with(Outcome::Done) {
         let micros = u64::try_from(entry.took.as_micros()).unwrap_or(u64::MAX);
@@ -105,13 +105,13 @@
         refused: with(Outcome::NotRun).count(),
         unknown: with(Outcome::Unknown).count(),
         unanswered: entries.iter().filter(|e| e.outcome.is_none()).count(),
-        lost: with(Outcome::Done).filter(|e| run_count(e) == 0).count(),
+        lost: with(Outcome::Done).filter(|e| times_run(e) == 0).count(),
         doubled: entries
             .iter()
-            .filter(|e| e.at_most_once && run_count(e) > 1)
+            .filter(|e| e.at_most_once && times_run(e) > 1)
             .count(),
         false_refusals: with(Outcome::NotRun)
-            .filter(|e| e.at_most_once && run_count(e) > 0)
+            .filter(|e| e.at_most_once && times_run(e) > 0)
             .count(),
         wrong: entries.iter().filter(|e| e.wrong).count(),
         p50: Duration::from_micros(times.value_at_quantile(0.5)),
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -16,8 +16,8 @@
 pub use control::control_routes;
 pub use error::{Error, Result};
 pub use ledger::{
-    LedgerEntry, PhaseReport, REQUEST_ID_HEADER, RunLedger, checksum, judge, payload,
+    LedgerEntry, PhaseReport, REQUEST_ID_HEADER, RunCounts, checksum, response_body, verify_ledger,
 };
-pub use load::{LoadMix, LoadSpec, run_load};
+pub use load::{LoadClass, LoadSpec, run_load};
 pub use local::free_address;
 pub use server::{BackendReport, BackendSim, BackendSpec, ServerMode, ServerView, SlotGuard};
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -12,7 +12,7 @@
 
 /// One kind of request in the mix.
 #[derive(Debug, Clone)]
-pub struct LoadMix {
+pub struct LoadClass {
     /// The service.
     pub service: String,
     /// Whether its requests must not repeat.
@@ -29,11 +29,11 @@
 #[derive(Debug, Clone)]
 pub struct LoadSpec {
     /// What is asked for.
-    pub mix: Vec<LoadMix>,
+    pub classes: Vec<LoadClass>,
     /// How long.
-    pub time: Duration,
+    pub duration: Duration,
     /// Put before every request's name.
-    pub prefix: String,
+    pub id_prefix: String,
     /// Seed of arrivals.
     pub seed: u64,
 }
@@ -41,18 +41,18 @@
 /// Makes the load from `callers`, chosen evenly, and gives the ledger.
 pub async fn run_load(spec: &LoadSpec, callers: &[Arc<CallerSim>]) -> Vec<LedgerEntry> {
     let mut tasks = JoinSet::new();
-    for (index, mix) in spec.mix.iter().enumerate() {
+    for (index, class) in spec.classes.iter().enumerate() {
         let mut rng = ChaCha8Rng::seed_from_u64(spec.seed.wrapping_add(index as u64));
         let mut at = Instant::now();
-        let end = at + spec.time;
+        let end = at + spec.duration;
         let mut count = 0_u64;
-        let mix = mix.clone();
-        let prefix = spec.prefix.clone();
+        let class = class.clone();
+        let id_prefix = spec.id_prefix.clone();
         let callers = callers.to_vec();
         tasks.spawn(async move {
             let mut calls = JoinSet::new();
             loop {
-                let gap = -(1.0 - rng.random::<f64>()).ln() / mix.rate;
+                let gap = -(1.0 - rng.random::<f64>()).ln() / class.rate;
                 at += Duration::from_secs_f64(gap);
                 if at >= end {
                     break;
@@ -60,11 +60,11 @@
                 tokio::time::sleep_until(at.into()).await;
                 let caller = Arc::clone(&callers[rng.random_range(0..callers.len())]);
                 let call = CallSpec {
-                    id: format!("{prefix}-{}-{count}", mix.service),
-                    service: mix.service.clone(),
-                    at_most_once: mix.at_most_once,
-                    deadline: mix.deadline,
-                    body: mix.body,
+                    id: format!("{id_prefix}-{}-{count}", class.service),
+                    service: class.service.clone(),
+                    at_most_once: class.at_most_once,
+                    deadline: class.deadline,
+                    body: class.body,
                 };
                 count += 1;
                 calls.spawn(async move { caller.call(&call).await });
--- a/crates/standin/src/local.rs
+++ b/crates/standin/src/local.rs
@@ -4,8 +4,8 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 
 /// Second byte of the loopback addresses that are handed out.
-const FIRST_BLOCK: u8 = 128;
-const BLOCKS: u8 = 96;
+const SECOND_OCTET_BASE: u8 = 128;
+const SECOND_OCTET_COUNT: u8 = 96;
 
 /// Port of every address that is handed out, below those that the system gives away.
 const PORT: u16 = 20_000;
@@ -17,6 +17,11 @@
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let [_, _, high, low] = std::process::id().to_be_bytes();
     let last = NEXT.fetch_add(1, Ordering::Relaxed);
-    let ip = IpAddr::from([127, FIRST_BLOCK + high % BLOCKS, low, last]);
+    let ip = IpAddr::from([
+        127,
+        SECOND_OCTET_BASE + high % SECOND_OCTET_COUNT,
+        low,
+        last,
+    ]);
     SocketAddr::new(ip, PORT)
 }
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -10,9 +10,9 @@
 use tokio::time::Instant;
 
 /// Factor on service times right after a start.
-const COLD_FACTOR: f64 = 3.0;
+const COLD_START_FACTOR: f64 = 3.0;
 /// Requests that wait at most, as a multiple of the slots.
-const QUEUE_FACTOR: usize = 2;
+const QUEUE_SLOTS_RATIO: usize = 2;
 /// Requests that come this long after a server began to leave count as late.
 const LEAVING_GRACE: Duration = Duration::from_secs(2);
 
@@ -104,9 +104,9 @@
 }
 
 /// A place in the queue, given up when dropped.
-struct QueuePlace(BackendSim);
+struct QueueGuard(BackendSim);
 
-impl Drop for QueuePlace {
+impl Drop for QueueGuard {
     fn drop(&mut self) {
         self.0.lock().waiting -= 1;
     }
@@ -189,15 +189,15 @@
     /// queue are full, so that it is shed and was not run. Gives the slot and how long
     /// the work takes.
     pub async fn start(&self, id: &str) -> Option<(SlotGuard, Duration)> {
-        let place = self.queue()?;
+        let queue_guard = self.enqueue()?;
         let permit = Arc::clone(&self.slots).acquire_owned().await.ok()?;
-        drop(place);
+        drop(queue_guard);
         let mut state = self.lock();
         state.in_use += 1;
         state.peak = state.peak.max(state.in_use);
         *state.runs.entry(id.to_owned()).or_default() += 1;
         let cold = state.started.elapsed() < self.spec.cold_time;
-        let factor = if cold { COLD_FACTOR } else { 1.0 };
+        let factor = if cold { COLD_START_FACTOR } else { 1.0 };
         let draw: f64 = state.rng.random();
         let time = self.spec.service_time.mul_f64(-(1.0 - draw).ln() * factor);
         drop(state);
@@ -208,19 +208,19 @@
         Some((slot, time))
     }
 
-    fn queue(&self) -> Option<QueuePlace> {
+    fn enqueue(&self) -> Option<QueueGuard> {
         let mut state = self.lock();
         let late = state
             .leaving_since
             .is_some_and(|since| since.elapsed() > LEAVING_GRACE);
         state.while_leaving += u64::from(late);
         let slots = usize::from(self.spec.slots);
-        if usize::from(state.in_use) + state.waiting >= slots * (1 + QUEUE_FACTOR) {
+        if usize::from(state.in_use) + state.waiting >= slots * (1 + QUEUE_SLOTS_RATIO) {
             state.shed += 1;
             return None;
         }
         state.waiting += 1;
-        Some(QueuePlace(self.clone()))
+        Some(QueueGuard(self.clone()))
     }
 
     /// How often each request was run.
