--- a/bin/lh-entry/tests/crashes.rs
+++ b/bin/lh-entry/tests/crashes.rs
@@ -52,7 +52,7 @@
 
     /// Starts a new server for each one that has ended.
     async fn refill(&mut self) {
-        let running = |backend: &&FakeBackend| !backend.has_ended();
+        let running = |backend: &&FakeBackend| !backend.has_crashed();
         for _ in self.world.backends.iter().filter(running).count()..8 {
             let backend = FakeBackend::start(&format!("i-{}", self.started)).await;
             backend.set_fatal(FATAL_WORD);
@@ -69,14 +69,14 @@
             self.started += 1;
         }
         for backend in &self.world.backends {
-            if backend.has_ended() {
+            if backend.has_crashed() {
                 self.world.store.delete_row("servers", backend.id());
             }
         }
     }
 
     fn ended(&self) -> usize {
-        let ended = |backend: &&FakeBackend| backend.has_ended();
+        let ended = |backend: &&FakeBackend| backend.has_crashed();
         self.world.backends.iter().filter(ended).count()
     }
 
--- a/bin/lh-entry/tests/pages.rs
+++ b/bin/lh-entry/tests/pages.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
-use platform_standin::{Behavior, TeamText, desired_state, with_teams};
+use platform_standin::{Behavior, TeamFixture, desired_state, with_teams};
 use serde_json::Value;
 use world::{BOARD, DESK, EntryProcess, World, until};
 
@@ -63,7 +63,7 @@
 #[tokio::test]
 async fn each_metric_has_its_row() {
     let world = World::new(1).await;
-    let team = TeamText {
+    let team = TeamFixture {
         name: "red",
         keys: &["red-key"],
         priority: 1,
--- a/bin/lh-entry/tests/requests.rs
+++ b/bin/lh-entry/tests/requests.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use platform_standin::{Behavior, RouteText, desired_state, with_body_limit};
+use platform_standin::{Behavior, RouteFixture, desired_state, with_body_limit};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use world::{BOARD, DESK, EntryProcess, World, exchange, request, request_with, until};
@@ -132,7 +132,7 @@
 #[tokio::test]
 async fn the_routes_bound_ends_the_wait() {
     let world = World::new(1).await;
-    let short = RouteText {
+    let short = RouteFixture {
         timeout: "300ms",
         ..DESK
     };
--- a/bin/lh-entry/tests/states.rs
+++ b/bin/lh-entry/tests/states.rs
@@ -4,7 +4,9 @@
 
 use std::time::Duration;
 
-use platform_standin::{Behavior, FakeBackend, FaultPlan, RouteText, desired_state, server_entry};
+use platform_standin::{
+    Behavior, FakeBackend, FaultPlan, RouteFixture, desired_state, server_entry,
+};
 use world::{BOARD, DESK, EntryProcess, World, connect, exchange, request, request_for, until};
 
 /// Promise: a new desired state is in force soon, and an older one never again.
@@ -12,7 +14,7 @@
 async fn a_desired_state_never_goes_back() {
     let world = World::new(1).await;
     let entry = EntryProcess::ready(&world, "n1").await;
-    let added = RouteText {
+    let added = RouteFixture {
         name: "added",
         prefix: "/added/",
         ..BOARD
@@ -60,7 +62,7 @@
 async fn a_lost_history_is_read_again() {
     let world = World::new(1).await;
     let entry = EntryProcess::ready(&world, "n1").await;
-    world.store.forget_history();
+    world.store.discard_history();
     world.store.put("op", "config", &desired_state(9, &[DESK]));
     until("the new state is in force", async || {
         entry.send("GET", "/board/x", "a").await.status == 404
--- a/bin/lh-entry/tests/teams.rs
+++ b/bin/lh-entry/tests/teams.rs
@@ -7,7 +7,7 @@
 use hyper::Request;
 use hyper::header::{AUTHORIZATION, HeaderName, HeaderValue};
 use platform_standin::{
-    FakeBackend, FaultPlan, RouteText, SeenRequest, TeamText, desired_state, server_entry_in,
+    FakeBackend, FaultPlan, RouteFixture, SeenRequest, TeamFixture, desired_state, server_entry_in,
     with_teams,
 };
 use serde_json::Value;
@@ -15,7 +15,7 @@
 
 const RED_KEY: &str = "red-key-4f1d9c";
 const BLUE_KEY: &str = "blue-key-77ab02";
-const RED: TeamText<'static> = TeamText {
+const RED: TeamFixture<'static> = TeamFixture {
     name: "red",
     keys: &[RED_KEY],
     priority: 1,
@@ -23,18 +23,18 @@
     burst: 0.0,
     regions: &[],
 };
-const BLUE: TeamText<'static> = TeamText {
+const BLUE: TeamFixture<'static> = TeamFixture {
     name: "blue",
     keys: &[BLUE_KEY],
     ..RED
 };
-const OPEN: RouteText<'static> = RouteText {
+const OPEN: RouteFixture<'static> = RouteFixture {
     name: "open",
     prefix: "/open/",
     ..BOARD
 };
 
-fn state(version: u64, teams: &[TeamText<'_>]) -> Value {
+fn state(version: u64, teams: &[TeamFixture<'_>]) -> Value {
     with_teams(
         desired_state(version, &[BOARD, DESK, OPEN]),
         teams,
@@ -42,7 +42,7 @@
     )
 }
 
-async fn world(count: usize, teams: &[TeamText<'_>]) -> World {
+async fn world(count: usize, teams: &[TeamFixture<'_>]) -> World {
     let world = World::new(count).await;
     world.store.put("op", "config", &state(6, teams));
     world
@@ -160,7 +160,7 @@
     let mut kept = entry.connect().await;
     let answer = exchange(&mut kept, keyed("/board/x", "a", RED_KEY)).await;
     assert_eq!(answer.unwrap().status, 200);
-    let keyless = TeamText { keys: &[], ..RED };
+    let keyless = TeamFixture { keys: &[], ..RED };
     world.store.put("op", "config", &state(9, &[keyless, BLUE]));
     until("the key is refused", async || {
         let answer = exchange(&mut kept, keyed("/board/x", "b", RED_KEY)).await;
@@ -176,7 +176,7 @@
 /// Promise: a team's home regions bind, with those of nobody else.
 #[tokio::test]
 async fn a_teams_homes_bind() {
-    let at_home = TeamText {
+    let at_home = TeamFixture {
         regions: &["south"],
         ..RED
     };
@@ -285,7 +285,7 @@
 /// when to come back; another team isn't harmed.
 #[tokio::test]
 async fn a_quota_holds_over_entries() {
-    let slow = TeamText {
+    let slow = TeamFixture {
         rate: 0.2,
         burst: 12.0,
         ..RED
--- a/bin/lh-entry/tests/world/mod.rs
+++ b/bin/lh-entry/tests/world/mod.rs
@@ -12,20 +12,20 @@
 use hyper::client::conn::http1::{SendRequest, handshake};
 use hyper::{HeaderMap, Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use platform_standin::{FakeBackend, FakeStore, RouteText, desired_state, server_entry};
+use platform_standin::{FakeBackend, FakeStore, RouteFixture, desired_state, server_entry};
 use tokio::net::TcpStream;
 
 /// Longest wait for anything; generous, since nothing here measures time.
 pub const PATIENCE: Duration = Duration::from_secs(60);
 
-pub const BOARD: RouteText<'static> = RouteText {
+pub const BOARD: RouteFixture<'static> = RouteFixture {
     name: "board",
     prefix: "/board/",
     kind: "idempotent",
     service: "board",
     timeout: "30s",
 };
-pub const DESK: RouteText<'static> = RouteText {
+pub const DESK: RouteFixture<'static> = RouteFixture {
     name: "desk",
     prefix: "/desk/",
     kind: "non_idempotent",
--- a/bin/lh-soak/src/injector.rs
+++ b/bin/lh-soak/src/injector.rs
@@ -131,7 +131,7 @@
 
 async fn inject_store_fault(world: &World, kind: FaultKind, duration: Duration) {
     match kind {
-        FaultKind::StoreForgets => world.store.forget_history(),
+        FaultKind::StoreForgets => world.store.discard_history(),
         FaultKind::StoreSlow(delay) => {
             world.store.set_faults(FaultPlan {
                 delay_ms: millis(delay),
--- a/bin/lh-soak/src/world.rs
+++ b/bin/lh-soak/src/world.rs
@@ -5,7 +5,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use platform_standin::{FakeStore, RouteText, desired_state};
+use platform_standin::{FakeStore, RouteFixture, desired_state};
 use tokio::time::sleep;
 
 use crate::callers;
@@ -24,7 +24,7 @@
 /// Number of callers per entry.
 const CALLERS_PER_ENTRY: usize = 2;
 
-const BOARD: RouteText<'static> = RouteText {
+const BOARD: RouteFixture<'static> = RouteFixture {
     name: SERVICE,
     prefix: "/board/",
     kind: "idempotent",
@@ -32,7 +32,7 @@
     timeout: "3s",
 };
 
-const DESK: RouteText<'static> = RouteText {
+const DESK: RouteFixture<'static> = RouteFixture {
     name: "desk",
     prefix: "/desk/",
     kind: "non_idempotent",
