--- a/bin/lh-standin/src/callers.rs
+++ b/bin/lh-standin/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that make a load on a deployment and judge what came of it.
+//! Generates load on a deployment and checks the guarantees by the callers' ledger.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -19,16 +19,17 @@
 use crate::error::{Error, Result};
 use crate::report;
 
-/// Callers in each region.
+/// Number of callers per region.
 const CALLERS_PER_REGION: u8 = 8;
-/// Time for late runs to be counted before the ledger is judged.
+/// Wait before the check, so that late executions are still counted.
 const SETTLE_TIME: Duration = Duration::from_millis(300);
-/// Bytes of a request that writes.
+/// Body size of an at-most-once request.
 const WRITE_BODY_BYTES: usize = 600;
-/// Bytes of an upload.
+/// Body size of an upload.
 const UPLOAD_BODY_BYTES: usize = 256 << 10;
 
-/// Makes the load, judges it, prints a row; fails where a promise was broken.
+/// Generates the load, checks the ledger and prints a table row. Fails if a guarantee was
+/// violated.
 pub(crate) async fn run(arguments: &LoadArguments) -> Result<()> {
     let deployment = ConfigBundle::from_folder(&arguments.deploy)?.deployment()?;
     let callers = callers(&deployment, arguments);
@@ -87,7 +88,7 @@
     callers
 }
 
-/// Every service at the same share of its capacity.
+/// Returns a class of requests for each service, all at the same share of the capacity.
 fn request_classes(deployment: &Deployment, load: f64) -> Vec<LoadClass> {
     let mut classes = Vec::new();
     for service in deployment.services.values() {
@@ -122,7 +123,8 @@
     serde_json::from_slice(&body).map_err(|cause| Error::Exchange(format!("{url}: {cause}")))
 }
 
-/// Requests that servers shed so far, and those that came while they were leaving.
+/// Fetches how many requests the servers shed so far, and how many arrived while they were
+/// leaving.
 async fn server_counts(arguments: &LoadArguments) -> Result<(u64, u64)> {
     let views: Vec<ServerView> = fetch_control(arguments, "servers").await?;
     let shed = views.iter().map(|view| view.shed).sum();
@@ -130,7 +132,7 @@
     Ok((shed, late))
 }
 
-/// Free slots of each service as an entry sees them, after `wait`.
+/// Queries the free slots of each service from an entry, after `wait`.
 async fn free_slots(lookups: Vec<SocketAddr>, wait: Duration) -> String {
     tokio::time::sleep(wait).await;
     for address in lookups {
@@ -161,7 +163,7 @@
     Ok(())
 }
 
-/// Prints why requests were not done, most frequent first.
+/// Prints the most frequent reasons of failed requests.
 fn print_reasons(entries: &[LedgerEntry]) {
     let mut reason_counts: BTreeMap<&str, usize> = BTreeMap::new();
     for entry in entries.iter().filter(|entry| !entry.detail.is_empty()) {
--- a/bin/lh-standin/src/cli.rs
+++ b/bin/lh-standin/src/cli.rs
@@ -1,15 +1,15 @@
-//! The command line.
+//! Command-line interface.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use clap::{Args, Parser, Subcommand};
 
-/// laurelhill: stand-ins for tests and the demo.
+/// laurelhill: test doubles for tests and the demo.
 #[derive(Debug, Parser)]
 #[command(version, about)]
 pub(crate) struct Arguments {
-    /// Log more.
+    /// Enable debug logging.
     #[arg(short, long, global = true)]
     pub(crate) verbose: bool,
     #[command(subcommand)]
@@ -18,56 +18,56 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
-    /// The platform's store: rows and objects.
+    /// Run the platform's store: rows and objects.
     Platform {
-        /// Where it listens.
+        /// Listen address.
         #[arg(long, value_name = "ADDRESS")]
         listen: SocketAddr,
     },
-    /// Every backend server of a deployment, in one process.
+    /// Run all backend servers of a deployment in one process.
     Servers {
-        /// Folder with the base and the overlays.
+        /// Folder with the base configuration and the overlays.
         #[arg(long, value_name = "FOLDER")]
         deploy: PathBuf,
-        /// Where the servers are controlled and judged.
+        /// Listen address of the control interface.
         #[arg(long, value_name = "ADDRESS")]
         control: SocketAddr,
-        /// The platform's store, where the servers register.
+        /// Address of the platform's store, at which the servers register.
         #[arg(long, value_name = "ADDRESS")]
         platform: SocketAddr,
     },
-    /// Callers that make a load, keep a ledger and judge it.
+    /// Generate load from callers and check the guarantees by their ledger.
     Callers(LoadArguments),
-    /// Send one request and print the answer.
+    /// Send a request and print the response.
     Send {
         /// GET, PUT, POST or DELETE.
         method: String,
         /// http://IP:port/path
         url: String,
-        /// The body, JSON.
+        /// JSON body.
         #[arg(default_value = "")]
         body: String,
-        /// Key of the team in whose name it is sent.
+        /// API key of the team on whose behalf the request is sent.
         #[arg(long)]
         key: Option<String>,
-        /// The status that is expected; without one, any of success.
+        /// Expected status code; by default any success status.
         #[arg(long)]
         expect: Option<u16>,
     },
-    /// Wait until a backend server runs nothing, and print how long that took.
+    /// Wait until a backend server is idle, and print how long that took.
     Drained {
-        /// Its address.
+        /// Address of the server.
         server: SocketAddr,
-        /// Where the backend servers are judged.
+        /// Address of the control interface of the backend servers.
         #[arg(long, value_name = "ADDRESS")]
         control: SocketAddr,
     },
-    /// Wait until every URL answers with success.
+    /// Wait until every URL responds with a success status.
     Wait {
         /// http://IP:port/path
         #[arg(required = true)]
         urls: Vec<String>,
-        /// Longest wait in seconds.
+        /// Timeout in seconds.
         #[arg(long, default_value_t = 30)]
         seconds: u64,
     },
@@ -75,34 +75,34 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct LoadArguments {
-    /// Folder with the base and the overlays.
+    /// Folder with the base configuration and the overlays.
     #[arg(long, value_name = "FOLDER")]
     pub(crate) deploy: PathBuf,
-    /// Where to look up.
+    /// Lookup addresses of the entries.
     #[arg(long, value_name = "ADDRESS", value_delimiter = ',', required = true)]
     pub(crate) lookups: Vec<SocketAddr>,
-    /// Where the backend servers are judged.
+    /// Address of the control interface of the backend servers.
     #[arg(long, value_name = "ADDRESS")]
     pub(crate) control: SocketAddr,
-    /// Keys of the callers' teams, in turn; without one they have none.
+    /// API keys of the callers' teams, assigned in turn; by default callers send no key.
     #[arg(long, value_name = "KEY", value_delimiter = ',')]
     pub(crate) keys: Vec<String>,
-    /// Name of the phase.
+    /// Name of the phase, printed in its row.
     #[arg(long, default_value = "load")]
     pub(crate) phase: String,
-    /// How long, in seconds.
+    /// Duration in seconds.
     #[arg(long, default_value_t = 5.0)]
     pub(crate) seconds: f64,
-    /// Load as a share of the whole capacity.
+    /// Load as a share of the total capacity.
     #[arg(long, default_value_t = 0.4)]
     pub(crate) load: f64,
-    /// Seed of arrivals.
+    /// Seed of the arrival times.
     #[arg(long, default_value_t = 1)]
     pub(crate) seed: u64,
-    /// Print the table's header first.
+    /// Print the table header first.
     #[arg(long)]
     pub(crate) header: bool,
-    /// Write the ledger as JSON lines.
+    /// Write the ledger to this file, as JSON lines.
     #[arg(long, value_name = "FILE")]
     pub(crate) ledger: Option<PathBuf>,
 }
--- a/bin/lh-standin/src/client.rs
+++ b/bin/lh-standin/src/client.rs
@@ -1,4 +1,4 @@
-//! One request at a time, for scripts.
+//! Single requests and polling, for scripts.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,17 +12,17 @@
 
 use crate::error::{Error, Result};
 
-/// Time between two tries.
+/// Interval between two polls.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Longest wait for one answer.
+/// Timeout of a request.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Sends one request; gives status and body.
+/// Sends a request and returns status and body of the response.
 pub(crate) async fn send_request(method: &str, url: &str, body: &str) -> Result<(u16, Bytes)> {
     send_request_with_key(None, method, url, body).await
 }
 
-/// The same with the key of a team.
+/// Sends a request, optionally with the API key of a team, and returns status and body.
 async fn send_request_with_key(
     key: Option<&str>,
     method: &str,
@@ -58,7 +58,7 @@
         .unwrap_or_else(|_| Err(exchange_error("no answer in time".to_owned())))
 }
 
-/// Sends one request and prints the answer; fails where its status isn't what is expected.
+/// Sends a request and prints the response. Fails if its status is not the expected one.
 pub(crate) async fn send(
     method: &str,
     url: &str,
@@ -77,7 +77,7 @@
     Err(Error::Exchange(format!("{url}: status {status}")))
 }
 
-/// Waits until `server` has run nothing for a while, and prints how long its work lasted.
+/// Waits until `server` has been idle for a while, and prints when it last was busy.
 pub(crate) async fn drained(server: SocketAddr, control: SocketAddr) -> Result<()> {
     const QUIET_TIME: Duration = Duration::from_millis(500);
     let started = Instant::now();
@@ -102,7 +102,7 @@
     Ok(())
 }
 
-/// Waits until every URL answers with success.
+/// Waits until every URL responds with a success status.
 pub(crate) async fn wait(urls: &[String], seconds: u64) -> Result<()> {
     let deadline = Instant::now() + Duration::from_secs(seconds);
     for url in urls {
--- a/bin/lh-standin/src/error.rs
+++ b/bin/lh-standin/src/error.rs
@@ -1,39 +1,39 @@
-//! Errors that end the program.
+//! Fatal errors of `lh-standin`.
 
 use kernel::ExitClass;
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why the program ended.
+    /// A fatal error.
     #[derive(Debug)]
     pub enum Error {
-        /// The settings are wrong.
+        /// Invalid settings of the deployment.
         Settings(cause: conf::Error) {
             display("{}", cause)
             from()
         }
-        /// A socket or file failed.
+        /// An I/O error of a socket or file.
         System(cause: std::io::Error) {
             display("{}", cause)
             from()
         }
-        /// A URL can't be used.
+        /// An invalid URL.
         Url(url: String) {
-            display("'{}' is no URL of the form http://IP:port/path", url)
+            display("'{}' is not a URL of the form http://IP:port/path", url)
         }
-        /// The other side failed.
+        /// A request failed, or its response is invalid.
         Exchange(detail: String) {
             display("{}", detail)
         }
-        /// A promise was broken.
+        /// A guarantee was violated in this phase.
         GuaranteesViolated(phase: String) {
-            display("phase '{}': a promise was broken", phase)
+            display("phase '{}': a guarantee was violated", phase)
         }
     }
 }
 
 impl Error {
-    /// The kind of end that this error means.
+    /// The exit class of this error.
     pub fn class(&self) -> ExitClass {
         match self {
             Self::Settings(_) | Self::Url(_) => ExitClass::Settings,
@@ -42,5 +42,5 @@
     }
 }
 
-/// Result of the program.
+/// Result of `lh-standin` operations.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/bin/lh-standin/src/lib.rs
+++ b/bin/lh-standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins as programs: the platform, backend servers, callers, and small helpers
-//! for scripts.
+//! Test doubles as programs: the platform's store, backend servers, callers, and helpers for
+//! scripts.
 
 mod callers;
 mod cli;
@@ -13,10 +13,10 @@
 
 pub use error::{Error, Result};
 
-/// Reads the command line and does what it says.
+/// Parses the command line and runs the command.
 ///
 /// # Errors
-/// Where an address can't be used, an answer makes no sense or a promise was broken.
+/// If an address can't be used, a response is invalid or a guarantee was violated.
 pub fn run() -> Result<()> {
     let arguments = cli::Arguments::parse();
     kernel::init_logging(if arguments.verbose {
--- a/bin/lh-standin/src/main.rs
+++ b/bin/lh-standin/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `lh-standin`.
+//! Entry point of `lh-standin`.
 
 use std::process::ExitCode;
 
--- a/bin/lh-standin/src/report.rs
+++ b/bin/lh-standin/src/report.rs
@@ -1,8 +1,8 @@
-//! The table that the callers print.
+//! Result table of the `callers` command.
 
 use standin::PhaseReport;
 
-/// The table's header.
+/// Formats the table header.
 pub(crate) fn header() -> String {
     format!(
         "{:<22} {:>6} {:>6} {:>6} {:>5} {:>6} {:>5} {:>6} {:>6} {:>6} {:>8} {:>8} {:>6} {:>6}",
@@ -23,7 +23,7 @@
     )
 }
 
-/// One row of the table.
+/// Formats a row of the table.
 pub(crate) fn row(phase: &str, report: &PhaseReport, shed: u64, late: u64) -> String {
     format!(
         "{:<22} {:>6} {:>6} {:>6} {:>5} {:>6} {:>5} {:>6} {:>6} {:>6} {:>8.1} {:>8.1} {:>6} {:>6}",
--- a/bin/lh-standin/src/servers.rs
+++ b/bin/lh-standin/src/servers.rs
@@ -1,4 +1,4 @@
-//! The platform's store and the backend servers as long-running stand-ins.
+//! Long-running test doubles: the platform's store and the backend servers.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -14,18 +14,18 @@
 
 use crate::error::Result;
 
-/// Time after a start in which a backend server is slower.
+/// Duration of the cold start of a backend server.
 const COLD_TIME: Duration = Duration::from_secs(2);
-/// Time between two registrations of a server, as on the users' platform.
+/// Interval between two registrations of a server, as on the users' platform.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1500);
-/// Heartbeats after which the entry of a silent server lapses.
+/// Number of missed heartbeats after which the registration of a server expires.
 const EXPIRY_HEARTBEATS: u32 = 3;
-/// Time between two looks at whether a server's mode has changed.
+/// Interval between two checks whether the mode of a server has changed.
 const MODE_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Table of the servers' registrations.
+/// Store table with the registrations of servers.
 const SERVER_TABLE: &str = "servers";
 
-/// A server with its place.
+/// A server with its part and failure domain.
 #[derive(Clone)]
 struct PlacedServer {
     backend: BackendSim,
@@ -80,8 +80,8 @@
     Ok(())
 }
 
-/// Keeps a server's registration up to date, at once when its mode changes. The
-/// registration of one that is down lapses.
+/// Registers a server periodically, and immediately when its mode changes. The registration of
+/// a server that is down expires.
 async fn register(client: PlatformClient, placed: PlacedServer) {
     let mut seq = 0;
     loop {
@@ -115,12 +115,12 @@
 
 async fn write_row(client: &PlatformClient, row: RowWrite) {
     if let Err(error) = client.commit(&[row]).await {
-        log::debug!(error:%; "server not registered");
+        log::debug!(error:%; "failed to register server");
     }
 }
 
 async fn wait_for_termination() {
     if let Err(error) = kernel::wait_for_termination().await {
-        log::error!(error:% = error; "signals can't be heard");
+        log::error!(error:% = error; "failed to wait for termination signals");
     }
 }
--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -1,4 +1,5 @@
-//! A caller: looks up, keeps the answer for its time to live, sends, and keeps a ledger.
+//! Simulated caller: looks up instances, caches the result for its time to live, and sends
+//! requests.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -19,45 +20,45 @@
 use crate::error::{Error, Result};
 use crate::ledger::{LedgerEntry, REQUEST_ID_HEADER, checksum, response_body};
 
-/// Longest wait for a connection or a look-up.
+/// Timeout of a connection attempt or a lookup.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Added to a request's deadline before the caller gives up.
+/// Time after a request's deadline after which the caller gives up.
 const RESPONSE_GRACE: Duration = Duration::from_millis(500);
 
-/// What a caller is like.
+/// Configuration of a caller.
 #[derive(Debug, Clone)]
 pub struct CallerSpec {
-    /// Address it sends from; tells its home region.
+    /// Source address, which determines the home region.
     pub source: IpAddr,
-    /// Where it may look up.
+    /// Lookup addresses.
     pub lookups: Vec<SocketAddr>,
-    /// The key of its team.
+    /// API key of its team.
     pub key: Option<String>,
 }
 
-/// One request to make.
+/// A request to make.
 #[derive(Debug, Clone)]
 pub struct CallSpec {
-    /// Its name.
+    /// Request id.
     pub id: String,
-    /// The service.
+    /// Service to call.
     pub service: String,
-    /// Whether it must not repeat.
+    /// Whether it must be executed at most once.
     pub at_most_once: bool,
-    /// Longest time.
+    /// Deadline.
     pub deadline: Duration,
-    /// Bytes of its body.
+    /// Size of the request body in bytes.
     pub body: usize,
 }
 
-/// How one attempt ended.
+/// Result of an attempt.
 #[derive(Debug)]
 pub enum CallResult {
-    /// An answer came, with its outcome, whether its body was wrong, and its reason.
+    /// A response was received: its outcome, whether its body was wrong, and the reason of a refusal.
     Completed(Outcome, bool, String),
     /// Nothing was sent.
     NotSent,
-    /// The connection broke after something was sent.
+    /// The connection failed, or no valid response arrived, after something was sent.
     Interrupted(String),
 }
 
@@ -79,7 +80,7 @@
     until: Instant,
 }
 
-/// A caller with its cache.
+/// A simulated caller with its lookup cache.
 #[derive(Debug)]
 pub struct CallerSim {
     spec: CallerSpec,
@@ -88,7 +89,7 @@
 }
 
 impl CallerSim {
-    /// A caller with an empty cache.
+    /// Creates a caller with an empty cache.
     pub fn new(spec: CallerSpec) -> Self {
         Self {
             spec,
@@ -97,9 +98,9 @@
         }
     }
 
-    /// Makes one request, trying the instances of its look-up in order where nothing
-    /// was sent. An at-most-once request that broke is repeated once, elsewhere, with
-    /// the same ticket and number.
+    /// Sends a request to the first instance of the lookup, and to the next ones as long as
+    /// nothing was sent. An interrupted request is retried once, at the next instance, with the
+    /// same ticket and number.
     pub async fn call(&self, call: &CallSpec) -> LedgerEntry {
         let started = Instant::now();
         let mut entry = LedgerEntry {
@@ -116,7 +117,7 @@
             Err(error) => {
                 entry.detail = format!("look-up: {error}");
                 entry.took = started.elapsed();
-                // Nothing was sent, so nothing was run.
+                // Nothing was sent, so nothing can have been executed.
                 entry.outcome = Some(Outcome::NotRun);
                 return entry;
             }
@@ -305,7 +306,7 @@
     CallResult::Completed(outcome, body != expected.as_bytes(), String::new())
 }
 
-/// The kind of a problem document.
+/// Returns the kind of a problem document.
 fn problem_kind(text: &str) -> String {
     let document: serde_json::Value = serde_json::from_str(text).unwrap_or_default();
     let kind = document["type"].as_str().unwrap_or("unreadable");
--- a/crates/standin/src/control.rs
+++ b/crates/standin/src/control.rs
@@ -1,4 +1,4 @@
-//! The address from which backend servers are controlled and judged.
+//! HTTP control interface of simulated backend servers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 
 use crate::server::{BackendSim, ServerMode, ServerView};
 
-/// Builds the routes that control and show a set of servers.
+/// Builds the routes to control and inspect a set of servers.
 pub fn control_routes(backends: &[BackendSim]) -> impl Endpoint<Output = poem::Response> + use<> {
     let backends: Arc<Vec<BackendSim>> = Arc::new(backends.to_vec());
     Route::new()
@@ -25,7 +25,8 @@
     Json(backends.iter().map(BackendSim::view).collect())
 }
 
-/// Changes the mode of one server, or of all whose addresses start with the given text.
+/// Sets the mode of all servers whose address starts with the given prefix, and returns their
+/// number.
 #[handler]
 fn set_mode(
     Path(address): Path<String>,
--- a/crates/standin/src/error.rs
+++ b/crates/standin/src/error.rs
@@ -1,23 +1,23 @@
-//! Errors of the stand-ins.
+//! Errors of the simulated callers.
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a stand-in could not do its work.
+    /// An error of a simulated caller.
     #[derive(Debug)]
     pub enum Error {
-        /// A connection or socket failed.
+        /// An I/O error of a socket.
         Socket(cause: std::io::Error) {
             display("{}", cause)
             source(cause)
             from()
         }
-        /// An answer made no sense.
+        /// An invalid or missing response.
         Answer(detail: String) {
             display("{}", detail)
         }
     }
 }
 
-/// Result of the stand-ins.
+/// Result of operations of a simulated caller.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/crates/standin/src/ledger.rs
+++ b/crates/standin/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What callers sent and got, held against what backend servers ran.
+//! Ledger of the callers' requests, and its comparison with what backend servers executed.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,19 +6,19 @@
 use base::prelude::*;
 use hdrhistogram::Histogram;
 
-/// Header that carries a request's name from the caller to the backend server.
+/// Header with the request id, passed from the caller to the backend server.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// Lines of an answer's body.
+/// Number of lines of a response body.
 const RESPONSE_LINES: usize = 20;
 
-/// Longest time that is told apart, in microseconds.
+/// Largest latency that the histogram can record, in microseconds.
 const MAX_LATENCY_MICROS: u64 = 600_000_000;
 
-/// How often each request was run, by name.
+/// Number of executions by request id.
 pub type RunCounts = HashMap<String, u32>;
 
-/// Adds `data` to a checksum.
+/// Updates a checksum with `data`.
 pub fn checksum(sum: u64, data: &[u8]) -> u64 {
     data.iter().fold(sum, |sum, byte| {
         sum.wrapping_mul(1_099_511_628_211)
@@ -26,7 +26,8 @@
     })
 }
 
-/// The answer to request `id` whose body had `length` bytes with the checksum `sum`.
+/// Returns the response body for the request `id`, whose body had `length` bytes with the
+/// checksum `sum`.
 pub fn response_body(id: &str, length: u64, sum: u64) -> String {
     let mut text = String::new();
     for line in 0..RESPONSE_LINES {
@@ -36,60 +37,60 @@
 }
 
 base::common! {
-    /// One request of a caller.
+    /// Ledger entry of a caller's request.
     pub struct LedgerEntry {
-        /// Its name, also the name of its key.
+        /// Request id.
         pub id: String,
-        /// The service.
+        /// Service that was called.
         pub service: String,
-        /// Whether it must not repeat.
+        /// Whether the request must be executed at most once.
         pub at_most_once: bool,
-        /// What the caller was told in the end; `None` where no answer came.
+        /// Outcome that the caller received; `None` without a response.
         pub outcome: Option<Outcome>,
-        /// The reason of a refusal, or what broke.
+        /// Reason of a refusal, or the connection error.
         pub detail: String,
-        /// Whether the answer was another than the right one.
+        /// Whether the response body differed from the expected one.
         pub wrong: bool,
-        /// Time to the end of the answer.
+        /// Time until the end of the response.
         pub took: Duration,
     }
 }
 
-/// What came of a phase.
+/// Summary of a load phase.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PhaseReport {
-    /// Requests.
+    /// Number of requests.
     pub requests: usize,
-    /// Requests done.
+    /// Requests with the outcome done.
     pub done: usize,
-    /// Requests refused without having been run.
+    /// Requests that were refused as not run.
     pub refused: usize,
-    /// Requests whose outcome is unknown.
+    /// Requests with an unknown outcome.
     pub unknown: usize,
-    /// Requests without any answer.
+    /// Requests without a response.
     pub unanswered: usize,
-    /// Requests done according to the caller that no server ran.
+    /// Requests with the outcome done that no server executed.
     pub lost: usize,
-    /// At-most-once requests that were run more than once.
+    /// At-most-once requests that were executed more than once.
     pub doubled: usize,
-    /// Requests refused as "not run" that were run.
+    /// At-most-once requests that were refused as not run, but were executed.
     pub false_refusals: usize,
-    /// Answers that were cut, wrong or someone else's.
+    /// Responses with an unexpected body.
     pub wrong: usize,
-    /// Median time of the requests done.
+    /// Median latency of the requests with the outcome done.
     pub p50: Duration,
-    /// 99th percentile of the requests done.
+    /// 99th percentile of their latency.
     pub p99: Duration,
 }
 
 impl PhaseReport {
-    /// Whether a promise was broken.
+    /// Whether a guarantee was violated.
     pub fn has_violations(&self) -> bool {
         self.lost + self.doubled + self.false_refusals + self.wrong > 0
     }
 }
 
-/// Holds the callers' ledger against what was run.
+/// Compares the callers' ledger with the executions.
 pub fn verify_ledger(entries: &[LedgerEntry], runs: &RunCounts) -> PhaseReport {
     let times_run = |entry: &LedgerEntry| runs.get(&entry.id).copied().unwrap_or(0);
     let with = |outcome: Outcome| entries.iter().filter(move |e| e.outcome == Some(outcome));
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for tests and the demo: backend servers without their sockets, and
-//! callers on the product's own interface.
+//! Test doubles for tests and the demo: simulated backend servers without sockets, and
+//! simulated callers that use the caller interface of the product.
 //!
-//! They are small and honest: a backend server counts every run and every request
-//! that it sheds; callers keep a ledger of what they sent and got.
+//! Backend servers count every execution and every shed request. Callers keep a ledger of
+//! their requests and the responses. [`verify_ledger`] compares the two.
 
 mod caller;
 mod control;
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -1,4 +1,4 @@
-//! Open load: requests at a rate, whether or not earlier ones were answered.
+//! Open-loop load generator: requests arrive at a fixed mean rate, regardless of responses.
 
 use std::sync::Arc;
 
@@ -10,35 +10,35 @@
 use crate::caller::{CallSpec, CallerSim};
 use crate::ledger::LedgerEntry;
 
-/// One kind of request in the mix.
+/// A class of requests.
 #[derive(Debug, Clone)]
 pub struct LoadClass {
-    /// The service.
+    /// Service to call.
     pub service: String,
-    /// Whether its requests must not repeat.
+    /// Whether the requests must be executed at most once.
     pub at_most_once: bool,
-    /// Longest time of a request.
+    /// Deadline of each request.
     pub deadline: Duration,
-    /// Bytes of a request's body.
+    /// Size of the request body in bytes.
     pub body: usize,
-    /// Requests a second.
+    /// Mean number of requests per second.
     pub rate: f64,
 }
 
-/// A load to make.
+/// A load to generate.
 #[derive(Debug, Clone)]
 pub struct LoadSpec {
-    /// What is asked for.
+    /// Classes of requests, generated concurrently.
     pub classes: Vec<LoadClass>,
-    /// How long.
+    /// Duration of the load.
     pub duration: Duration,
-    /// Put before every request's name.
+    /// Prefix of the request ids.
     pub id_prefix: String,
-    /// Seed of arrivals.
+    /// Seed of the arrival times.
     pub seed: u64,
 }
 
-/// Makes the load from `callers`, chosen evenly, and gives the ledger.
+/// Generates the load from `callers`, chosen uniformly at random, and returns the ledger.
 pub async fn run_load(spec: &LoadSpec, callers: &[Arc<CallerSim>]) -> Vec<LedgerEntry> {
     let mut tasks = JoinSet::new();
     for (index, class) in spec.classes.iter().enumerate() {
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! A backend server: slots, a short queue, cold start, drain, and shedding.
+//! Simulated backend server: slots, a short queue, cold start, drain and load shedding.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -9,59 +9,59 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::Instant;
 
-/// Factor on service times right after a start.
+/// Factor by which service times are longer during a cold start.
 const COLD_START_FACTOR: f64 = 3.0;
-/// Requests that wait at most, as a multiple of the slots.
+/// Length of the queue, as a multiple of the slots.
 const QUEUE_SLOTS_RATIO: usize = 2;
-/// Requests that come this long after a server began to leave count as late.
+/// Requests that arrive later than this after a server started to leave are counted as late.
 const LEAVING_GRACE: Duration = Duration::from_secs(2);
 
 base::common! {
-    /// What a server is doing.
+    /// Mode of a server.
     #[derive(Copy, Eq)]
     #[serde(rename_all = "kebab-case")]
     pub enum ServerMode {
-        /// It takes work.
+        /// It accepts requests.
         Ready,
-        /// It finishes its work and takes none.
+        /// It is draining: running requests are finished, and no new ones should arrive.
         Leaving,
-        /// It answers nothing.
+        /// It does not respond.
         Down,
     }
 
-    /// What is told of a server to whoever judges a run.
+    /// State of a server, as returned by the control interface.
     pub struct ServerView {
-        /// Its address.
+        /// Address of the server.
         pub address: String,
-        /// What it is doing.
+        /// Current mode.
         pub mode: ServerMode,
-        /// Requests it is running.
+        /// Number of running requests.
         pub in_use: u16,
-        /// Most requests it ever ran at once.
+        /// Largest number of requests that ran at the same time.
         pub peak: u16,
-        /// Its slots.
+        /// Number of slots.
         pub slots: u16,
-        /// Requests that were shed, since slots and queue were full.
+        /// Number of requests that were shed because slots and queue were full.
         pub shed: u64,
-        /// Requests that came while it was leaving.
+        /// Number of requests that arrived late while it was leaving.
         pub while_leaving: u64,
-        /// Requests that it ran.
+        /// Number of executed requests.
         pub runs: u64,
     }
 }
 
-/// What a server is like.
+/// Configuration of a server.
 #[derive(Debug, Clone)]
 pub struct BackendSpec {
-    /// Its address.
+    /// Address of the server.
     pub address: String,
-    /// Requests at once.
+    /// Number of requests that can run at the same time.
     pub slots: u16,
-    /// Mean service time when warm; times are exponential.
+    /// Mean service time of a warm server. Service times are exponentially distributed.
     pub service_time: Duration,
-    /// Time after a start in which it is slower.
+    /// Duration of the cold start.
     pub cold_time: Duration,
-    /// Seed of its service times.
+    /// Seed of the service times.
     pub seed: u64,
 }
 
@@ -80,7 +80,7 @@
     rng: ChaCha8Rng,
 }
 
-/// A backend server without its sockets.
+/// A simulated backend server without sockets.
 #[derive(Debug, Clone)]
 pub struct BackendSim {
     spec: Arc<BackendSpec>,
@@ -88,22 +88,22 @@
     slots: Arc<Semaphore>,
 }
 
-/// What a server says of itself.
+/// State that a server reports about itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackendReport {
-    /// Its run; rises with each start.
+    /// Number of the run; incremented with each start.
     pub incarnation: u64,
-    /// Whether it takes requests.
+    /// Current mode.
     pub mode: ServerMode,
-    /// How much longer it is slower.
+    /// Remaining time of the cold start.
     pub cold_remaining: Duration,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u16,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: usize,
 }
 
-/// A place in the queue, given up when dropped.
+/// A place in the queue, released on drop.
 struct QueueGuard(BackendSim);
 
 impl Drop for QueueGuard {
@@ -112,7 +112,7 @@
     }
 }
 
-/// A slot in use, given back when dropped.
+/// A slot in use, released on drop.
 #[derive(Debug)]
 pub struct SlotGuard {
     backend: BackendSim,
@@ -126,7 +126,7 @@
 }
 
 impl BackendSim {
-    /// A server that has just started.
+    /// Creates a server that has just started.
     pub fn new(spec: BackendSpec) -> Self {
         let rng = ChaCha8Rng::seed_from_u64(spec.seed);
         Self {
@@ -152,17 +152,17 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What it is like.
+    /// Configuration of the server.
     pub fn spec(&self) -> &BackendSpec {
         &self.spec
     }
 
-    /// What it is doing.
+    /// Current mode.
     pub fn mode(&self) -> ServerMode {
         self.lock().mode
     }
 
-    /// Changes what it is doing. Coming back from [`ServerMode::Down`] is a new start.
+    /// Sets the mode. A change from [`ServerMode::Down`] to [`ServerMode::Ready`] is a new start.
     pub fn set_mode(&self, mode: ServerMode) {
         let mut state = self.lock();
         if state.mode == ServerMode::Down && mode == ServerMode::Ready {
@@ -173,7 +173,7 @@
         state.mode = mode;
     }
 
-    /// What it says of itself.
+    /// State that the server reports about itself.
     pub fn report(&self) -> BackendReport {
         let state = self.lock();
         BackendReport {
@@ -185,9 +185,8 @@
         }
     }
 
-    /// Starts running the request `id` when a slot is free; `None` where slots and
-    /// queue are full, so that it is shed and was not run. Gives the slot and how long
-    /// the work takes.
+    /// Waits for a free slot and starts the request `id`. Returns the slot and the service time,
+    /// or `None` if the request was shed, and not executed, because slots and queue are full.
     pub async fn start(&self, id: &str) -> Option<(SlotGuard, Duration)> {
         let queue_guard = self.enqueue()?;
         let permit = Arc::clone(&self.slots).acquire_owned().await.ok()?;
@@ -223,12 +222,12 @@
         Some(QueueGuard(self.clone()))
     }
 
-    /// How often each request was run.
+    /// Number of executions by request id.
     pub fn runs(&self) -> HashMap<String, u32> {
         self.lock().runs.clone()
     }
 
-    /// What is told of it.
+    /// State for the control interface.
     pub fn view(&self) -> ServerView {
         let state = self.lock();
         ServerView {
