--- a/bin/lh-standin/src/client.rs
+++ b/bin/lh-standin/src/client.rs
@@ -87,10 +87,10 @@
         let views: Vec<ServerView> = serde_json::from_slice(&body)
             .map_err(|cause| Error::Exchange(format!("{control}: {cause}")))?;
         let name = server.to_string();
-        let busy = views
+        let is_busy = views
             .iter()
             .any(|view| view.address == name && view.in_use > 0);
-        if busy {
+        if is_busy {
             last_busy = Instant::now();
         }
         tokio::time::sleep(POLL_INTERVAL / 5).await;
@@ -107,8 +107,8 @@
     let deadline = Instant::now() + Duration::from_secs(seconds);
     for url in urls {
         loop {
-            let answered = send_request("GET", url, "").await;
-            if matches!(answered, Ok((200..300, _))) {
+            let response = send_request("GET", url, "").await;
+            if matches!(response, Ok((200..300, _))) {
                 break;
             }
             if Instant::now() >= deadline {
--- a/bin/lh-standin/src/servers.rs
+++ b/bin/lh-standin/src/servers.rs
@@ -27,7 +27,7 @@
 
 /// A server with its part and failure domain.
 #[derive(Clone)]
-struct PlacedServer {
+struct RegisteredServer {
     backend: BackendSim,
     part: String,
     domain: String,
@@ -63,12 +63,12 @@
             });
             let listener = TcpListener::bind(server.as_str()).await?;
             tokio::spawn(serve_backend(listener, backend.clone()));
-            let placed = PlacedServer {
+            let registered = RegisteredServer {
                 backend: backend.clone(),
                 part: pool.part.clone(),
                 domain: pool.domain.to_string(),
             };
-            tokio::spawn(register(client.clone(), placed));
+            tokio::spawn(register(client.clone(), registered));
             backends.push(backend);
         }
     }
@@ -82,27 +82,32 @@
 
 /// Registers a server periodically, and immediately when its mode changes. The registration of
 /// a server that is down expires.
-async fn register(client: PlatformClient, placed: PlacedServer) {
+async fn register(client: PlatformClient, registered: RegisteredServer) {
     let mut seq = 0;
     loop {
-        let mode = placed.backend.mode();
-        let id = backend_id(&placed.backend);
+        let mode = registered.backend.mode();
+        let id = backend_id(&registered.backend);
         if mode == ServerMode::Down {
             wait_for_mode_change(
-                &placed.backend,
+                &registered.backend,
                 mode,
                 HEARTBEAT_INTERVAL * EXPIRY_HEARTBEATS,
             )
             .await;
             write_row(&client, RowWrite::delete(SERVER_TABLE, &id)).await;
-            wait_for_mode_change(&placed.backend, mode, Duration::MAX).await;
+            wait_for_mode_change(&registered.backend, mode, Duration::MAX).await;
             continue;
         }
         seq += 1;
-        let entry = backend_entry(&placed.backend, &placed.part, &placed.domain, seq);
+        let entry = backend_entry(
+            &registered.backend,
+            &registered.part,
+            &registered.domain,
+            seq,
+        );
         let row = RowWrite::new(SERVER_TABLE, &id, &entry.to_string());
         write_row(&client, row).await;
-        wait_for_mode_change(&placed.backend, mode, HEARTBEAT_INTERVAL).await;
+        wait_for_mode_change(&registered.backend, mode, HEARTBEAT_INTERVAL).await;
     }
 }
 
--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -99,8 +99,8 @@
     }
 
     /// Sends a request to the first instance of the lookup, and to the next ones as long as
-    /// nothing was sent. An interrupted request is retried once, at the next instance, with the
-    /// same ticket and number.
+    /// nothing was sent or its ticket was rejected as stale. An interrupted request is retried
+    /// once, at the next instance, with the same ticket and number.
     pub async fn call(&self, call: &CallSpec) -> LedgerEntry {
         let started = Instant::now();
         let mut entry = LedgerEntry {
@@ -128,15 +128,21 @@
         let mut sent_to: Option<&FoundEntry> = None;
         entry.outcome = Some(Outcome::NotRun);
         entry.detail = "no instance could be reached".to_owned();
-        for found in &found.entries {
-            let ticket = sent_to.unwrap_or(found);
+        for instance in &found.entries {
+            let ticket_source = sent_to.unwrap_or(instance);
             let is_first = sent_to.is_none();
             match self
-                .attempt(call, found.address, &ticket.ticket, number, is_first)
+                .attempt(
+                    call,
+                    instance.address,
+                    &ticket_source.ticket,
+                    number,
+                    is_first,
+                )
                 .await
             {
                 CallResult::Completed(Outcome::NotRun, _, detail) if detail == "ticket-stale" => {
-                    self.forget(&call.service);
+                    self.invalidate(&call.service);
                     entry.detail = detail;
                 }
                 CallResult::Completed(outcome, wrong, detail) => {
@@ -145,15 +151,15 @@
                     entry.detail = detail;
                     break;
                 }
-                CallResult::NotSent => self.forget(&call.service),
+                CallResult::NotSent => self.invalidate(&call.service),
                 CallResult::Interrupted(detail) => {
-                    self.forget(&call.service);
+                    self.invalidate(&call.service);
                     entry.outcome = None;
                     entry.detail = detail;
                     if sent_to.is_some() || started.elapsed() > call.deadline {
                         break;
                     }
-                    sent_to = Some(found);
+                    sent_to = Some(instance);
                 }
             }
         }
@@ -161,18 +167,18 @@
         entry
     }
 
-    fn forget(&self, service: &str) {
+    fn invalidate(&self, service: &str) {
         let mut cache = self.cache.lock().unwrap_or_else(PoisonError::into_inner);
         cache.remove(service);
     }
 
     async fn lookup(&self, service: &str) -> Result<FoundEntries> {
-        if let Some(found) = self.cached(service) {
+        if let Some(found) = self.cached_lookup(service) {
             return Ok(found);
         }
         let start = rand::random_range(0..self.spec.lookups.len().max(1));
         let count = self.spec.lookups.len();
-        let mut last_error = Error::Answer("nowhere to look up".to_owned());
+        let mut last_error = Error::Response("nowhere to look up".to_owned());
         for step in 0..count {
             let address = self.spec.lookups[(start + step) % count];
             match self.query_entries(address, service).await {
@@ -186,14 +192,14 @@
                     cache.insert(service.to_owned(), cached);
                     return Ok(found);
                 }
-                Ok(_) => last_error = Error::Answer("the look-up named no instance".to_owned()),
+                Ok(_) => last_error = Error::Response("the look-up named no instance".to_owned()),
                 Err(error) => last_error = error,
             }
         }
         Err(last_error)
     }
 
-    fn cached(&self, service: &str) -> Option<FoundEntries> {
+    fn cached_lookup(&self, service: &str) -> Option<FoundEntries> {
         let cache = self.cache.lock().unwrap_or_else(PoisonError::into_inner);
         let cached = cache.get(service)?;
         (cached.until > Instant::now()).then(|| cached.found.clone())
@@ -204,18 +210,18 @@
             .uri(format!("/v1/entries?service={service}"))
             .header("host", address.to_string())
             .body(Full::new(Bytes::new()))
-            .map_err(|cause| Error::Answer(cause.to_string()))?;
+            .map_err(|cause| Error::Response(cause.to_string()))?;
         let query = async {
             let response = self.send(address, request).await?;
             let body = response.into_body().collect().await;
             let body = body
-                .map_err(|cause| Error::Answer(cause.to_string()))?
+                .map_err(|cause| Error::Response(cause.to_string()))?
                 .to_bytes();
-            serde_json::from_slice(&body).map_err(|cause| Error::Answer(cause.to_string()))
+            serde_json::from_slice(&body).map_err(|cause| Error::Response(cause.to_string()))
         };
         tokio::time::timeout(CONNECT_TIMEOUT, query)
             .await
-            .unwrap_or_else(|_| Err(Error::Answer("no answer in time".to_owned())))
+            .unwrap_or_else(|_| Err(Error::Response("no answer in time".to_owned())))
     }
 
     async fn connect(&self, address: SocketAddr) -> std::io::Result<tokio::net::TcpStream> {
@@ -232,7 +238,7 @@
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>> {
         let stream = self.connect(address).await?;
-        let connection_error = |cause: hyper::Error| Error::Answer(cause.to_string());
+        let connection_error = |cause: hyper::Error| Error::Response(cause.to_string());
         let (mut sender, connection) = handshake(TokioIo::new(stream))
             .await
             .map_err(connection_error)?;
--- a/crates/standin/src/error.rs
+++ b/crates/standin/src/error.rs
@@ -13,7 +13,7 @@
             from()
         }
         /// An invalid or missing response.
-        Answer(detail: String) {
+        Response(detail: String) {
             display("{}", detail)
         }
     }
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -43,8 +43,8 @@
     let mut tasks = JoinSet::new();
     for (index, class) in spec.classes.iter().enumerate() {
         let mut rng = ChaCha8Rng::seed_from_u64(spec.seed.wrapping_add(index as u64));
-        let mut at = Instant::now();
-        let end = at + spec.duration;
+        let mut arrival = Instant::now();
+        let end = arrival + spec.duration;
         let mut count = 0_u64;
         let class = class.clone();
         let id_prefix = spec.id_prefix.clone();
@@ -52,12 +52,12 @@
         tasks.spawn(async move {
             let mut calls = JoinSet::new();
             loop {
-                let gap = -(1.0 - rng.random::<f64>()).ln() / class.rate;
-                at += Duration::from_secs_f64(gap);
-                if at >= end {
+                let interval = -(1.0 - rng.random::<f64>()).ln() / class.rate;
+                arrival += Duration::from_secs_f64(interval);
+                if arrival >= end {
                     break;
                 }
-                tokio::time::sleep_until(at.into()).await;
+                tokio::time::sleep_until(arrival.into()).await;
                 let caller = Arc::clone(&callers[rng.random_range(0..callers.len())]);
                 let call = CallSpec {
                     id: format!("{id_prefix}-{}-{count}", class.service),
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -195,24 +195,24 @@
         state.in_use += 1;
         state.peak = state.peak.max(state.in_use);
         *state.runs.entry(id.to_owned()).or_default() += 1;
-        let cold = state.started.elapsed() < self.spec.cold_time;
-        let factor = if cold { COLD_START_FACTOR } else { 1.0 };
+        let is_cold = state.started.elapsed() < self.spec.cold_time;
+        let factor = if is_cold { COLD_START_FACTOR } else { 1.0 };
         let draw: f64 = state.rng.random();
-        let time = self.spec.service_time.mul_f64(-(1.0 - draw).ln() * factor);
+        let service_time = self.spec.service_time.mul_f64(-(1.0 - draw).ln() * factor);
         drop(state);
         let slot = SlotGuard {
             backend: self.clone(),
             _permit: permit,
         };
-        Some((slot, time))
+        Some((slot, service_time))
     }
 
     fn enqueue(&self) -> Option<QueueGuard> {
         let mut state = self.lock();
-        let late = state
+        let is_late = state
             .leaving_since
             .is_some_and(|since| since.elapsed() > LEAVING_GRACE);
-        state.while_leaving += u64::from(late);
+        state.while_leaving += u64::from(is_late);
         let slots = usize::from(self.spec.slots);
         if usize::from(state.in_use) + state.waiting >= slots * (1 + QUEUE_SLOTS_RATIO) {
             state.shed += 1;
