--- a/bin/lh-soak/tests/judge.rs
+++ b/bin/lh-soak/tests/judge.rs
@@ -118,18 +118,23 @@
 /// Otherwise the request is reported as late.
 #[test]
 fn late_heartbeat_excuses_only_unseen_departures() {
-    let word = RunEvent::LateWord {
+    let late_heartbeat = RunEvent::LateWord {
         server: "x".to_owned(),
     };
     let with = |knows: &[(u64, RunEvent)]| {
-        let end = [(15_000, word.clone()), (16_000, arrived(2))];
+        let end = [(15_000, late_heartbeat.clone()), (16_000, arrived(2))];
         report(&[&[(10_000, left())], knows, &end].concat())
     };
-    let seen = (11_000, logged(1, ServerChange::Left));
+    let logged_departure = (11_000, logged(1, ServerChange::Left));
     assert_eq!(with(&[]).forgotten, 1);
-    assert_eq!(with(std::slice::from_ref(&seen)).drain_violations.len(), 1);
+    assert_eq!(
+        with(std::slice::from_ref(&logged_departure))
+            .drain_violations
+            .len(),
+        1
+    );
     let ended = (12_000, RunEvent::Ended { entry: 1 });
-    assert_eq!(with(&[seen, ended]).forgotten, 1);
+    assert_eq!(with(&[logged_departure, ended]).forgotten, 1);
 }
 
 /// A second execution of an at-most-once request, an execution of a refused one, and a response to
--- a/bin/lh-standin/src/client.rs
+++ b/bin/lh-standin/src/client.rs
@@ -65,8 +65,8 @@
     (body, key): (&str, Option<&str>),
     expect: Option<u16>,
 ) -> Result<()> {
-    let (status, answer) = send_request_with_key(key, method, url, body).await?;
-    println!("{}", String::from_utf8_lossy(&answer));
+    let (status, response) = send_request_with_key(key, method, url, body).await?;
+    println!("{}", String::from_utf8_lossy(&response));
     let is_expected_status = match expect {
         Some(expected) => status == expected,
         None => (200..300).contains(&status),
