--- a/bin/lh-entry/tests/crashes.rs
+++ b/bin/lh-entry/tests/crashes.rs
@@ -52,7 +52,7 @@
 
     /// Starts a new server for each one that has crashed.
     async fn replace_crashed(&mut self) {
-        let running = |backend: &&FakeBackend| !backend.has_ended();
+        let running = |backend: &&FakeBackend| !backend.has_crashed();
         for _ in self.world.backends.iter().filter(running).count()..8 {
             let backend = FakeBackend::start(&format!("i-{}", self.started)).await;
             backend.set_fatal(FATAL_PATH_PART);
@@ -69,14 +69,14 @@
             self.started += 1;
         }
         for backend in &self.world.backends {
-            if backend.has_ended() {
-                self.world.store.drop_row("servers", backend.id());
+            if backend.has_crashed() {
+                self.world.store.delete_row("servers", backend.id());
             }
         }
     }
 
     fn crashed(&self) -> usize {
-        let crashed = |backend: &&FakeBackend| backend.has_ended();
+        let crashed = |backend: &&FakeBackend| backend.has_crashed();
         self.world.backends.iter().filter(crashed).count()
     }
 
--- a/bin/lh-entry/tests/leaving.rs
+++ b/bin/lh-entry/tests/leaving.rs
@@ -98,7 +98,7 @@
         process.logged("server joined").len() == 2
     })
     .await;
-    world.store.drop_row("servers", "i-left");
+    world.store.delete_row("servers", "i-left");
     world.store.put("servers", "i-left", &word);
     until("the server is gone", async || {
         process.logged("\"event\":\"server is gone\"").len() == 1
--- a/bin/lh-entry/tests/requests.rs
+++ b/bin/lh-entry/tests/requests.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use platform_standin::{Behavior, RouteText, desired_state, with_body_limit};
+use platform_standin::{Behavior, RouteFixture, desired_state, with_body_limit};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use world::{BOARD, DESK, EntryProcess, World, exchange, request, request_with, until};
@@ -131,7 +131,7 @@
 #[tokio::test]
 async fn the_route_timeout_cancels_the_request() {
     let world = World::new(1).await;
-    let short = RouteText {
+    let short = RouteFixture {
         timeout: "300ms",
         ..DESK
     };
--- a/bin/lh-entry/tests/states.rs
+++ b/bin/lh-entry/tests/states.rs
@@ -4,7 +4,9 @@
 
 use std::time::Duration;
 
-use platform_standin::{Behavior, FakeBackend, FaultPlan, RouteText, desired_state, server_entry};
+use platform_standin::{
+    Behavior, FakeBackend, FaultPlan, RouteFixture, desired_state, server_entry,
+};
 use world::{BOARD, DESK, EntryProcess, World, connect, exchange, request, request_for, until};
 
 /// Promise: a new desired state is in force soon, and an older one never again.
@@ -12,7 +14,7 @@
 async fn a_desired_state_never_goes_back() {
     let world = World::new(1).await;
     let entry = EntryProcess::ready(&world, "n1").await;
-    let added = RouteText {
+    let added = RouteFixture {
         name: "added",
         prefix: "/added/",
         ..BOARD
@@ -60,7 +62,7 @@
 async fn a_lost_history_is_read_again() {
     let world = World::new(1).await;
     let entry = EntryProcess::ready(&world, "n1").await;
-    world.store.forget_history();
+    world.store.discard_history();
     world.store.put("op", "config", &desired_state(9, &[DESK]));
     until("the new state is in force", async || {
         entry.send("GET", "/board/x", "a").await.status == 404
@@ -95,7 +97,7 @@
     let world = World::new(2).await;
     let former = server_entry("board", world.backends[1].address(), "ready", 1);
     world.store.put("servers", "i-former", &former);
-    world.store.drop_row("servers", "i-1");
+    world.store.delete_row("servers", "i-1");
     let entry = EntryProcess::ready(&world, "n1").await;
     let mut sender = entry.connect().await;
     for turn in 0..20 {
@@ -125,7 +127,7 @@
     let before = world.backends[0].seen().len();
     assert_eq!(entry.send("GET", "/board/x", "b").await.status, 503);
     assert_eq!(world.backends[0].seen().len(), before);
-    world.store.drop_row("op", "evacuate/zone-a");
+    world.store.delete_row("op", "evacuate/zone-a");
     until("it is taken back", async || {
         entry.send("GET", "/board/x", "c").await.status == 200
     })
--- a/bin/lh-entry/tests/tickets.rs
+++ b/bin/lh-entry/tests/tickets.rs
@@ -276,7 +276,7 @@
         refused.retry_after.is_some(),
         "the refusal must contain a retry time"
     );
-    world.store.drop_row("op", "evacuate/zone-a");
+    world.store.delete_row("op", "evacuate/zone-a");
     until("servers take requests again", async || {
         let headers = [(REQUEST_ID_HEADER, "probe")];
         let answer = send(entry.callers(), "/board/x", &headers, b"").await;
--- a/bin/lh-soak/src/fleet.rs
+++ b/bin/lh-soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The entries' processes. Each is ended by its own id.
+//! Processes of the entries. Signals go to each process by its own id.
 
 use std::fs::File;
 use std::io::{BufRead as _, BufReader, Write as _};
@@ -11,7 +11,7 @@
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
 
-use crate::config::{DRAIN, REGIONS, place};
+use crate::config::{DRAIN_TIMEOUT, REGIONS, region_and_domain};
 use crate::error::{Error, Result};
 use crate::history::{RunEvent, RunRecorder, ServerChange};
 use crate::proxy::StoreProxy;
@@ -21,12 +21,12 @@
 const LOOKUP_PORT: u16 = 20_003;
 const METRICS_PORT: u16 = 20_004;
 const PEER_PORT: u16 = 20_005;
-/// Entries that others are told of at their start.
-const SEEDS: usize = 3;
+/// Number of entries that are configured as peer seeds.
+const SEED_COUNT: usize = 3;
 
-/// One entry with its way to the store.
+/// An `lh-entry` process with its proxy to the store.
 #[derive(Debug)]
-pub(crate) struct SoakEntry {
+pub(crate) struct EntryProcess {
     index: usize,
     program: PathBuf,
     folder: PathBuf,
@@ -34,56 +34,56 @@
     proxy: StoreProxy,
     run: u32,
     child: Option<Child>,
-    /// Whether its present run leads its region, by its lines.
-    leads: Arc<AtomicBool>,
+    /// Whether the current run leads its region, according to its log.
+    is_lead: Arc<AtomicBool>,
     recorder: RunRecorder,
 }
 
-impl SoakEntry {
-    /// The entry with the number `index`, not started; its settings and lines go to `folder`.
+impl EntryProcess {
+    /// Creates entry number `index` without starting it. Its settings and log go to `folder`.
     pub(crate) fn new(
         index: usize,
         (program, folder): (&Path, &Path),
         proxy: StoreProxy,
-        seeds: &[IpAddr],
+        seed_addresses: &[IpAddr],
         recorder: RunRecorder,
     ) -> Result<Self> {
         let entry = Self {
             index,
             program: program.to_owned(),
             folder: folder.to_owned(),
-            ip: address_of(index),
+            ip: loopback_ip(index),
             proxy,
             run: 0,
             child: None,
-            leads: Arc::default(),
+            is_lead: Arc::default(),
             recorder,
         };
-        std::fs::write(entry.settings_path(), entry.settings(seeds))?;
+        std::fs::write(entry.settings_path(), entry.settings(seed_addresses))?;
         Ok(entry)
     }
 
-    /// Where it takes callers.
-    pub(crate) fn callers(&self) -> SocketAddr {
+    /// Address for callers.
+    pub(crate) fn caller_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, CALLER_PORT)
     }
 
-    /// Where it says that it is ready.
-    pub(crate) fn ready(&self) -> SocketAddr {
+    /// Address of the readiness endpoint.
+    pub(crate) fn ready_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, READY_PORT)
     }
 
-    /// Its way to the store.
+    /// Proxy through which it reaches the store.
     pub(crate) fn proxy(&self) -> &StoreProxy {
         &self.proxy
     }
 
     /// Whether it leads its region.
-    pub(crate) fn leads(&self) -> bool {
-        self.leads.load(Ordering::Relaxed)
+    pub(crate) fn is_lead(&self) -> bool {
+        self.is_lead.load(Ordering::Relaxed)
     }
 
-    /// Starts its process, unless it runs.
+    /// Starts the process if it is not running.
     pub(crate) fn start(&mut self) -> Result<()> {
         if self.is_running() {
             return Ok(());
@@ -97,16 +97,17 @@
             .stderr(Stdio::null())
             .spawn()?;
         let output = child.stdout.take();
-        let output = output.ok_or_else(|| Error::Start("no output of an entry".to_owned()))?;
+        let output = output
+            .ok_or_else(|| Error::Start("the output of an entry is not captured".to_owned()))?;
         let file = File::options()
             .create(true)
             .append(true)
             .open(self.folder.join(format!("entry-{:03}.log", self.index)))?;
-        self.leads = Arc::default();
-        let reader = LineReader {
+        self.is_lead = Arc::default();
+        let reader = LogReader {
             entry: self.index,
             run: self.run,
-            leads: Arc::clone(&self.leads),
+            is_lead: Arc::clone(&self.is_lead),
             recorder: self.recorder.clone(),
         };
         std::thread::spawn(move || reader.read(BufReader::new(output), file));
@@ -116,13 +117,13 @@
         Ok(())
     }
 
-    /// Whether its process runs.
+    /// Whether the process is running.
     pub(crate) fn is_running(&mut self) -> bool {
         let child = self.child.as_mut();
         child.is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
-    /// Sends a signal to its process, if it runs.
+    /// Sends a signal to the process if it is running.
     pub(crate) fn signal(&mut self, signal: Signal) -> Result<()> {
         if !self.is_running() {
             return Ok(());
@@ -135,7 +136,7 @@
         Ok(())
     }
 
-    /// Ends its process at once.
+    /// Kills the process and waits for its end.
     pub(crate) fn kill(&mut self) -> Result<()> {
         if let Some(mut child) = self.child.take() {
             child.kill()?;
@@ -150,9 +151,12 @@
         self.folder.join(format!("entry-{:03}.ini", self.index))
     }
 
-    fn settings(&self, seeds: &[IpAddr]) -> String {
-        let (ip, (region, domain)) = (self.ip, place(self.index));
-        let seeds: Vec<String> = seeds.iter().map(|seed| format!("{seed}:1")).collect();
+    fn settings(&self, seed_addresses: &[IpAddr]) -> String {
+        let (ip, (region, domain)) = (self.ip, region_and_domain(self.index));
+        let seed_addresses: Vec<String> = seed_addresses
+            .iter()
+            .map(|seed| format!("{seed}:1"))
+            .collect();
         let mut text = format!(
             "[instance]\nname = entry-{:03}\nregion = {region}\ndomain = {domain}\n\
              address = {ip}\n[entry]\ncallers = {ip}:{CALLER_PORT}\nready = {ip}:{READY_PORT}\n\
@@ -163,9 +167,9 @@
              memory_mb = 260\ndescriptors = 4100\n",
             self.index,
             PEER_PORT + 1,
-            seeds.join(","),
+            seed_addresses.join(","),
             self.proxy.address(),
-            DRAIN.as_millis(),
+            DRAIN_TIMEOUT.as_millis(),
         );
         for region in REGIONS {
             for side in ["a", "b"] {
@@ -176,51 +180,55 @@
     }
 }
 
-impl Drop for SoakEntry {
+impl Drop for EntryProcess {
     fn drop(&mut self) {
         if let Err(error) = self.kill() {
-            eprintln!("entry {} may still run: {error}", self.index);
+            eprintln!(
+                "failed to kill entry {}, which may still be running: {error}",
+                self.index
+            );
         }
     }
 }
 
-/// The loopback address of an entry; runs beside each other have different ones.
-fn address_of(index: usize) -> IpAddr {
+/// Loopback address of an entry. It depends on the process id, so that concurrent runs don't
+/// conflict.
+fn loopback_ip(index: usize) -> IpAddr {
     let [_, _, high, low] = std::process::id().to_be_bytes();
     let last = u8::try_from(index % 250 + 1).unwrap_or(u8::MAX);
     IpAddr::from([127, 32 + high % 64, low, last])
 }
 
-/// The entries that others are told of at their start.
-pub(crate) fn seeds(entries: usize) -> Vec<IpAddr> {
-    (0..entries.min(SEEDS)).map(address_of).collect()
+/// Addresses of the entries that are configured as peer seeds.
+pub(crate) fn seed_addresses(entries: usize) -> Vec<IpAddr> {
+    (0..entries.min(SEED_COUNT)).map(loopback_ip).collect()
 }
 
-/// Reads the lines of one run of an entry.
-struct LineReader {
+/// Reads the log of one run of an entry.
+struct LogReader {
     entry: usize,
     run: u32,
-    leads: Arc<AtomicBool>,
+    is_lead: Arc<AtomicBool>,
     recorder: RunRecorder,
 }
 
-impl LineReader {
+impl LogReader {
     fn read(&self, lines: BufReader<std::process::ChildStdout>, mut file: File) {
-        for line in lines.lines().map_while(std::result::Result::ok) {
-            // Lines are kept for whoever traces a finding; the judge needs none of the files.
-            let _ = writeln!(file, "{line}");
-            let Ok(line) = serde_json::from_str::<Value>(&line) else {
+        for log_line in lines.lines().map_while(std::result::Result::ok) {
+            // The log files are for debugging only; the judge does not read them.
+            let _ = writeln!(file, "{log_line}");
+            let Ok(log_line) = serde_json::from_str::<Value>(&log_line) else {
                 continue;
             };
-            match line["event"].as_str() {
-                Some("leads its region") => self.leads.store(true, Ordering::Relaxed),
-                Some("leads no longer") => self.leads.store(false, Ordering::Relaxed),
+            match log_line["event"].as_str() {
+                Some("leads its region") => self.is_lead.store(true, Ordering::Relaxed),
+                Some("leads no longer") => self.is_lead.store(false, Ordering::Relaxed),
                 _ => {}
             }
-            let Some((server, change)) = server_change(&line) else {
+            let Some((server, change)) = server_change(&log_line) else {
                 continue;
             };
-            let line_at = line["time_ms"].as_u64().unwrap_or_default();
+            let line_at = log_line["time_ms"].as_u64().unwrap_or_default();
             let event = RunEvent::Line {
                 entry: self.entry,
                 run: self.run,
@@ -232,14 +240,14 @@
     }
 }
 
-/// What a line says of a server.
-fn server_change(line: &Value) -> Option<(String, ServerChange)> {
-    let change = match line["event"].as_str()? {
-        // A server may be listed anew as leaving.
-        "server joined" if line["state"] == "draining" => ServerChange::Left,
+/// Extracts a change of a server from a log line.
+fn server_change(log_line: &Value) -> Option<(String, ServerChange)> {
+    let change = match log_line["event"].as_str()? {
+        // A server that was unknown before may be listed as draining from the start.
+        "server joined" if log_line["state"] == "draining" => ServerChange::Left,
         "server joined" => ServerChange::Joined,
         "server is leaving" | "server is gone" => ServerChange::Left,
         _ => return None,
     };
-    Some((line["server"].as_str()?.to_owned(), change))
+    Some((log_line["server"].as_str()?.to_owned(), change))
 }
--- a/bin/lh-soak/tests/judge.rs
+++ b/bin/lh-soak/tests/judge.rs
@@ -1,8 +1,8 @@
-//! What the judge reports, by histories that were made up, and how faults are drawn.
+//! Tests of the judge with constructed histories, and of the fault schedule.
 
 use lh_soak::faults;
 use lh_soak::history::{RunEvent, RunHistory, ServerChange, TimedEvent};
-use lh_soak::judge::{RunVerdict, judge};
+use lh_soak::judge::{SoakReport, judge};
 
 fn left() -> RunEvent {
     RunEvent::Left {
@@ -34,7 +34,7 @@
     }
 }
 
-fn line(run: u32, change: ServerChange) -> RunEvent {
+fn logged(run: u32, change: ServerChange) -> RunEvent {
     RunEvent::Line {
         entry: 1,
         run,
@@ -48,8 +48,8 @@
     RunEvent::Fault { name, entry }
 }
 
-/// The verdict on `events` of entry 1 in its first run and entry 2.
-fn verdict(events: &[(u64, RunEvent)]) -> RunVerdict {
+/// Judges `events`, with entries 1 and 2 running from the start, both in run 1.
+fn report(events: &[(u64, RunEvent)]) -> SoakReport {
     let started = |entry| (0, RunEvent::Started { entry, run: 1 });
     let events = [&[started(1), started(2)], events].concat();
     let events = events.into_iter();
@@ -57,21 +57,24 @@
     judge(&RunHistory { seed: 1, events })
 }
 
-/// Promise: a late request is reported, one in time isn't, and the run's own delay is allowed
-/// for.
+/// A late request is reported, a timely one is not. The bound is extended by the scheduling delay
+/// of the soak process itself.
 #[test]
 fn a_late_request_is_reported() {
     let base = [(10_000, left())];
-    let with = |at| verdict(&[&base[..], &[(at, arrived(1))]].concat());
-    assert_eq!(with(12_900).broken(), 0);
-    assert_eq!(with(13_001).drain.len(), 1);
+    let with = |at| report(&[&base[..], &[(at, arrived(1))]].concat());
+    assert_eq!(with(12_900).violation_count(), 0);
+    assert_eq!(with(13_001).drain_violations.len(), 1);
     let lag = [(100, RunEvent::Lag { ms: 50 })];
     let late = [(13_040, arrived(1))];
-    assert_eq!(verdict(&[&lag[..], &base, &late].concat()).broken(), 0);
+    assert_eq!(
+        report(&[&lag[..], &base, &late].concat()).violation_count(),
+        0
+    );
 }
 
-/// Promise: no bound holds for an entry with a fault, or of a store with one, nor for the
-/// stable window after it; another entry isn't excused by it.
+/// No bound applies while an entry or the store is faulty, nor in the stable window after that.
+/// The fault of one entry does not excuse another entry.
 #[test]
 fn a_fault_excuses_its_own_entry_only() {
     let base = [
@@ -79,64 +82,69 @@
         (10_000, left()),
         (11_000, RunEvent::Calm { entry: Some(1) }),
     ];
-    let with = |at, entry| verdict(&[&base[..], &[(at, arrived(entry))]].concat());
-    assert_eq!(with(14_500, 1).drain.len(), 0);
-    assert_eq!(with(14_500, 1).excused, (1, 4500));
-    assert_eq!(with(15_001, 1).drain.len(), 1);
-    assert_eq!(with(14_500, 2).drain.len(), 1);
+    let with = |at, entry| report(&[&base[..], &[(at, arrived(entry))]].concat());
+    assert_eq!(with(14_500, 1).drain_violations.len(), 0);
+    assert_eq!(with(14_500, 1).late_under_faults, (1, 4500));
+    assert_eq!(with(15_001, 1).drain_violations.len(), 1);
+    assert_eq!(with(14_500, 2).drain_violations.len(), 1);
     let store = [
         (9000, fault(None)),
         (10_000, left()),
         (11_000, RunEvent::Calm { entry: None }),
     ];
-    let with = |at| verdict(&[&store[..], &[(at, arrived(2))]].concat());
-    assert_eq!(with(17_900).drain.len(), 0);
-    assert_eq!(with(18_100).drain.len(), 1);
+    let with = |at| report(&[&store[..], &[(at, arrived(2))]].concat());
+    assert_eq!(with(17_900).drain_violations.len(), 0);
+    assert_eq!(with(18_100).drain_violations.len(), 1);
 }
 
-/// Promise: an entry that takes a server in again, or sends it requests, after it wrote that
-/// the server left is reported under any fault; a run of it that began later isn't.
+/// An entry that takes a server in again, or sends it requests, after it logged the departure is
+/// reported even under faults. A later run of the same entry is not.
 #[test]
-fn a_server_taken_in_again_is_reported() {
+fn readmission_is_reported() {
     let base = [
         (9000, fault(Some(1))),
         (10_000, left()),
-        (11_000, line(1, ServerChange::Left)),
+        (11_000, logged(1, ServerChange::Left)),
     ];
-    let with = |at, event| verdict(&[&base[..], &[(at, event)]].concat());
-    let again = |run| line(run, ServerChange::Joined);
-    assert_eq!(with(12_000, again(1)).returned.len(), 1);
-    assert_eq!(with(12_000, again(2)).returned.len(), 0);
-    assert_eq!(with(13_900, arrived(1)).returned.len(), 0);
-    assert_eq!(with(14_100, arrived(1)).returned.len(), 1);
+    let with = |at, event| report(&[&base[..], &[(at, event)]].concat());
+    let again = |run| logged(run, ServerChange::Joined);
+    assert_eq!(with(12_000, again(1)).readmissions.len(), 1);
+    assert_eq!(with(12_000, again(2)).readmissions.len(), 0);
+    assert_eq!(with(13_900, arrived(1)).readmissions.len(), 0);
+    assert_eq!(with(14_100, arrived(1)).readmissions.len(), 1);
 }
 
-/// Promise: an older word is the store's own where no process that runs has seen the server
-/// leave; where one has, the request is late.
+/// A late heartbeat excuses requests only if no running process has seen the departure.
+/// Otherwise the request is reported as late.
 #[test]
-fn what_one_process_has_seen_counts_for_all() {
-    let word = RunEvent::LateWord {
+fn late_heartbeat_excuses_only_unseen_departures() {
+    let late_heartbeat = RunEvent::LateWord {
         server: "x".to_owned(),
     };
     let with = |knows: &[(u64, RunEvent)]| {
-        let end = [(15_000, word.clone()), (16_000, arrived(2))];
-        verdict(&[&[(10_000, left())], knows, &end].concat())
+        let end = [(15_000, late_heartbeat.clone()), (16_000, arrived(2))];
+        report(&[&[(10_000, left())], knows, &end].concat())
     };
-    let seen = (11_000, line(1, ServerChange::Left));
+    let logged_departure = (11_000, logged(1, ServerChange::Left));
     assert_eq!(with(&[]).forgotten, 1);
-    assert_eq!(with(std::slice::from_ref(&seen)).drain.len(), 1);
+    assert_eq!(
+        with(std::slice::from_ref(&logged_departure))
+            .drain_violations
+            .len(),
+        1
+    );
     let ended = (12_000, RunEvent::Ended { entry: 1 });
-    assert_eq!(with(&[seen, ended]).forgotten, 1);
+    assert_eq!(with(&[logged_departure, ended]).forgotten, 1);
 }
 
-/// Promise: a second run of what must not repeat, a run of what was refused, and an answer that
-/// isn't the request's own are reported; other repeats aren't.
+/// A second execution of an at-most-once request, an execution of a refused one, and a response to
+/// another request are reported. Repeated idempotent requests are not.
 #[test]
-fn what_must_not_repeat_runs_once() {
+fn at_most_once_violations_are_reported() {
     let once = |events: &[RunEvent]| {
         let events: Vec<(u64, RunEvent)> =
             events.iter().cloned().map(|event| (10, event)).collect();
-        verdict(&events).once.len()
+        report(&events).once_violations.len()
     };
     let own = "1-0-3-once ran at x";
     assert_eq!(
@@ -163,12 +171,14 @@
     );
 }
 
-/// Promise: the same seed draws the same faults, and a run ends without any.
+/// The fault schedule is determined by the seed, and the end of a run is free of faults.
 #[test]
-fn a_seed_draws_its_faults() {
-    let drawn = faults::draw(7, 60, 24, 3);
-    assert_eq!(drawn, faults::draw(7, 60, 24, 3));
-    assert_ne!(drawn, faults::draw(8, 60, 24, 3));
-    let ends = drawn.iter().map(|fault| (fault.at + fault.span).as_secs());
-    assert!(drawn.len() > 5 && ends.max().is_some_and(|last| last <= 52));
+fn fault_schedule_is_reproducible() {
+    let schedule = faults::draw_faults(7, 60, 24, 3);
+    assert_eq!(schedule, faults::draw_faults(7, 60, 24, 3));
+    assert_ne!(schedule, faults::draw_faults(8, 60, 24, 3));
+    let ends = schedule
+        .iter()
+        .map(|fault| (fault.at + fault.duration).as_secs());
+    assert!(schedule.len() > 5 && ends.max().is_some_and(|last| last <= 52));
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for tests and the demo: backend servers without their sockets, and
-//! callers on the product's own interface.
+//! Test doubles for tests and the demo: simulated backend servers without sockets, and
+//! simulated callers that use the caller interface of the product.
 //!
-//! They are small and honest: a backend server counts every run and every request
-//! that it sheds; callers keep a ledger of what they sent and got.
+//! Backend servers count every execution and every shed request. Callers keep a ledger of
+//! their requests and the responses. [`verify_ledger`] compares the two.
 
 mod caller;
 mod control;
@@ -16,8 +16,8 @@
 pub use control::control_routes;
 pub use error::{Error, Result};
 pub use ledger::{
-    LedgerEntry, PhaseReport, REQUEST_ID_HEADER, RunLedger, checksum, judge, payload,
+    LedgerEntry, PhaseReport, REQUEST_ID_HEADER, RunCounts, checksum, response_body, verify_ledger,
 };
-pub use load::{LoadMix, LoadSpec, run_load};
+pub use load::{LoadClass, LoadSpec, run_load};
 pub use local::free_address;
 pub use server::{BackendReport, BackendSim, BackendSpec, ServerMode, ServerView, SlotGuard};
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -1,4 +1,4 @@
-//! Open load: requests at a rate, whether or not earlier ones were answered.
+//! Open-loop load generator: requests arrive at a fixed mean rate, regardless of responses.
 
 use std::sync::Arc;
 
@@ -10,61 +10,61 @@
 use crate::caller::{CallSpec, CallerSim};
 use crate::ledger::LedgerEntry;
 
-/// One kind of request in the mix.
+/// A class of requests.
 #[derive(Debug, Clone)]
-pub struct LoadMix {
-    /// The service.
+pub struct LoadClass {
+    /// Service to call.
     pub service: String,
-    /// Whether its requests must not repeat.
+    /// Whether the requests must be executed at most once.
     pub at_most_once: bool,
-    /// Longest time of a request.
+    /// Deadline of each request.
     pub deadline: Duration,
-    /// Bytes of a request's body.
+    /// Size of the request body in bytes.
     pub body: usize,
-    /// Requests a second.
+    /// Mean number of requests per second.
     pub rate: f64,
 }
 
-/// A load to make.
+/// A load to generate.
 #[derive(Debug, Clone)]
 pub struct LoadSpec {
-    /// What is asked for.
-    pub mix: Vec<LoadMix>,
-    /// How long.
-    pub time: Duration,
-    /// Put before every request's name.
-    pub prefix: String,
-    /// Seed of arrivals.
+    /// Classes of requests, generated concurrently.
+    pub classes: Vec<LoadClass>,
+    /// Duration of the load.
+    pub duration: Duration,
+    /// Prefix of the request ids.
+    pub id_prefix: String,
+    /// Seed of the arrival times.
     pub seed: u64,
 }
 
-/// Makes the load from `callers`, chosen evenly, and gives the ledger.
+/// Generates the load from `callers`, chosen uniformly at random, and returns the ledger.
 pub async fn run_load(spec: &LoadSpec, callers: &[Arc<CallerSim>]) -> Vec<LedgerEntry> {
     let mut tasks = JoinSet::new();
-    for (index, mix) in spec.mix.iter().enumerate() {
+    for (index, class) in spec.classes.iter().enumerate() {
         let mut rng = ChaCha8Rng::seed_from_u64(spec.seed.wrapping_add(index as u64));
-        let mut at = Instant::now();
-        let end = at + spec.time;
+        let mut arrival = Instant::now();
+        let end = arrival + spec.duration;
         let mut count = 0_u64;
-        let mix = mix.clone();
-        let prefix = spec.prefix.clone();
+        let class = class.clone();
+        let id_prefix = spec.id_prefix.clone();
         let callers = callers.to_vec();
         tasks.spawn(async move {
             let mut calls = JoinSet::new();
             loop {
-                let gap = -(1.0 - rng.random::<f64>()).ln() / mix.rate;
-                at += Duration::from_secs_f64(gap);
-                if at >= end {
+                let interval = -(1.0 - rng.random::<f64>()).ln() / class.rate;
+                arrival += Duration::from_secs_f64(interval);
+                if arrival >= end {
                     break;
                 }
-                tokio::time::sleep_until(at.into()).await;
+                tokio::time::sleep_until(arrival.into()).await;
                 let caller = Arc::clone(&callers[rng.random_range(0..callers.len())]);
                 let call = CallSpec {
-                    id: format!("{prefix}-{}-{count}", mix.service),
-                    service: mix.service.clone(),
-                    at_most_once: mix.at_most_once,
-                    deadline: mix.deadline,
-                    body: mix.body,
+                    id: format!("{id_prefix}-{}-{count}", class.service),
+                    service: class.service.clone(),
+                    at_most_once: class.at_most_once,
+                    deadline: class.deadline,
+                    body: class.body,
                 };
                 count += 1;
                 calls.spawn(async move { caller.call(&call).await });
