--- a/bin/lh-entry/src/crash.rs
+++ b/bin/lh-entry/src/crash.rs
@@ -74,13 +74,13 @@
 
 async fn look(state: Rc<InstanceState>, server: BrokenServer) {
     sleep(LOOK_AFTER).await;
-    let has_crashed = has_crashed(server.address).await;
+    let has_ended = has_ended(server.address).await;
     let looked = state.crashes.looks.borrow_mut().remove(&server.run);
     let mut prints = looked.unwrap_or_default();
     prints.sort_unstable();
     prints.dedup();
-    state.metrics.on_broken_off(&server.service, has_crashed);
-    if has_crashed {
+    state.metrics.on_broken_off(&server.service, has_ended);
+    if has_ended {
         let run = server.run;
         let reports = prints
             .iter()
@@ -92,7 +92,7 @@
         .take(PRINTS_SHOWN)
         .map(ToString::to_string)
         .collect();
-    let event = if has_crashed {
+    let event = if has_ended {
         "server ended under requests"
     } else {
         "server broke off requests and runs on"
@@ -107,7 +107,7 @@
 }
 
 /// Whether nothing listens at `address` any more.
-async fn has_crashed(address: SocketAddr) -> bool {
+async fn has_ended(address: SocketAddr) -> bool {
     match timeout(LOOK_TIME, TcpStream::connect(address)).await {
         Ok(Err(error)) => error.kind() == ErrorKind::ConnectionRefused,
         Ok(Ok(_)) | Err(_) => false,
--- a/bin/lh-entry/src/metrics.rs
+++ b/bin/lh-entry/src/metrics.rs
@@ -324,8 +324,8 @@
     }
 
     /// A server of `service` broke off requests, and had ended or not.
-    pub(crate) fn on_broken_off(&self, service: &str, has_crashed: bool) {
-        let server = if has_crashed { "ended" } else { "runs" };
+    pub(crate) fn on_broken_off(&self, service: &str, has_ended: bool) {
+        let server = if has_ended { "ended" } else { "runs" };
         self.broken_off.with_label_values(&[service, server]).inc();
     }
 
