--- a/bin/lh-entry/src/door.rs
+++ b/bin/lh-entry/src/door.rs
@@ -95,7 +95,7 @@
     let was_used = quota.has_changes();
     let admitted = quota.admit(now, team);
     if !was_used && !state.fleet.is_listed() {
-        state.words.wake.notify_one();
+        state.load_reports.wake.notify_one();
     }
     state.metrics.on_limit("quota", admitted.is_ok());
     admitted.map_err(|after| {
--- a/bin/lh-entry/src/fleet.rs
+++ b/bin/lh-entry/src/fleet.rs
@@ -18,20 +18,20 @@
 use crate::error::{Error, Result};
 use crate::state::InstanceState;
 use crate::view::ViewClient;
-use crate::{quarantine, rollout, view, watch as store_watch, words};
+use crate::{load_reports, quarantine, rollout, view, watch as store_watch};
 
 /// Largest datagram that is read, in bytes: a digest of a lead with sixteen regions.
 const DATAGRAM_BYTES: usize = 16 << 10;
 /// Datagrams taken in at once before timers get their turn.
-const DATAGRAMS_AT_ONCE: usize = 64;
+const MAX_DATAGRAMS_PER_TURN: usize = 64;
 
 /// The loop has a turn every [`HEARTBEAT_INTERVAL`] at least. A longer time without one is the process's:
 /// it was stopped or had no processor, and datagrams waited meanwhile.
-const HELD_UP_LEAST: Duration = Duration::from_millis(800);
+const MIN_STALL: Duration = Duration::from_millis(800);
 
 /// What the fleet is to this entry: the decisions, and what they want done.
 #[derive(Debug)]
-pub(crate) struct FleetDesk {
+pub(crate) struct FleetDriver {
     member: RefCell<FleetMember>,
     actions: RefCell<Vec<FleetAction>>,
     wake: Notify,
@@ -39,10 +39,10 @@
     pub(crate) watching: watch::Sender<bool>,
     /// Asks leads for what they know more.
     pub(crate) client: RefCell<ViewClient>,
-    own: RefCell<LocalEntryState>,
+    local_state: RefCell<LocalEntryState>,
 }
 
-impl FleetDesk {
+impl FleetDriver {
     /// The desk of an entry that starts now.
     pub(crate) fn new(config: MemberConfig) -> Self {
         let (watching, _) = watch::channel(false);
@@ -52,7 +52,7 @@
             wake: Notify::new(),
             watching,
             client: RefCell::default(),
-            own: RefCell::default(),
+            local_state: RefCell::default(),
         }
     }
 
@@ -67,17 +67,17 @@
     }
 
     /// Takes in what this entry knows of the store since `change`.
-    pub(crate) fn on_known(&self, change: impl FnOnce(&mut StoreProgress)) {
+    pub(crate) fn update_known(&self, change: impl FnOnce(&mut StoreProgress)) {
         let mut known = self.known();
         change(&mut known);
         self.on_event(FleetEvent::Known(known));
     }
 
     /// Takes in this entry's own state, where it differs.
-    fn on_own(&self, own: LocalEntryState) {
-        if *self.own.borrow() != own {
-            self.own.replace(own.clone());
-            self.on_event(FleetEvent::LocalState(own));
+    fn on_local_state(&self, local_state: LocalEntryState) {
+        if *self.local_state.borrow() != local_state {
+            self.local_state.replace(local_state.clone());
+            self.on_event(FleetEvent::LocalState(local_state));
         }
     }
 
@@ -134,7 +134,7 @@
     }
 
     /// A server answered the request well.
-    pub(crate) fn on_answered(&self, print: RequestFingerprint) {
+    pub(crate) fn clear_suspect(&self, print: RequestFingerprint) {
         let is_news = self.member.borrow().suspects(print);
         if is_news {
             self.on_event(FleetEvent::Cleared(print));
@@ -169,18 +169,18 @@
     let mut measure = tokio::time::interval(HEARTBEAT_INTERVAL);
     measure.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut buffer = vec![0; DATAGRAM_BYTES];
-    let mut load_at = Instant::now();
-    let mut turn_at = Instant::now();
+    let mut next_report_at = Instant::now();
+    let mut last_turn_at = Instant::now();
     loop {
-        tell_own(&state);
-        perform(&state, &socket).await;
+        update_local_state(&state);
+        perform_actions(&state, &socket).await;
         tokio::select! {
-            () = tokio::time::sleep_until(load_at.into()) => {
-                load_at = Instant::now() + words::speak(&state, &socket).await;
+            () = tokio::time::sleep_until(next_report_at.into()) => {
+                next_report_at = Instant::now() + load_reports::send_reports(&state, &socket).await;
             }
-            () = state.words.wake.notified() => load_at = Instant::now(),
+            () = state.load_reports.wake.notified() => next_report_at = Instant::now(),
             () = state.rollouts.verdict.notified() => {
-                rollout::speak(&state, &socket, &words::everybody(&state)).await;
+                rollout::send_reports(&state, &socket, &load_reports::all_recipients(&state)).await;
             }
             () = tokio::time::sleep_until(state.fleet.due().into()) => {
                 state.fleet.on_event(FleetEvent::Tick);
@@ -188,60 +188,60 @@
             () = state.fleet.wake.notified() => {}
             _ = measure.tick() => {
                 let rate = state.meter.borrow_mut().measure(HEARTBEAT_INTERVAL.as_secs_f64());
-                state.told_rate.set(rate.round() as u32);
+                state.advertised_rate.set(rate.round() as u32);
             }
             received = socket.recv_from(&mut buffer) => match received {
                 Ok((length, from)) => {
-                    let waited = Some(turn_at.elapsed()).filter(|span| *span >= HELD_UP_LEAST);
-                    on_datagram(&state, from, &buffer[..length], waited);
-                    take_waiting(&state, &socket, &mut buffer, waited);
+                    let stall = Some(last_turn_at.elapsed()).filter(|span| *span >= MIN_STALL);
+                    on_datagram(&state, from, &buffer[..length], stall);
+                    receive_pending(&state, &socket, &mut buffer, stall);
                 }
                 Err(error) => log::debug!(error:%; "datagram not received"),
             }
         }
-        turn_at = Instant::now();
+        last_turn_at = Instant::now();
     }
 }
 
 /// Tells the fleet what has changed in this entry.
-pub(crate) fn tell_own(state: &InstanceState) {
+pub(crate) fn update_local_state(state: &InstanceState) {
     let stamp = if state.has_own_routes() {
         state.tickets.stamp(Instant::now())
     } else {
         String::new()
     };
-    state.fleet.on_own(LocalEntryState {
+    state.fleet.on_local_state(LocalEntryState {
         ready: state.is_ready(),
         leaving: state.is_stopping(),
-        rate: state.told_rate.get(),
+        rate: state.advertised_rate.get(),
         stamp,
         proof_within: state.proof_within(),
     });
 }
 
 /// Takes in datagrams that have arrived meanwhile: one turn of the loop for many.
-fn take_waiting(
+fn receive_pending(
     state: &InstanceState,
     socket: &UdpSocket,
     buffer: &mut [u8],
-    waited: Option<Duration>,
+    stall: Option<Duration>,
 ) {
-    for _ in 0..DATAGRAMS_AT_ONCE {
+    for _ in 0..MAX_DATAGRAMS_PER_TURN {
         let Ok((length, from)) = socket.try_recv_from(buffer) else {
             return;
         };
-        on_datagram(state, from, &buffer[..length], waited);
+        on_datagram(state, from, &buffer[..length], stall);
     }
 }
 
-/// Takes in a datagram that may have waited for `waited`. What a lead tells is older by that:
+/// Takes in a datagram that may have waited for `stall`. What a lead tells is older by that:
 /// taken for new it kept an entry from asking, whose leads had ended while it stood still.
-fn on_datagram(state: &InstanceState, from: SocketAddr, bytes: &[u8], waited: Option<Duration>) {
+fn on_datagram(state: &InstanceState, from: SocketAddr, bytes: &[u8], stall: Option<Duration>) {
     match postcard::from_bytes::<PeerMessage>(bytes) {
         Ok(PeerMessage::Load(beat)) => {
             let now = Instant::now();
             if let Some(quota) = &beat.quota {
-                state.words.on_word(now, from);
+                state.load_reports.on_peer_report(now, from);
                 state.quota.borrow_mut().on_report(now, beat.entry, quota);
             }
             let mut placer = state.placer.borrow_mut();
@@ -249,7 +249,7 @@
         }
         Ok(PeerMessage::Rollout(beat)) => state.rollouts.on_beat(&beat),
         Ok(mut message) => {
-            if let (PeerMessage::Digest(digest), Some(span)) = (&mut message, waited) {
+            if let (PeerMessage::Digest(digest), Some(span)) = (&mut message, stall) {
                 digest.store = digest.store.delayed_by(span);
             }
             state.fleet.on_event(FleetEvent::Message(message));
@@ -262,7 +262,7 @@
     }
 }
 
-async fn perform(state: &Rc<InstanceState>, socket: &UdpSocket) {
+async fn perform_actions(state: &Rc<InstanceState>, socket: &UdpSocket) {
     loop {
         let actions = state.fleet.actions.take();
         if actions.is_empty() {
--- a/bin/lh-entry/src/homes.rs
+++ b/bin/lh-entry/src/homes.rs
@@ -7,14 +7,14 @@
 
 /// Finds the home region of an address.
 #[derive(Debug, Default)]
-pub(crate) struct HomeBook {
+pub(crate) struct HomeRegionTable {
     regions: Vec<String>,
     table: Option<BlockTable>,
     /// The rows behind the table, with their revisions.
     rows: Vec<(String, u64)>,
 }
 
-impl HomeBook {
+impl HomeRegionTable {
     /// Takes in the rows of client blocks, where one has changed.
     pub(crate) fn on_rows(&mut self, rows: &[&Row]) {
         let revisions = rows.iter().map(|row| (row.key.clone(), row.revision));
--- a/bin/lh-entry/src/lib.rs
+++ b/bin/lh-entry/src/lib.rs
@@ -24,6 +24,7 @@
 mod inner;
 mod intake;
 mod job;
+mod load_reports;
 mod logs;
 mod lookup;
 mod metrics;
@@ -43,7 +44,6 @@
 mod ticket;
 mod view;
 mod watch;
-mod words;
 
 pub use app::run;
 pub use config::EntryConfig;
--- a/bin/lh-entry/src/words.rs
+++ b/bin/lh-entry/src/load_reports.rs
@@ -18,59 +18,62 @@
 use crate::state::InstanceState;
 
 /// Time between two looks at whether this entry has become one that gets requests.
-const IDLE_LOOK: Duration = Duration::from_millis(600);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(600);
 /// An entry that speaks without being listed is spoken to for this long after its word.
-const STRANGER_FOR: Duration = Duration::from_secs(2);
+const UNLISTED_PEER_TTL: Duration = Duration::from_secs(2);
 /// Such entries that are spoken to at once.
-const STRANGERS_MOST: usize = 64;
+const MAX_UNLISTED_PEERS: usize = 64;
 /// Words by which an entry that stands by again says so: some may get lost.
-const LAST_WORDS: u32 = 3;
+const FINAL_REPORTS: u32 = 3;
 
 /// What this entry says and hears of load.
 #[derive(Debug, Default)]
-pub(crate) struct WordDesk {
+pub(crate) struct LoadReporter {
     /// Words so far.
     round: RefCell<u32>,
     /// Words that are still to be said after the last request.
-    last_words: RefCell<u32>,
+    final_reports: RefCell<u32>,
     /// Entries that speak without being listed: callers still use them.
-    strangers: RefCell<HashMap<SocketAddr, Instant>>,
+    unlisted_peers: RefCell<HashMap<SocketAddr, Instant>>,
     /// A request came to an entry that says nothing.
     pub(crate) wake: Notify,
 }
 
-impl WordDesk {
+impl LoadReporter {
     /// An entry at `from`, listed or not, spoke.
-    pub(crate) fn on_word(&self, now: Instant, from: SocketAddr) {
-        let mut strangers = self.strangers.borrow_mut();
-        strangers.retain(|_, at| now.saturating_duration_since(*at) < STRANGER_FOR);
-        if strangers.len() < STRANGERS_MOST {
-            strangers.insert(from, now);
+    pub(crate) fn on_peer_report(&self, now: Instant, from: SocketAddr) {
+        let mut unlisted_peers = self.unlisted_peers.borrow_mut();
+        unlisted_peers.retain(|_, at| now.saturating_duration_since(*at) < UNLISTED_PEER_TTL);
+        if unlisted_peers.len() < MAX_UNLISTED_PEERS {
+            unlisted_peers.insert(from, now);
         }
     }
 }
 
 /// Tells the entries that get requests where this one's are, those of other regions now
 /// and then; returns the time until the next word. An entry that gets none tells none.
-pub(crate) async fn speak(state: &InstanceState, socket: &UdpSocket) -> Duration {
+pub(crate) async fn send_reports(state: &InstanceState, socket: &UdpSocket) -> Duration {
     let is_listed = state.fleet.is_listed();
     let is_used = state.quota.borrow().has_changes();
     let is_needed = state.quota.borrow().has_quotas();
     if is_listed || is_used {
-        state.words.last_words.replace(LAST_WORDS);
-    } else if !is_needed || state.words.last_words.take() == 0 {
-        return IDLE_LOOK;
+        state.load_reports.final_reports.replace(FINAL_REPORTS);
+    } else if !is_needed || state.load_reports.final_reports.take() == 0 {
+        return IDLE_CHECK_INTERVAL;
     }
-    let left = *state.words.last_words.borrow();
-    state.words.last_words.replace(left.saturating_sub(1));
-    let (near, mut far) = listeners(state);
+    let left = *state.load_reports.final_reports.borrow();
+    state
+        .load_reports
+        .final_reports
+        .replace(left.saturating_sub(1));
+    let (same_region, mut other_regions) = recipients(state);
     let round = state
-        .words
+        .load_reports
         .round
         .replace_with(|round| round.wrapping_add(1));
-    let count = near.len() as u32;
-    if !is_sent_to_other_regions(round, count, far.len() as u32) {
-        far.clear();
+    let count = same_region.len() as u32;
+    if !is_sent_to_other_regions(round, count, other_regions.len() as u32) {
+        other_regions.clear();
     }
     let now = Instant::now();
     let quota = is_needed.then(|| QuotaReport {
@@ -78,43 +81,48 @@
         ..state.quota.borrow_mut().report(now)
     });
     let word = state.placer.borrow_mut().own_load(now);
-    send(socket, &near, &message(state, word.clone(), quota.clone())).await;
     send(
         socket,
-        &far,
+        &same_region,
+        &message(state, word.clone(), quota.clone()),
+    )
+    .await;
+    send(
+        socket,
+        &other_regions,
         &message(state, word.for_other_regions(), quota),
     )
     .await;
-    rollout::speak(state, socket, &[near, far].concat()).await;
+    rollout::send_reports(state, socket, &[same_region, other_regions].concat()).await;
     load_interval(count)
 }
 
 /// All other entries that get requests.
-pub(crate) fn everybody(state: &InstanceState) -> Vec<SocketAddr> {
-    let (near, far) = listeners(state);
-    [near, far].concat()
+pub(crate) fn all_recipients(state: &InstanceState) -> Vec<SocketAddr> {
+    let (same_region, other_regions) = recipients(state);
+    [same_region, other_regions].concat()
 }
 
 /// The entries of the own region that get requests, and those of others.
-fn listeners(state: &InstanceState) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
-    let (mut near, mut far) = (Vec::new(), Vec::new());
+fn recipients(state: &InstanceState) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
+    let (mut same_region, mut other_regions) = (Vec::new(), Vec::new());
     state.fleet.with_regions(|now, regions| {
         for (region, entry) in regions.listed(now) {
             if entry.node == state.config.instance {
                 continue;
             }
             if region == state.config.region {
-                near.push(entry.peer_address);
+                same_region.push(entry.peer_address);
             } else {
-                far.push(entry.peer_address);
+                other_regions.push(entry.peer_address);
             }
         }
     });
-    let strangers = state.words.strangers.borrow();
-    let mut unlisted: Vec<SocketAddr> = strangers.keys().copied().collect();
-    unlisted.retain(|address| !near.contains(address) && !far.contains(address));
-    far.extend(unlisted);
-    (near, far)
+    let unlisted_peers = state.load_reports.unlisted_peers.borrow();
+    let mut unlisted: Vec<SocketAddr> = unlisted_peers.keys().copied().collect();
+    unlisted.retain(|address| !same_region.contains(address) && !other_regions.contains(address));
+    other_regions.extend(unlisted);
+    (same_region, other_regions)
 }
 
 fn message(state: &InstanceState, word: LoadUpdate, quota: Option<QuotaReport>) -> PeerMessage {
--- a/bin/lh-entry/src/rollout.rs
+++ b/bin/lh-entry/src/rollout.rs
@@ -32,7 +32,7 @@
 
 /// The rollouts as this entry knows them.
 #[derive(Debug)]
-pub(crate) struct RolloutDesk {
+pub(crate) struct RolloutState {
     book: RefCell<RolloutController>,
     /// Something changed that the store should say.
     wake: Notify,
@@ -40,7 +40,7 @@
     pub(crate) verdict: Notify,
 }
 
-impl RolloutDesk {
+impl RolloutState {
     /// The desk of an entry that starts now.
     pub(crate) fn new(config: &EntryConfig, incarnation: u64) -> Self {
         let bounds = RolloutConfig {
@@ -204,9 +204,13 @@
     Some(known_at.elapsed())
 }
 
-/// Tells the counts in rollouts to `listeners`, and to leads, which aren't among these where
+/// Tells the counts in rollouts to `recipients`, and to leads, which aren't among these where
 /// they get no requests.
-pub(crate) async fn speak(state: &InstanceState, socket: &UdpSocket, listeners: &[SocketAddr]) {
+pub(crate) async fn send_reports(
+    state: &InstanceState,
+    socket: &UdpSocket,
+    recipients: &[SocketAddr],
+) {
     if !state.rollouts.book().is_active() {
         return;
     }
@@ -214,7 +218,7 @@
     let Some(word) = state.rollouts.book().report(Instant::now()) else {
         return;
     };
-    let mut targets = listeners.to_vec();
+    let mut targets = recipients.to_vec();
     state.fleet.with_regions(|now, regions| {
         for region in regions.active_regions(now) {
             let leads = regions
@@ -320,7 +324,7 @@
         state.rollouts.on_record(&record, latest, true);
         state
             .fleet
-            .on_known(|known| known.operator = known.operator.max(row.revision));
+            .update_known(|known| known.operator = known.operator.max(row.revision));
     }
     Some(row)
 }
--- a/bin/lh-entry/src/state.rs
+++ b/bin/lh-entry/src/state.rs
@@ -28,18 +28,18 @@
 use crate::config::EntryConfig;
 use crate::crash::CrashDesk;
 use crate::door;
-use crate::fleet::FleetDesk;
-use crate::homes::HomeBook;
+use crate::fleet::FleetDriver;
+use crate::homes::HomeRegionTable;
+use crate::load_reports::LoadReporter;
 use crate::logs::LineLimit;
 use crate::metrics::EntryMetrics;
 use crate::pool::ServerPool;
-use crate::rollout::RolloutDesk;
+use crate::rollout::RolloutState;
 use crate::stop::StopPhase;
 use crate::suspension::SuspensionMeter;
 use crate::ticket::TicketDesk;
 use crate::view::EncodedChanges;
 use crate::watch::Dependency;
-use crate::words::WordDesk;
 
 /// The entry's state.
 #[derive(Debug)]
@@ -68,23 +68,23 @@
     pub(crate) registry: RefCell<Option<StoreClient>>,
     pub(crate) registry_dependency: RefCell<Dependency>,
     /// The part in the fleet.
-    pub(crate) fleet: FleetDesk,
+    pub(crate) fleet: FleetDriver,
     /// Times at which the machine stood still.
     suspensions: RefCell<SuspensionMeter>,
     /// Which versions of services get requests.
-    pub(crate) rollouts: RolloutDesk,
+    pub(crate) rollouts: RolloutState,
     /// What each team asks for.
     pub(crate) quota: RefCell<QuotaLimiter>,
     /// Which teams ask for more than their part.
     pub(crate) shares: RefCell<FairnessRanker>,
     /// What is said and heard of load.
-    pub(crate) words: WordDesk,
+    pub(crate) load_reports: LoadReporter,
     /// Counts callers' requests.
     pub(crate) meter: RefCell<RateMeter>,
     /// Requests a second that this entry gets, as it told the others last.
-    pub(crate) told_rate: Cell<u32>,
+    pub(crate) advertised_rate: Cell<u32>,
     /// Home regions of client addresses.
-    pub(crate) homes: RefCell<HomeBook>,
+    pub(crate) homes: RefCell<HomeRegionTable>,
     pub(crate) pool: ServerPool,
     /// Servers that broke off requests.
     pub(crate) crashes: CrashDesk,
@@ -127,14 +127,14 @@
             copies: RefCell::new(CopyScheduler::new(config.link_megabits)),
             registry: RefCell::default(),
             registry_dependency: RefCell::new(Dependency::new("server registry")),
-            fleet: FleetDesk::new(member_config(&config, incarnation)),
+            fleet: FleetDriver::new(member_config(&config, incarnation)),
             suspensions: RefCell::default(),
-            rollouts: RolloutDesk::new(&config, incarnation),
+            rollouts: RolloutState::new(&config, incarnation),
             quota: RefCell::new(quota_limiter(&config, incarnation)),
             shares: RefCell::default(),
-            words: WordDesk::default(),
+            load_reports: LoadReporter::default(),
             meter: RefCell::default(),
-            told_rate: Cell::new(0),
+            advertised_rate: Cell::new(0),
             homes: RefCell::default(),
             pool: ServerPool::new(config.connect),
             crashes: CrashDesk::default(),
@@ -245,7 +245,8 @@
             self.on_operator(&OperatorChange::Evacuate(domain.clone()));
         }
         self.restore_others(evacuated);
-        self.fleet.on_known(|known| known.replace_operator(heard));
+        self.fleet
+            .update_known(|known| known.replace_operator(heard));
     }
 
     /// Takes in all of the operator's rows: evacuations and rollouts that aren't among them
@@ -298,7 +299,7 @@
         };
         self.note_versions(&changes, is_first);
         self.on_catalog_changes(&changes, snapshot.foreign.len(), &source);
-        self.fleet.on_known(|known| {
+        self.fleet.update_known(|known| {
             known.registry = changed_at;
             known.content = content;
             known.registry_read = snapshot.version;
@@ -336,7 +337,7 @@
         };
         self.note_versions(&changes, is_first);
         self.on_catalog_changes(&changes, delta.foreign.len(), &source);
-        self.fleet.on_known(|known| {
+        self.fleet.update_known(|known| {
             known.registry = delta.version;
             known.content = content;
             known.registry_read = heard.registry_read;
@@ -359,7 +360,7 @@
             let age = Duration::ZERO;
             log_change(change, &ChangeSource { by, age });
         }
-        self.fleet.on_known(|known| known.registry = changed_at);
+        self.fleet.update_known(|known| known.registry = changed_at);
     }
 
     /// Tells the fleet when servers whose rows vanished are gone.
@@ -445,7 +446,8 @@
         *self.desired.borrow_mut() = Some(Rc::new(desired.clone()));
         self.metrics.version.set(desired.version as i64);
         log::info!(version = desired.version, before = known, routes = desired.routes.len(); "desired state in force");
-        self.fleet.on_known(|known| known.desired = desired.version);
+        self.fleet
+            .update_known(|known| known.desired = desired.version);
     }
 
     fn set_teams(&self, desired: &DesiredState) {
--- a/bin/lh-entry/src/stop.rs
+++ b/bin/lh-entry/src/stop.rs
@@ -38,7 +38,7 @@
     let begun = Instant::now();
     log::info!(in_flight = state.in_flight.get(); "stop requested");
     enter(state, StopPhase::Draining);
-    fleet::tell_own(state);
+    fleet::update_local_state(state);
     let refuse_after = REFUSE_AFTER.min(state.config.grace / 2);
     tokio::time::sleep(refuse_after).await;
     state.metrics.show_stop(begun.elapsed());
--- a/bin/lh-entry/src/suspect.rs
+++ b/bin/lh-entry/src/suspect.rs
@@ -28,7 +28,7 @@
     pub(crate) fn clear(&mut self, body: &JobBody) {
         if self.state.fleet.has_suspects() {
             let print = self.print(body);
-            self.state.fleet.on_answered(print);
+            self.state.fleet.clear_suspect(print);
         }
     }
 
--- a/bin/lh-entry/src/view.rs
+++ b/bin/lh-entry/src/view.rs
@@ -271,7 +271,9 @@
     state
         .fleet
         .on_event(FleetEvent::StoreTime(begun, answer.latest));
-    state.fleet.on_known(|known| known.confirm_operator(&heard));
+    state
+        .fleet
+        .update_known(|known| known.confirm_operator(&heard));
     state
         .fleet
         .on_event(FleetEvent::Lists(answer.lists.clone()));
--- a/bin/lh-entry/src/watch.rs
+++ b/bin/lh-entry/src/watch.rs
@@ -79,7 +79,7 @@
             Err(Error::HistoryGone) => {
                 log::info!("history of the operator's rows is gone; reading all");
                 has_read = false;
-                state.fleet.on_known(|known| known.operator_read = 0);
+                state.fleet.update_known(|known| known.operator_read = 0);
             }
             Err(error) => {
                 dependency.lost(&error);
@@ -130,7 +130,7 @@
     }
     let is_news = is_whole || !rows.changes.is_empty();
     let version = state.version();
-    state.fleet.on_known(|known| {
+    state.fleet.update_known(|known| {
         if is_news {
             known.operator = rows.version;
         }
