--- a/bin/lh-entry/src/app.rs
+++ b/bin/lh-entry/src/app.rs
@@ -80,7 +80,7 @@
     for (name, address) in INNER_LISTENERS.into_iter().zip(addresses) {
         services.register(name, accept::listen(name, address)?)?;
     }
-    services.register("beats", fleet::open(config.beat_address)?)?;
+    services.register("beats", fleet::open(config.peer_address)?)?;
     services.register("state", InstanceState::new(config, metrics, incarnation))?;
     Ok(services)
 }
--- a/bin/lh-entry/src/config.rs
+++ b/bin/lh-entry/src/config.rs
@@ -39,7 +39,7 @@
     /// Where callers ask which entries to use.
     pub lookup_address: SocketAddr,
     /// Where the other entries' beats arrive.
-    pub beat_address: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Where other entries read what this one knows.
     pub view_address: SocketAddr,
     /// Where metrics are served.
@@ -105,7 +105,7 @@
             caller_address: entry.address("callers")?,
             ready_address: entry.address("ready")?,
             lookup_address: entry.address("lookup")?,
-            beat_address: SocketAddr::new(ip, beats),
+            peer_address: SocketAddr::new(ip, beats),
             view_address: SocketAddr::new(ip, beats + 1),
             metrics_address: SocketAddr::new(ip, entry.count("metrics_port")?),
             seeds: seeds(entry, SocketAddr::new(ip, beats))?,
--- a/bin/lh-entry/src/door.rs
+++ b/bin/lh-entry/src/door.rs
@@ -72,7 +72,7 @@
 ) -> Result<RequestTerms, Problem> {
     let teams = Rc::clone(&state.teams.borrow());
     let access = state.config.access;
-    let team = match access.decide(&teams, claim, route.is_public, state.knowledge_age()) {
+    let team = match access.decide(&teams, claim, route.is_public, state.proof_age()) {
         Access::Open => None,
         Access::Team(team) => Some(team),
         Access::Denied => return Err(denied(claim)),
@@ -82,7 +82,7 @@
     let mut terms = RequestTerms::new(route, team).ok_or_else(no_home)?;
     if let Some(team) = terms.team_name() {
         admit_team(state, team)?;
-        let steps = state.shares.borrow_mut().on_request(Instant::now(), team);
+        let steps = state.fairness.borrow_mut().on_request(Instant::now(), team);
         terms.priority += steps;
     }
     Ok(terms)
--- a/bin/lh-entry/src/fleet.rs
+++ b/bin/lh-entry/src/fleet.rs
@@ -187,7 +187,7 @@
             }
             () = state.fleet.wake.notified() => {}
             _ = measure.tick() => {
-                let rate = state.meter.borrow_mut().measure(HEARTBEAT_INTERVAL.as_secs_f64());
+                let rate = state.request_meter.borrow_mut().measure(HEARTBEAT_INTERVAL.as_secs_f64());
                 state.advertised_rate.set(rate.round() as u32);
             }
             received = socket.recv_from(&mut buffer) => match received {
@@ -281,10 +281,10 @@
                     state.fleet.watching.send_replace(watches);
                 }
                 FleetAction::ReadLeadRows => {
-                    tokio::task::spawn_local(store_watch::read_rows(Rc::clone(state)));
+                    tokio::task::spawn_local(store_watch::read_entry_rows(Rc::clone(state)));
                 }
                 FleetAction::WriteLeadRow(leads) => {
-                    tokio::task::spawn_local(store_watch::write_row(Rc::clone(state), leads));
+                    tokio::task::spawn_local(store_watch::write_lead_row(Rc::clone(state), leads));
                 }
                 FleetAction::WriteQuarantineRows(quarantines) => {
                     tokio::task::spawn_local(quarantine::keep(Rc::clone(state), quarantines));
--- a/bin/lh-entry/src/forward.rs
+++ b/bin/lh-entry/src/forward.rs
@@ -54,7 +54,7 @@
     let (parts, body) = request.into_parts();
     let mut caller = Caller::on_platform(&parts.headers);
     let mut record = RequestRecord::new(&state, caller.name());
-    state.meter.borrow_mut().on_request();
+    state.request_meter.borrow_mut().on_request();
     if state.stop.get() == StopPhase::Refusing {
         return refuse(&mut record, &caller, "stopping", STOPPING_RETURN);
     }
--- a/bin/lh-entry/src/homes.rs
+++ b/bin/lh-entry/src/homes.rs
@@ -16,7 +16,7 @@
 
 impl HomeRegionTable {
     /// Takes in the rows of client blocks, where one has changed.
-    pub(crate) fn on_rows(&mut self, rows: &[&Row]) {
+    pub(crate) fn apply_block_rows(&mut self, rows: &[&Row]) {
         let revisions = rows.iter().map(|row| (row.key.clone(), row.revision));
         let revisions: Vec<_> = revisions.collect();
         if revisions == self.rows {
--- a/bin/lh-entry/src/inner.rs
+++ b/bin/lh-entry/src/inner.rs
@@ -88,7 +88,7 @@
             let heard = state.fleet.known().operator_at;
             let content = state.servers.borrow().content();
             state.metrics.registry_content.set(content.short());
-            let proof = state.knowledge_age();
+            let proof = state.proof_age();
             state
                 .metrics
                 .show_operator(heard.map(|at| at.elapsed()), proof);
--- a/bin/lh-entry/src/job.rs
+++ b/bin/lh-entry/src/job.rs
@@ -158,7 +158,7 @@
         }
         self.record.on_refused(refusal);
         if matches!(refusal.reason, RefusalReason::Full | RefusalReason::Late) {
-            self.state.shares.borrow_mut().on_refused(Instant::now());
+            self.state.fairness.borrow_mut().on_refused(Instant::now());
         }
         let reason = refusal.reason.as_str();
         refuse(&mut self.record, &self.caller, reason, refusal.retry_after)
--- a/bin/lh-entry/src/logs.rs
+++ b/bin/lh-entry/src/logs.rs
@@ -17,38 +17,38 @@
 
 /// How often the buffer is written out: a reader sees a line soon enough, and
 /// the thread wakes seldom.
-const WRITE_EVERY: Duration = Duration::from_millis(250);
+const FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 /// Lines of level info and below that are kept between two writes. A calm
 /// entry writes a tenth of it.
-const INFO_LINES: usize = 150;
+const MAX_INFO_LINES: usize = 150;
 /// Lines of any level that are kept between two writes.
-const ALL_LINES: usize = 2000;
+const MAX_LINES: usize = 2000;
 /// Lines of one kind that are kept also where others have filled the room for lines of level
 /// info: hundreds of servers that join at once must not push out the line that says who leads.
-const KIND_LINES: usize = 20;
+const LINES_PER_KIND: usize = 20;
 
 /// Lines a second of requests that were turned away: a flood of wrong keys must not leave
 /// out the lines of others. All are counted in the metrics.
-const LIMITED_LINES: u32 = 40;
-const LIMITED_SPAN: Duration = Duration::from_secs(1);
+const MAX_LINES_PER_WINDOW: u32 = 40;
+const RATE_WINDOW: Duration = Duration::from_secs(1);
 
 /// Bounds how many lines of one kind are written.
 #[derive(Debug, Default)]
-pub(crate) struct LineLimit {
+pub(crate) struct LogRateLimiter {
     begun: Cell<Option<Instant>>,
     lines: Cell<u32>,
 }
 
-impl LineLimit {
+impl LogRateLimiter {
     /// Whether one more line may be written.
     pub(crate) fn take(&self, now: Instant) -> bool {
         let begun = self.begun.get();
-        if begun.is_none_or(|at| now.saturating_duration_since(at) >= LIMITED_SPAN) {
+        if begun.is_none_or(|at| now.saturating_duration_since(at) >= RATE_WINDOW) {
             self.begun.set(Some(now));
             self.lines.set(0);
         }
         self.lines.set(self.lines.get() + 1);
-        self.lines.get() <= LIMITED_LINES
+        self.lines.get() <= MAX_LINES_PER_WINDOW
     }
 }
 
@@ -58,34 +58,34 @@
     lines: usize,
     /// Number of the lines of each kind.
     kinds: BTreeMap<String, usize>,
-    left_out: BTreeMap<String, LeftOut>,
+    dropped: BTreeMap<String, DroppedLines>,
 }
 
 impl LineBuffer {
     /// Whether one more line of the kind `event` is kept.
-    fn takes(&mut self, level: Level, event: &str) -> bool {
+    fn admits(&mut self, level: Level, event: &str) -> bool {
         let kept = match self.kinds.get_mut(event) {
             Some(kept) => kept,
             None => self.kinds.entry(event.to_owned()).or_default(),
         };
-        let is_rare = *kept < KIND_LINES;
+        let is_rare = *kept < LINES_PER_KIND;
         let most = if level >= Level::Info && !is_rare {
-            INFO_LINES
+            MAX_INFO_LINES
         } else {
-            ALL_LINES
+            MAX_LINES
         };
-        let takes = self.lines < most;
-        if takes {
+        let admits = self.lines < most;
+        if admits {
             *kept += 1;
             self.lines += 1;
         }
-        takes
+        admits
     }
 }
 
 /// Lines of one kind that were left out.
 #[derive(Debug, Default)]
-struct LeftOut {
+struct DroppedLines {
     count: usize,
     example: String,
 }
@@ -115,7 +115,7 @@
         let writer = queue.clone();
         std::thread::spawn(move || {
             loop {
-                std::thread::sleep(WRITE_EVERY);
+                std::thread::sleep(FLUSH_INTERVAL);
                 writer.flush();
             }
         });
@@ -124,51 +124,51 @@
 
     /// Writes out what waits.
     pub(crate) fn flush(&self) {
-        let (bytes, left_out) = {
+        let (bytes, dropped) = {
             let mut buffer = self.lock();
             buffer.lines = 0;
             buffer.kinds.clear();
-            let left_out = std::mem::take(&mut buffer.left_out);
-            (std::mem::take(&mut buffer.bytes), left_out)
+            let dropped = std::mem::take(&mut buffer.dropped);
+            (std::mem::take(&mut buffer.bytes), dropped)
         };
         let mut out = std::io::stdout().lock();
         // Nobody reads the log if this fails, and there is no other place to say so.
         let _ = out.write_all(&bytes);
-        for (kind, left_out) in left_out {
-            let line = self.left_out_line(&kind, &left_out);
+        for (kind, dropped) in dropped {
+            let line = self.dropped_line(&kind, &dropped);
             let _ = out.write_all(line.as_bytes());
         }
         let _ = out.flush();
     }
 
-    fn left_out_line(&self, kind: &str, left_out: &LeftOut) -> String {
+    fn dropped_line(&self, kind: &str, dropped: &DroppedLines) -> String {
         let mut line = self.line_start(Level::Warn, "lines left out");
-        let _ = write!(line, ",\"count\":{},\"kind\":", left_out.count);
-        push_text(&mut line, kind);
+        let _ = write!(line, ",\"count\":{},\"kind\":", dropped.count);
+        push_json_string(&mut line, kind);
         line.push_str(",\"example\":");
-        push_text(&mut line, &left_out.example);
+        push_json_string(&mut line, &dropped.example);
         line.push_str("}\n");
         line
     }
 
     fn line_start(&self, level: Level, event: &str) -> String {
         let mut line = String::with_capacity(400);
-        let time = milliseconds();
+        let time = unix_time_ms();
         let _ = write!(line, "{{\"time_ms\":{time},\"node\":");
-        push_text(&mut line, &self.node);
+        push_json_string(&mut line, &self.node);
         let _ = write!(line, ",\"level\":\"{level}\",\"event\":");
-        push_text(&mut line, event);
+        push_json_string(&mut line, event);
         line
     }
 
     fn push(&self, record: &Record<'_>) {
         let mut buffer = self.lock();
         let event = record.args().to_string();
-        if !buffer.takes(record.level(), &event) {
+        if !buffer.admits(record.level(), &event) {
             let kind = RecordKind::of(record);
-            let left_out = buffer.left_out.entry(kind.name).or_default();
-            left_out.count += 1;
-            left_out.example = kind.request;
+            let dropped = buffer.dropped.entry(kind.name).or_default();
+            dropped.count += 1;
+            dropped.example = kind.request;
             return;
         }
         let mut line = self.line_start(record.level(), &event);
@@ -182,7 +182,7 @@
     }
 }
 
-fn milliseconds() -> u128 {
+fn unix_time_ms() -> u128 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     now.map_or(0, |since| since.as_millis())
 }
@@ -198,7 +198,7 @@
         } else if let Some(flag) = value.to_bool() {
             let _ = write!(line, "{flag}");
         } else {
-            push_text(line, &value.to_string());
+            push_json_string(line, &value.to_string());
         }
         Ok(())
     }
@@ -235,7 +235,7 @@
     }
 }
 
-fn push_text(line: &mut String, text: &str) {
+fn push_json_string(line: &mut String, text: &str) {
     match serde_json::to_string(text) {
         Ok(quoted) => line.push_str(&quoted),
         Err(_) => line.push_str("\"\""),
--- a/bin/lh-entry/src/quarantine.rs
+++ b/bin/lh-entry/src/quarantine.rs
@@ -9,7 +9,7 @@
 use store::{QuarantineRow, Row, RowWrite, TableService};
 
 use crate::state::InstanceState;
-use crate::watch::PATIENCE;
+use crate::watch::STORE_TIMEOUT;
 
 /// What `rows` say of requests in quarantine.
 pub(crate) fn read(rows: &[&Row]) -> Vec<StoredQuarantine> {
@@ -48,7 +48,7 @@
 }
 
 async fn commit(state: &InstanceState, writes: &[RowWrite]) {
-    let client = PlatformClient::new(state.config.store).with_answer_timeout(PATIENCE);
+    let client = PlatformClient::new(state.config.store).with_answer_timeout(STORE_TIMEOUT);
     let result = client.commit(writes).await;
     let error = result.as_ref().err().map(store::Error::kind);
     state.metrics.on_store_call("quarantine", error);
--- a/bin/lh-entry/src/record.rs
+++ b/bin/lh-entry/src/record.rs
@@ -188,7 +188,7 @@
             metrics.on_good(route);
         }
         let servers_age_ms = self.registry_age();
-        let state_age = self.state.knowledge_age();
+        let state_age = self.state.proof_age();
         let state_age_ms = state_age.map_or(-1, |age| age.as_millis() as i64);
         let refused = self
             .refusal
@@ -202,7 +202,8 @@
             metrics.teams.on_request(team, outcome.as_str());
         }
         self.give_back(outcome);
-        if outcome == RequestOutcome::Rejected && !self.state.denials.take(Instant::now()) {
+        if outcome == RequestOutcome::Rejected && !self.state.denial_log_limit.take(Instant::now())
+        {
             return;
         }
         if matches!(refused, "cold" | "shift-cap") {
--- a/bin/lh-entry/src/rollout.rs
+++ b/bin/lh-entry/src/rollout.rs
@@ -23,7 +23,7 @@
 use crate::config::EntryConfig;
 use crate::fleet::send;
 use crate::state::InstanceState;
-use crate::watch::PATIENCE;
+use crate::watch::STORE_TIMEOUT;
 
 /// Time between two looks of a lead whether an open rollout goes on.
 const TEND_EVERY: Duration = Duration::from_millis(250);
@@ -230,7 +230,7 @@
     });
     targets.sort_unstable();
     targets.dedup();
-    targets.retain(|target| *target != state.config.beat_address);
+    targets.retain(|target| *target != state.config.peer_address);
     let beat = RolloutMessage {
         entry: stable_hash(state.config.instance.as_bytes()),
         word,
@@ -240,15 +240,15 @@
 
 /// Keeps the rows of open rollouts up to date while this entry leads, until the process ends.
 pub(crate) async fn tend(state: Rc<InstanceState>) {
-    let mut read_at = Instant::now();
+    let mut last_read_at = Instant::now();
     loop {
         let _ = timeout(TEND_EVERY, state.rollouts.wake.notified()).await;
         if !state.fleet.leads() {
             continue;
         }
-        let is_due = read_at.elapsed() >= READ_EVERY;
+        let is_due = last_read_at.elapsed() >= READ_EVERY;
         if is_due {
-            read_at = Instant::now();
+            last_read_at = Instant::now();
         }
         let services = state.rollouts.book().unfinished_services();
         for service in services {
@@ -260,7 +260,7 @@
 }
 
 async fn tend_one(state: &InstanceState, service: &str) {
-    let client = PlatformClient::new(state.config.store).with_answer_timeout(PATIENCE);
+    let client = PlatformClient::new(state.config.store).with_answer_timeout(STORE_TIMEOUT);
     let Some(row) = read_row(state, &client, service).await else {
         return;
     };
--- a/bin/lh-entry/src/state.rs
+++ b/bin/lh-entry/src/state.rs
@@ -31,7 +31,7 @@
 use crate::fleet::FleetDriver;
 use crate::homes::HomeRegionTable;
 use crate::load_reports::LoadReporter;
-use crate::logs::LineLimit;
+use crate::logs::LogRateLimiter;
 use crate::metrics::EntryMetrics;
 use crate::pool::ServerPool;
 use crate::rollout::RolloutState;
@@ -53,9 +53,9 @@
     pub(crate) desired: RefCell<Option<Rc<DesiredState>>>,
     pub(crate) teams: RefCell<Rc<TeamIndex>>,
     /// Lines of requests that were turned away at the door.
-    pub(crate) denials: LineLimit,
+    pub(crate) denial_log_limit: LogRateLimiter,
     /// Teams and routes without a common home, as logged last.
-    apart: RefCell<String>,
+    logged_home_conflicts: RefCell<String>,
     pub(crate) limits: Cell<RequestLimits>,
     pub(crate) evacuated: RefCell<HashSet<String>>,
     /// The registry's changes, as other entries are told.
@@ -76,11 +76,11 @@
     /// What each team asks for.
     pub(crate) quota: RefCell<QuotaLimiter>,
     /// Which teams ask for more than their part.
-    pub(crate) shares: RefCell<FairnessRanker>,
+    pub(crate) fairness: RefCell<FairnessRanker>,
     /// What is said and heard of load.
     pub(crate) load_reports: LoadReporter,
     /// Counts callers' requests.
-    pub(crate) meter: RefCell<RateMeter>,
+    pub(crate) request_meter: RefCell<RateMeter>,
     /// Requests a second that this entry gets, as it told the others last.
     pub(crate) advertised_rate: Cell<u32>,
     /// Home regions of client addresses.
@@ -118,8 +118,8 @@
             routes: RefCell::default(),
             desired: RefCell::default(),
             teams: RefCell::default(),
-            denials: LineLimit::default(),
-            apart: RefCell::default(),
+            denial_log_limit: LogRateLimiter::default(),
+            logged_home_conflicts: RefCell::default(),
             limits: Cell::new(RequestLimits::default()),
             evacuated: RefCell::default(),
             servers: RefCell::default(),
@@ -131,9 +131,9 @@
             suspensions: RefCell::default(),
             rollouts: RolloutState::new(&config, incarnation),
             quota: RefCell::new(quota_limiter(&config, incarnation)),
-            shares: RefCell::default(),
+            fairness: RefCell::default(),
             load_reports: LoadReporter::default(),
-            meter: RefCell::default(),
+            request_meter: RefCell::default(),
             advertised_rate: Cell::new(0),
             homes: RefCell::default(),
             pool: ServerPool::new(config.connect),
@@ -149,17 +149,17 @@
 
     /// Whether callers should be sent here.
     pub(crate) fn is_ready(&self) -> bool {
-        self.is_complete() && self.serves_keys()
+        self.has_required_state() && self.serves_keys()
     }
 
     /// Whether this entry could take callers, but has not heard lately which keys hold.
     /// Where no other entry has either, callers of public routes still find it.
     pub(crate) fn serves_public_only(&self) -> bool {
-        self.is_complete() && !self.serves_keys()
+        self.has_required_state() && !self.serves_keys()
     }
 
     /// Whether it knows what it needs to serve callers, and is to.
-    fn is_complete(&self) -> bool {
+    fn has_required_state(&self) -> bool {
         let known = self.version() > 0 && self.placer.borrow().catalog.read_at().is_some();
         known && self.stop.get() == StopPhase::Serving
     }
@@ -167,12 +167,12 @@
     /// Whether this entry has heard lately enough which keys hold.
     pub(crate) fn serves_keys(&self) -> bool {
         let access = self.config.access;
-        self.teams.borrow().is_empty() || access.may_serve(self.knowledge_age())
+        self.teams.borrow().is_empty() || access.may_serve(self.proof_age())
     }
 
     /// Age of what is known of the operator's rows at most; `None` where it can't be told.
-    pub(crate) fn knowledge_age(&self) -> Option<Duration> {
-        self.notice_suspension();
+    pub(crate) fn proof_age(&self) -> Option<Duration> {
+        self.detect_suspension();
         self.fleet.proof_age()
     }
 
@@ -183,7 +183,7 @@
     }
 
     /// Finds out whether the machine stood still.
-    fn notice_suspension(&self) {
+    fn detect_suspension(&self) {
         let Some(span) = self.suspensions.borrow_mut().take() else {
             return;
         };
@@ -203,21 +203,21 @@
     }
 
     /// Takes in a change of the operator's; a desired state only if it is newer.
-    pub(crate) fn on_operator(&self, change: &OperatorChange) {
+    pub(crate) fn on_operator_change(&self, change: &OperatorChange) {
         match change {
-            OperatorChange::Desired(desired) => self.on_desired(desired),
+            OperatorChange::Desired(desired) => self.apply_desired_state(desired),
             OperatorChange::Evacuate(domain) => {
                 let fresh = self.evacuated.borrow_mut().insert(domain.clone());
                 if fresh {
                     log::info!(domain = domain.as_str(); "evacuation in force");
-                    self.apply_evacuations();
+                    self.update_evacuations();
                 }
             }
             OperatorChange::Restore(domain) => {
                 let known = self.evacuated.borrow_mut().remove(domain);
                 if known {
                     log::info!(domain = domain.as_str(); "evacuation taken back");
-                    self.apply_evacuations();
+                    self.update_evacuations();
                 }
             }
             OperatorChange::Rollout(order) => self.rollouts.on_order(order),
@@ -230,23 +230,23 @@
         self.stop.get() != StopPhase::Serving
     }
 
-    /// Takes in the evacuations that a lead told with what it knows, `heard`. Where all
+    /// Takes in the evacuations that a lead told with what it knows, `progress`. Where all
     /// was asked for they count also if they seem older.
-    pub(crate) fn on_told_operator(
+    pub(crate) fn on_peer_operator(
         &self,
-        heard: &StoreProgress,
+        progress: &StoreProgress,
         evacuated: &[String],
         is_whole: bool,
     ) {
-        if heard.operator <= self.fleet.known().operator && !is_whole {
+        if progress.operator <= self.fleet.known().operator && !is_whole {
             return;
         }
         for domain in evacuated {
-            self.on_operator(&OperatorChange::Evacuate(domain.clone()));
+            self.on_operator_change(&OperatorChange::Evacuate(domain.clone()));
         }
-        self.restore_others(evacuated);
+        self.restore_domains_except(evacuated);
         self.fleet
-            .update_known(|known| known.replace_operator(heard));
+            .update_known(|known| known.replace_operator(progress));
     }
 
     /// Takes in all of the operator's rows: evacuations and rollouts that aren't among them
@@ -254,29 +254,33 @@
     pub(crate) fn on_operator_rows(&self, changes: &[OperatorChange]) {
         let (mut domains, mut orders) = (Vec::new(), Vec::new());
         for change in changes {
-            self.on_operator(change);
+            self.on_operator_change(change);
             match change {
                 OperatorChange::Evacuate(domain) => domains.push(domain.clone()),
                 OperatorChange::Rollout(order) => orders.push(order),
                 _ => {}
             }
         }
-        self.restore_others(&domains);
+        self.restore_domains_except(&domains);
         self.rollouts.on_all_orders(&orders);
     }
 
     /// Takes the evacuations of all failure domains but `domains` back.
-    fn restore_others(&self, domains: &[String]) {
+    fn restore_domains_except(&self, domains: &[String]) {
         let evacuated = self.evacuated.borrow().clone();
         for domain in evacuated {
             if !domains.contains(&domain) {
-                self.on_operator(&OperatorChange::Restore(domain));
+                self.on_operator_change(&OperatorChange::Restore(domain));
             }
         }
     }
 
     /// Takes in a reading of the registry, unless a newer one is known; whether it was.
-    pub(crate) fn on_servers(&self, snapshot: &CatalogSnapshot, mut scope: ReadScope) -> bool {
+    pub(crate) fn on_registry_snapshot(
+        &self,
+        snapshot: &CatalogSnapshot,
+        mut scope: ReadScope,
+    ) -> bool {
         if self.placer.borrow().catalog.is_outdated(snapshot) {
             let (version, known) = (snapshot.version, self.fleet.known().registry_read);
             log::info!(version, known; "reading of the registry left out");
@@ -297,7 +301,7 @@
             by: "store",
             age: snapshot.begun.elapsed(),
         };
-        self.note_versions(&changes, is_first);
+        self.report_versions(&changes, is_first);
         self.on_catalog_changes(&changes, snapshot.foreign.len(), &source);
         self.fleet.update_known(|known| {
             known.registry = changed_at;
@@ -308,17 +312,17 @@
         true
     }
 
-    /// Takes in what a lead told of the registry with what it knows, `heard`, unless it is
+    /// Takes in what a lead told of the registry with what it knows, `progress`, unless it is
     /// known. Where all was asked for it counts also if it seems older.
-    pub(crate) fn on_told_servers(
+    pub(crate) fn on_peer_servers(
         &self,
         lead: SocketAddr,
-        heard: &StoreProgress,
+        progress: &StoreProgress,
         delta: &RegistryDelta,
         is_whole: bool,
     ) {
         let mut servers = self.servers.borrow_mut();
-        let Some(begun) = heard.registry_at else {
+        let Some(begun) = progress.registry_at else {
             return;
         };
         if delta.version <= servers.version() && !is_whole {
@@ -335,19 +339,19 @@
             by: &lead.to_string(),
             age: begun.elapsed(),
         };
-        self.note_versions(&changes, is_first);
+        self.report_versions(&changes, is_first);
         self.on_catalog_changes(&changes, delta.foreign.len(), &source);
         self.fleet.update_known(|known| {
             known.registry = delta.version;
             known.content = content;
-            known.registry_read = heard.registry_read;
+            known.registry_read = progress.registry_read;
             known.registry_at = Some(begun);
         });
-        self.note_settles();
+        self.report_pending_removals();
     }
 
     /// Takes in which servers have left, as a lead told that has run for longer.
-    pub(crate) fn on_told_ends(&self, lead: SocketAddr, ends: &[Departure]) {
+    pub(crate) fn on_peer_departures(&self, lead: SocketAddr, ends: &[Departure]) {
         let mut servers = self.servers.borrow_mut();
         servers.on_departures(ends);
         let changed_at = servers.version();
@@ -364,14 +368,14 @@
     }
 
     /// Tells the fleet when servers whose rows vanished are gone.
-    pub(crate) fn note_settles(&self) {
+    pub(crate) fn report_pending_removals(&self) {
         let next_removal_at = self.placer.borrow().catalog.next_removal_at();
         self.fleet
             .on_event(FleetEvent::RemovalsFinalAt(next_removal_at));
     }
 
     /// Tells the rollouts of the versions of servers that joined.
-    fn note_versions(&self, changes: &[CatalogChange], is_first: bool) {
+    fn report_versions(&self, changes: &[CatalogChange], is_first: bool) {
         let placer = self.placer.borrow();
         for change in changes {
             let id = match change {
@@ -431,7 +435,7 @@
     }
 
     /// Takes in a desired state; one that isn't newer changes nothing.
-    pub(crate) fn on_desired(&self, desired: &DesiredState) {
+    pub(crate) fn apply_desired_state(&self, desired: &DesiredState) {
         let known = self.version();
         if desired.version <= known {
             if desired.version < known {
@@ -455,15 +459,16 @@
         for key in teams.shared_keys() {
             log::error!(key:%, version = desired.version; "key of two teams; it names neither");
         }
-        let apart = door::check_homes(desired, &self.apart.borrow());
-        *self.apart.borrow_mut() = apart;
+        let logged_home_conflicts =
+            door::check_homes(desired, &self.logged_home_conflicts.borrow());
+        *self.logged_home_conflicts.borrow_mut() = logged_home_conflicts;
         let mut quota = self.quota.borrow_mut();
         quota.set_teams(Instant::now(), &desired.teams);
-        self.shares.borrow_mut().set_teams(&desired.teams);
+        self.fairness.borrow_mut().set_teams(&desired.teams);
         *self.teams.borrow_mut() = Rc::new(teams);
     }
 
-    fn apply_evacuations(&self) {
+    fn update_evacuations(&self) {
         let domains = self.evacuated.borrow().clone();
         let mut placer = self.placer.borrow_mut();
         let warmup: Duration = placer.longest_warmup();
@@ -488,7 +493,7 @@
         candidate: LeadCandidate {
             node: config.instance.clone(),
             domain: config.domain.clone(),
-            peer_address: config.beat_address,
+            peer_address: config.peer_address,
             view_address: config.view_address,
             capacity: config.capacity,
             has_store_access: true,
--- a/bin/lh-entry/src/status.rs
+++ b/bin/lh-entry/src/status.rs
@@ -141,9 +141,7 @@
         registry_age_ms: catalog
             .read_at()
             .map_or(-1, |at| at.elapsed().as_millis() as i64),
-        keys_age_ms: state
-            .knowledge_age()
-            .map_or(-1, |age| age.as_millis() as i64),
+        keys_age_ms: state.proof_age().map_or(-1, |age| age.as_millis() as i64),
         revoke_ms: state.proof_within().map(|span| span.as_millis() as u64),
         serves_keys: state.serves_keys(),
         teams: state.teams.borrow().teams().len(),
--- a/bin/lh-entry/src/view.rs
+++ b/bin/lh-entry/src/view.rs
@@ -244,10 +244,10 @@
 ) -> Result<(), ViewError> {
     // The answer was given at some time since the question: taking it for new would hide how
     // long this process had no turn to read it.
-    let heard = StoreProgress::from_message(begun, &answer.store);
+    let progress = StoreProgress::from_message(begun, &answer.store);
     if !answer.desired.is_empty() {
         let desired: DesiredState = postcard::from_bytes(&answer.desired)?;
-        state.on_desired(&desired);
+        state.apply_desired_state(&desired);
     }
     let latest = match state.fleet.latest_store_time() {
         known if known.is_some() => known,
@@ -258,22 +258,22 @@
     }
     if let Some(evacuated) = &answer.evacuated {
         let is_whole = target.scope == PullScope::All;
-        state.on_told_operator(&heard, evacuated, is_whole);
+        state.on_peer_operator(&progress, evacuated, is_whole);
     }
     if !answer.registry.is_empty() {
         let delta: RegistryDelta = postcard::from_bytes(&answer.registry)?;
         let is_whole = target.scope.is_whole();
-        state.on_told_servers(target.view_address, &heard, &delta, is_whole);
+        state.on_peer_servers(target.view_address, &progress, &delta, is_whole);
     }
     if !answer.ends.is_empty() {
-        state.on_told_ends(target.view_address, &answer.ends);
+        state.on_peer_departures(target.view_address, &answer.ends);
     }
     state
         .fleet
         .on_event(FleetEvent::StoreTime(begun, answer.latest));
     state
         .fleet
-        .update_known(|known| known.confirm_operator(&heard));
+        .update_known(|known| known.confirm_operator(&progress));
     state
         .fleet
         .on_event(FleetEvent::Lists(answer.lists.clone()));
--- a/bin/lh-entry/src/watch.rs
+++ b/bin/lh-entry/src/watch.rs
@@ -21,32 +21,32 @@
 
 /// Longest wait for an answer of the store. Slow answers of up to a second
 /// have been seen; after that a new connection is better.
-pub(crate) const PATIENCE: Duration = Duration::from_millis(1500);
+pub(crate) const STORE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// How long a feed without changes stays open. A connection that went silent
 /// is noticed after this and the patience: within the time in which an entry
 /// must be up to date again after its connections were disturbed.
 const FEED_WAIT: Duration = Duration::from_millis(2000);
 /// Parts of the times within which keys must be known and forgotten for which a feed stays
 /// open at most: the rest is for the way to the other entries, and for a second call.
-const LEARN_SHARE: f64 = 0.6;
-const REVOKE_SHARE: f64 = 0.4;
+const MAX_LEARN_FRACTION: f64 = 0.6;
+const MAX_REVOKE_FRACTION: f64 = 0.4;
 /// First pause after a failed call, so that a store in trouble isn't pressed.
-const FIRST_PAUSE: Duration = Duration::from_millis(300);
+const MIN_BACKOFF: Duration = Duration::from_millis(300);
 /// Longest pause: a store that is back is noticed within it.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1200);
+const MAX_BACKOFF: Duration = Duration::from_millis(1200);
 /// Time between two looks at the rows of client blocks, where callers are sorted by them.
-const BLOCKS_EVERY: Duration = Duration::from_secs(15);
+const BLOCKS_INTERVAL: Duration = Duration::from_secs(15);
 
 /// Keeps the operator's rows in force, while this entry is to watch them, until the
 /// process ends.
 pub(crate) async fn watch_operator(state: Rc<InstanceState>) {
-    let mut client = StoreClient::new(state.config.store, PATIENCE);
+    let mut client = StoreClient::new(state.config.store, STORE_TIMEOUT);
     let mut dependency = Dependency::new("operator feed");
     let mut watching = state.fleet.watching.subscribe();
-    let mut pause = FIRST_PAUSE;
+    let mut backoff = MIN_BACKOFF;
     // A store that nobody has written to is at version 0, and its rows are none.
     let mut has_read = false;
-    let mut tells_time = true;
+    let mut reports_time = true;
     loop {
         if watching.wait_for(|watches| *watches).await.is_err() {
             return;
@@ -54,7 +54,7 @@
         let begun = Instant::now();
         let known = state.fleet.known().operator_read;
         let resume = (known > 0 || has_read).then_some(known);
-        let wait = feed_wait(&state, tells_time);
+        let wait = feed_wait(&state, reports_time);
         let result = match resume {
             None => client.read_operator().await,
             Some(after) => client.watch_operator(after, wait).await,
@@ -64,16 +64,16 @@
             .on_store_call("operator", result.as_ref().err().map(Error::kind));
         match result {
             Ok(rows) => {
-                dependency.regained();
-                pause = FIRST_PAUSE;
+                dependency.on_regained();
+                backoff = MIN_BACKOFF;
                 has_read = true;
-                tells_time = rows.time.is_some();
+                reports_time = rows.time.is_some();
                 state
                     .fleet
                     .on_event(FleetEvent::StoreTime(begun, rows.time));
                 let has_rows = resume.is_none() || rows.has_rows;
                 let as_of = answer_as_of(begun, wait, Instant::now(), has_rows);
-                on_rows(&state, &rows, as_of, resume.is_none());
+                apply_operator_rows(&state, &rows, as_of, resume.is_none());
                 state.fleet.on_event(FleetEvent::WatchFinished(true));
             }
             Err(Error::HistoryGone) => {
@@ -82,11 +82,11 @@
                 state.fleet.update_known(|known| known.operator_read = 0);
             }
             Err(error) => {
-                dependency.lost(&error);
-                on_store_failed(&state);
+                dependency.on_lost(&error);
+                on_registry_unavailable(&state);
                 state.fleet.on_event(FleetEvent::WatchFinished(false));
-                tokio::time::sleep(pause).await;
-                pause = (pause * 2).min(LONGEST_PAUSE);
+                tokio::time::sleep(backoff).await;
+                backoff = (backoff * 2).min(MAX_BACKOFF);
             }
         }
     }
@@ -94,29 +94,31 @@
 
 /// How long the store may hold its answer back: its word must not grow too old meanwhile,
 /// where it can be told how old it is.
-fn feed_wait(state: &InstanceState, tells_time: bool) -> Duration {
+fn feed_wait(state: &InstanceState, reports_time: bool) -> Duration {
     let longest = match state.proof_within() {
         None => FEED_WAIT,
         Some(within) => {
-            let learn = state.config.access.learn.mul_f64(LEARN_SHARE);
-            FEED_WAIT.min(learn).min(within.mul_f64(REVOKE_SHARE))
+            let learn = state.config.access.learn.mul_f64(MAX_LEARN_FRACTION);
+            FEED_WAIT
+                .min(learn)
+                .min(within.mul_f64(MAX_REVOKE_FRACTION))
         }
     };
     match state.fleet.proof_age() {
         Some(age) => longest.saturating_sub(age),
-        None if tells_time => Duration::ZERO,
+        None if reports_time => Duration::ZERO,
         None => longest,
     }
 }
 
 /// Rows that vanish from now on may only have lapsed.
-fn on_store_failed(state: &InstanceState) {
+fn on_registry_unavailable(state: &InstanceState) {
     let mut placer = state.placer.borrow_mut();
     placer.catalog.on_read_failed(Instant::now());
 }
 
 /// Takes in the operator's rows as of `as_of`: all of them, or those that changed.
-fn on_rows(state: &InstanceState, rows: &OperatorRows, as_of: Instant, is_whole: bool) {
+fn apply_operator_rows(state: &InstanceState, rows: &OperatorRows, as_of: Instant, is_whole: bool) {
     if rows.version < state.fleet.known().operator {
         // A lead told what is newer while this answer was on its way.
         return;
@@ -125,13 +127,13 @@
         state.on_operator_rows(&rows.changes);
     } else {
         for change in &rows.changes {
-            state.on_operator(change);
+            state.on_operator_change(change);
         }
     }
-    let is_news = is_whole || !rows.changes.is_empty();
+    let has_changes = is_whole || !rows.changes.is_empty();
     let version = state.version();
     state.fleet.update_known(|known| {
-        if is_news {
+        if has_changes {
             known.operator = rows.version;
         }
         known.operator_read = known.operator_read.max(rows.version);
@@ -146,7 +148,7 @@
     let mut client = state
         .registry
         .take()
-        .unwrap_or_else(|| StoreClient::new(state.config.store, PATIENCE));
+        .unwrap_or_else(|| StoreClient::new(state.config.store, STORE_TIMEOUT));
     resume(&state, &mut client);
     let RegistryRead { wait, whole } = call;
     let is_whole = whole || client.servers_version().is_none();
@@ -163,8 +165,8 @@
         .on_store_call("servers", error.map(Error::kind));
     let mut dependency = state.registry_dependency.borrow_mut();
     match error {
-        None => dependency.regained(),
-        Some(error) => dependency.lost(error),
+        None => dependency.on_regained(),
+        Some(error) => dependency.on_lost(error),
     }
     drop(dependency);
     let outcome = match result {
@@ -182,7 +184,7 @@
                 dropped: rows.dropped,
                 missing: Vec::new(),
             };
-            let is_taken = state.on_servers(&snapshot, scope);
+            let is_taken = state.on_registry_snapshot(&snapshot, scope);
             let is_same = state.servers.borrow().version() == before;
             state.metrics.on_reading(is_taken, is_same);
             if is_same {
@@ -192,11 +194,11 @@
             }
         }
         Err(_) => {
-            on_store_failed(&state);
+            on_registry_unavailable(&state);
             ReadOutcome::Failed
         }
     };
-    state.note_settles();
+    state.report_pending_removals();
     state.fleet.on_event(FleetEvent::RegistryRead(outcome));
 }
 
@@ -212,8 +214,8 @@
 }
 
 /// Looks at the rows by which leads and callers' regions are found.
-pub(crate) async fn read_rows(state: Rc<InstanceState>) {
-    let client = PlatformClient::new(state.config.store).with_answer_timeout(PATIENCE);
+pub(crate) async fn read_entry_rows(state: Rc<InstanceState>) {
+    let client = PlatformClient::new(state.config.store).with_answer_timeout(STORE_TIMEOUT);
     let rows = match client.list(ENTRY_TABLE).await {
         Ok(rows) => rows,
         Err(error) => {
@@ -228,7 +230,7 @@
     let (blocks, others): (Vec<&Row>, Vec<&Row>) = rows
         .iter()
         .partition(|row| row.key.starts_with(BLOCK_PREFIX));
-    state.homes.borrow_mut().on_rows(&blocks);
+    state.homes.borrow_mut().apply_block_rows(&blocks);
     let kept = quarantine::read(&others);
     state.fleet.on_event(FleetEvent::QuarantineRows(kept));
     let mut leads = Vec::new();
@@ -247,8 +249,8 @@
 }
 
 /// Writes who leads the region, for entries that can't find out otherwise.
-pub(crate) async fn write_row(state: Rc<InstanceState>, leads: Vec<SocketAddr>) {
-    let client = PlatformClient::new(state.config.store).with_answer_timeout(PATIENCE);
+pub(crate) async fn write_lead_row(state: Rc<InstanceState>, leads: Vec<SocketAddr>) {
+    let client = PlatformClient::new(state.config.store).with_answer_timeout(STORE_TIMEOUT);
     let key = format!("{LEAD_PREFIX}{}", state.config.region);
     let addresses: Vec<String> = leads.iter().map(SocketAddr::to_string).collect();
     let write = [RowWrite::new(ENTRY_TABLE, &key, &addresses.join(","))];
@@ -264,9 +266,9 @@
 /// them, until the process ends. Leads look at these rows anyway.
 pub(crate) async fn watch_blocks(state: Rc<InstanceState>) {
     loop {
-        tokio::time::sleep(BLOCKS_EVERY).await;
+        tokio::time::sleep(BLOCKS_INTERVAL).await;
         if state.has_own_routes() && !state.fleet.leads() {
-            read_rows(Rc::clone(&state)).await;
+            read_entry_rows(Rc::clone(&state)).await;
         }
     }
 }
@@ -287,14 +289,14 @@
         }
     }
 
-    fn lost(&mut self, error: &impl std::fmt::Display) {
+    fn on_lost(&mut self, error: &impl std::fmt::Display) {
         if self.lost_at.is_none() {
             self.lost_at = Some(Instant::now());
             log::warn!(dependency = self.name, error:%; "dependency lost");
         }
     }
 
-    fn regained(&mut self) {
+    fn on_regained(&mut self) {
         if let Some(lost_at) = self.lost_at.take() {
             let after_ms = lost_at.elapsed().as_millis() as u64;
             log::info!(dependency = self.name, after_ms; "dependency regained");
