--- a/bin/lh-entry/src/app.rs
+++ b/bin/lh-entry/src/app.rs
@@ -15,12 +15,12 @@
 use crate::logs::LogQueue;
 use crate::metrics::EntryMetrics;
 use crate::state::InstanceState;
-use crate::{accept, fleet, inner, rollout, stop, watch};
+use crate::{accept, fleet, internal, rollout, stop, watch};
 
 /// Listeners for everything but callers' requests.
-const INNER_LISTENERS: [&str; 4] = ["readiness", "look-ups", "metrics", "other entries"];
+const INTERNAL_LISTENERS: [&str; 4] = ["readiness", "look-ups", "metrics", "other entries"];
 /// How often idle connections to servers are looked through.
-const PRUNE_EVERY: Duration = Duration::from_secs(1);
+const PRUNE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Reads the command line and the settings, then works until SIGTERM.
 ///
@@ -52,23 +52,23 @@
     let beats = services.find::<UdpSocket>("beats")?;
     spawn_local(watch::watch_operator(Rc::clone(&state)));
     spawn_local(watch::watch_blocks(Rc::clone(&state)));
-    spawn_local(rollout::tend(Rc::clone(&state)));
+    spawn_local(rollout::maintain_rows(Rc::clone(&state)));
     spawn_local(fleet::run(Rc::clone(&state), beats));
-    for name in INNER_LISTENERS {
+    for name in INTERNAL_LISTENERS {
         let listener = services.find::<TcpListener>(name)?;
-        spawn_local(inner::run(Rc::clone(&state), listener));
+        spawn_local(internal::run(Rc::clone(&state), listener));
     }
     let callers = services.find::<TcpListener>("callers")?;
     spawn_local(accept::run(Rc::clone(&state), callers));
     spawn_local(prune(Rc::clone(&state)));
-    spawn_local(reload(arguments));
+    spawn_local(validate_settings_on_hangup(arguments));
     stop::run(&state).await
 }
 
 /// Opens everything that the entry needs, by name.
 fn register(config: EntryConfig, incarnation: u64) -> Result<ServiceRegistry> {
     let metrics = EntryMetrics::new()?;
-    metrics.show_instance(&config.instance, &config.region);
+    metrics.set_instance_info(&config.instance, &config.region);
     let mut services = ServiceRegistry::new();
     services.register("callers", accept::listen("callers", config.caller_address)?)?;
     let addresses = [
@@ -77,7 +77,7 @@
         config.metrics_address,
         config.view_address,
     ];
-    for (name, address) in INNER_LISTENERS.into_iter().zip(addresses) {
+    for (name, address) in INTERNAL_LISTENERS.into_iter().zip(addresses) {
         services.register(name, accept::listen(name, address)?)?;
     }
     services.register("beats", fleet::open(config.peer_address)?)?;
@@ -87,14 +87,14 @@
 
 async fn prune(state: Rc<InstanceState>) {
     loop {
-        tokio::time::sleep(PRUNE_EVERY).await;
+        tokio::time::sleep(PRUNE_INTERVAL).await;
         state.pool.prune();
     }
 }
 
 /// Checks the settings again at SIGHUP. Addresses and bounds of a running
 /// process stay; the line says whether a restart would take them.
-async fn reload(arguments: Arguments) {
+async fn validate_settings_on_hangup(arguments: Arguments) {
     use tokio::signal::unix::{SignalKind, signal};
     let mut hangup = match signal(SignalKind::hangup()) {
         Ok(hangup) => hangup,
--- a/bin/lh-entry/src/config.rs
+++ b/bin/lh-entry/src/config.rs
@@ -67,7 +67,7 @@
     /// How old the knowledge of keys may be.
     pub access: AccessBounds,
     /// Longest time for which callers keep an answer.
-    pub lookup_ttl_most: Duration,
+    pub max_lookup_ttl: Duration,
     /// Memory that the process may use, in bytes.
     pub memory_bytes: usize,
     /// Descriptors that the process may use.
@@ -133,7 +133,7 @@
                 revoke: revoke(bounds)?,
                 learn: bounds.duration("config_apply")?,
             },
-            lookup_ttl_most: bounds.duration("lookup_ttl_most")?,
+            max_lookup_ttl: bounds.duration("lookup_ttl_most")?,
             memory_bytes: bounds.count::<usize>("memory_mb")? << 20,
             descriptors: bounds.count("descriptors")?,
             costs: ByteCosts {
--- a/bin/lh-entry/src/fleet.rs
+++ b/bin/lh-entry/src/fleet.rs
@@ -238,16 +238,16 @@
 /// taken for new it kept an entry from asking, whose leads had ended while it stood still.
 fn on_datagram(state: &InstanceState, from: SocketAddr, bytes: &[u8], stall: Option<Duration>) {
     match postcard::from_bytes::<PeerMessage>(bytes) {
-        Ok(PeerMessage::Load(beat)) => {
+        Ok(PeerMessage::Load(report)) => {
             let now = Instant::now();
-            if let Some(quota) = &beat.quota {
+            if let Some(quota) = &report.quota {
                 state.load_reports.on_peer_report(now, from);
-                state.quota.borrow_mut().on_report(now, beat.entry, quota);
+                state.quota.borrow_mut().on_report(now, report.entry, quota);
             }
             let mut placer = state.placer.borrow_mut();
-            placer.on_peer_load(now, beat.entry, beat.word);
+            placer.on_peer_load(now, report.entry, report.word);
         }
-        Ok(PeerMessage::Rollout(beat)) => state.rollouts.on_beat(&beat),
+        Ok(PeerMessage::Rollout(report)) => state.rollouts.on_peer_counts(&report),
         Ok(mut message) => {
             if let (PeerMessage::Digest(digest), Some(span)) = (&mut message, stall) {
                 digest.store = digest.store.delayed_by(span);
@@ -294,7 +294,7 @@
                 }
                 FleetAction::ConfirmRegistry(at) => state.placer.borrow_mut().catalog.confirm(at),
                 FleetAction::ListsChanged => state.refresh_entries(),
-                FleetAction::Log(note) => log_note(state, &note),
+                FleetAction::Log(change) => log_fleet_change(state, &change),
             }
         }
     }
@@ -318,12 +318,12 @@
     }
 }
 
-fn log_note(state: &InstanceState, note: &FleetChange) {
+fn log_fleet_change(state: &InstanceState, change: &FleetChange) {
     let known = state.fleet.known();
     let age = |at: Option<Instant>| at.map_or(-1, |at| at.elapsed().as_millis() as i64);
     let servers_age_ms = age(known.registry_at);
     let operator_age_ms = age(known.operator_at);
-    match note {
+    match change {
         FleetChange::Suspected(print) => {
             log::info!(print:%; "request was at two servers that ended");
         }
@@ -349,7 +349,7 @@
             log::info!(listed, named; "entries of the region listed");
         }
         FleetChange::ConflictingLead(lead) => {
-            state.metrics.contradictions.inc();
+            state.metrics.lead_conflicts.inc();
             let (registry, read) = (known.registry, known.registry_read);
             let content = known.content.to_string();
             log::warn!(lead = lead.as_str(), registry, read, content = content.as_str(), servers_age_ms; "a lead knows other servers");
--- a/bin/lh-entry/src/inner.rs
+++ b/bin/lh-entry/src/internal.rs
@@ -33,8 +33,8 @@
         tokio::task::spawn_local(async move {
             let _ = stream.set_nodelay(true);
             let service = service_fn(move |request| {
-                let answer = answer(&state, &request, caller.ip());
-                async move { Ok::<_, Infallible>(answer) }
+                let respond = respond(&state, &request, caller.ip());
+                async move { Ok::<_, Infallible>(respond) }
             });
             let served = Builder::new()
                 .header_read_timeout(None)
@@ -46,7 +46,7 @@
     }
 }
 
-fn answer(
+fn respond(
     state: &InstanceState,
     request: &Request<Incoming>,
     from: IpAddr,
@@ -67,12 +67,12 @@
         platform::lookup::LOOKUP_PATH => {
             let place = platform::lookup::parse_location(query);
             match lookup::answer_platform(state, &place) {
-                Some(answer) => json(StatusCode::OK, answer),
+                Some(respond) => json(StatusCode::OK, respond),
                 None => text(StatusCode::SERVICE_UNAVAILABLE, String::new()),
             }
         }
         lookup::ENTRIES_PATH => match lookup::answer_own(state, query, from) {
-            OwnLookup::Found(answer) => json(StatusCode::OK, answer),
+            OwnLookup::Found(respond) => json(StatusCode::OK, respond),
             OwnLookup::UnknownService => text(StatusCode::NOT_FOUND, String::new()),
             OwnLookup::NoEntry => text(StatusCode::SERVICE_UNAVAILABLE, String::new()),
         },
@@ -81,23 +81,23 @@
             json(StatusCode::OK, status::answer_status(state, service))
         }
         view::VIEW_PATH => match view::answer_view(state, query) {
-            Some(answer) => bytes(answer),
+            Some(respond) => bytes(respond),
             None => text(StatusCode::BAD_REQUEST, String::new()),
         },
         METRICS_PATH => {
-            let heard = state.fleet.known().operator_at;
+            let operator_at = state.fleet.known().operator_at;
             let content = state.servers.borrow().content();
             state.metrics.registry_content.set(content.short());
             let proof = state.proof_age();
             state
                 .metrics
-                .show_operator(heard.map(|at| at.elapsed()), proof);
+                .set_operator_ages(operator_at.map(|at| at.elapsed()), proof);
             state.metrics.leads.set(i64::from(state.fleet.leads()));
             let placer = state.placer.borrow();
             let region = &state.config.region;
             state
                 .metrics
-                .show_servers(Instant::now(), region, &placer.catalog);
+                .update_servers(Instant::now(), region, &placer.catalog);
             text(StatusCode::OK, state.metrics.text())
         }
         _ => text(StatusCode::NOT_FOUND, String::new()),
--- a/bin/lh-entry/src/lookup.rs
+++ b/bin/lh-entry/src/lookup.rs
@@ -14,12 +14,12 @@
 /// must have left a stopping entry before it refuses requests.
 const LOOKUP_TTL: Duration = Duration::from_millis(1000);
 /// Entries named in an answer on the platform's interface; callers read no more.
-const ENTRIES_MOST: usize = 64;
+const MAX_ENTRIES: usize = 64;
 /// Path of the question on the own interface.
 pub(crate) const ENTRIES_PATH: &str = "/v1/entries";
 
 /// An entry that takes callers.
-struct OpenEntry {
+struct AvailableEntry {
     instance: String,
     region: String,
     address: SocketAddr,
@@ -53,11 +53,11 @@
 
 /// The answer on the platform's interface; `None` where no entry takes callers.
 pub(crate) fn answer_platform(state: &InstanceState, place: &CallerLocation) -> Option<String> {
-    let entries = open_entries(state);
-    let near = home_region_entries(&entries, &place.region, |entry| &entry.region);
-    let addresses: Vec<SocketAddr> = near
+    let entries = available_entries(state);
+    let home_entries = home_region_entries(&entries, &place.region, |entry| &entry.region);
+    let addresses: Vec<SocketAddr> = home_entries
         .into_iter()
-        .take(ENTRIES_MOST)
+        .take(MAX_ENTRIES)
         .map(|entry| entry.address)
         .collect();
     let ttl = ttl(state);
@@ -66,12 +66,12 @@
 
 /// The answer on the own interface to a caller at `from`.
 pub(crate) fn answer_own(state: &InstanceState, query: &str, from: IpAddr) -> OwnLookup {
-    let ask = |name: &str| {
+    let parameter = |name: &str| {
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         let found = pairs.find(|(known, _)| *known == name);
         found.map(|(_, value)| value)
     };
-    let service = ask("service").unwrap_or("");
+    let service = parameter("service").unwrap_or("");
     let known = state
         .routes
         .borrow()
@@ -81,8 +81,8 @@
         return OwnLookup::UnknownService;
     }
     let homes = state.homes.borrow();
-    let home = ask("region").or_else(|| homes.find(from));
-    let entries = open_entries(state);
+    let home = parameter("region").or_else(|| homes.find(from));
+    let entries = available_entries(state);
     let nonce = rand::random();
     let chosen = ordered_entries(&entries, home, nonce, |entry| &entry.region);
     if chosen.is_empty() {
@@ -111,12 +111,12 @@
 }
 
 fn ttl(state: &InstanceState) -> Duration {
-    LOOKUP_TTL.min(state.config.lookup_ttl_most)
+    LOOKUP_TTL.min(state.config.max_lookup_ttl)
 }
 
 /// The entries that callers are told to use, by the lists of their regions; before there
 /// is one, an entry that has met others tells nobody, since abler ones may be found.
-fn open_entries(state: &InstanceState) -> Vec<OpenEntry> {
+fn available_entries(state: &InstanceState) -> Vec<AvailableEntry> {
     let mut entries = Vec::new();
     if state.fleet.is_isolated() && !state.fleet.is_listed() && state.is_ready() {
         return vec![own_entry(state, Instant::now())];
@@ -129,7 +129,7 @@
                 }
                 continue;
             }
-            entries.push(OpenEntry {
+            entries.push(AvailableEntry {
                 instance: entry.node.clone(),
                 region: region.to_owned(),
                 address: entry.caller_address,
@@ -143,8 +143,8 @@
     entries
 }
 
-fn own_entry(state: &InstanceState, now: Instant) -> OpenEntry {
-    OpenEntry {
+fn own_entry(state: &InstanceState, now: Instant) -> AvailableEntry {
+    AvailableEntry {
         instance: state.config.instance.clone(),
         region: state.config.region.clone(),
         address: state.config.caller_address,
--- a/bin/lh-entry/src/metrics.rs
+++ b/bin/lh-entry/src/metrics.rs
@@ -42,10 +42,10 @@
     pub(crate) kept_servers: IntGauge,
     pub(crate) leads: IntGauge,
     pulls: IntCounterVec,
-    told: IntCounterVec,
+    registry_copies: IntCounterVec,
     readings: IntCounterVec,
     pub(crate) registry_content: IntGauge,
-    pub(crate) contradictions: IntCounter,
+    pub(crate) lead_conflicts: IntCounter,
     bad_datagrams: IntCounter,
     broken_off: IntCounterVec,
     pub(crate) connections: IntGauge,
@@ -163,7 +163,7 @@
             ),
             &["asked", "result"],
         )?;
-        let told = IntCounterVec::new(
+        let registry_copies = IntCounterVec::new(
             Opts::new(
                 "laurelhill_registry_told_total",
                 "Copies of the registry told to other entries",
@@ -185,13 +185,13 @@
             "laurelhill_kept_servers",
             "Servers whose rows vanished and that are kept until the registry has settled",
         )?;
-        let contradictions = IntCounter::new(
+        let lead_conflicts = IntCounter::new(
             "laurelhill_contradictions_total",
             "Times that leads began to know other things of the registry though both have read it",
         )?;
         // Shown from the start, so that a rate can be told before the first one.
         for copy in ["whole", "changes"] {
-            told.with_label_values(&[copy]);
+            registry_copies.with_label_values(&[copy]);
         }
         for asked in ["all", "changes"] {
             pulls.with_label_values(&[asked, "ok"]);
@@ -230,10 +230,10 @@
         registry.register(Box::new(kept_servers.clone()))?;
         registry.register(Box::new(leads.clone()))?;
         registry.register(Box::new(pulls.clone()))?;
-        registry.register(Box::new(told.clone()))?;
+        registry.register(Box::new(registry_copies.clone()))?;
         registry.register(Box::new(readings.clone()))?;
         registry.register(Box::new(registry_content.clone()))?;
-        registry.register(Box::new(contradictions.clone()))?;
+        registry.register(Box::new(lead_conflicts.clone()))?;
         registry.register(Box::new(bad_datagrams.clone()))?;
         registry.register(Box::new(broken_off.clone()))?;
         registry.register(Box::new(connections.clone()))?;
@@ -261,10 +261,10 @@
             kept_servers,
             leads,
             pulls,
-            told,
+            registry_copies,
             readings,
             registry_content,
-            contradictions,
+            lead_conflicts,
             bad_datagrams,
             broken_off,
             connections,
@@ -301,9 +301,9 @@
     }
 
     /// Another entry was told the registry's changes or all of it.
-    pub(crate) fn on_told(&self, is_whole: bool) {
+    pub(crate) fn on_copy_sent(&self, is_whole: bool) {
         let copy = if is_whole { "whole" } else { "changes" };
-        self.told.with_label_values(&[copy]).inc();
+        self.registry_copies.with_label_values(&[copy]).inc();
     }
 
     /// The store has answered a reading of the registry: it was taken in or left out, and
@@ -347,24 +347,28 @@
     }
 
     /// Shows which instance this is.
-    pub(crate) fn show_instance(&self, instance: &str, region: &str) {
+    pub(crate) fn set_instance_info(&self, instance: &str, region: &str) {
         self.info.with_label_values(&[instance, region]).set(1.0);
     }
 
     /// Shows how long ago a planned stop began.
-    pub(crate) fn show_stop(&self, age: Duration) {
+    pub(crate) fn set_draining_time(&self, age: Duration) {
         self.draining.set(age.as_secs_f64());
     }
 
     /// Shows how long ago the operator's rows were told, and how old that word is at most.
-    pub(crate) fn show_operator(&self, told: Option<Duration>, proof: Option<Duration>) {
+    pub(crate) fn set_operator_ages(
+        &self,
+        registry_copies: Option<Duration>,
+        proof: Option<Duration>,
+    ) {
         let seconds = |age: Option<Duration>| age.map_or(f64::NAN, |age| age.as_secs_f64());
-        self.operator_age.set(seconds(told));
+        self.operator_age.set(seconds(registry_copies));
         self.proof_age.set(seconds(proof));
     }
 
     /// Shows the servers as they are known now; those that are gone leave.
-    pub(crate) fn show_servers(&self, now: Instant, region: &str, catalog: &ServerCatalog) {
+    pub(crate) fn update_servers(&self, now: Instant, region: &str, catalog: &ServerCatalog) {
         self.servers.reset();
         self.server_requests.reset();
         self.slots.reset();
--- a/bin/lh-entry/src/rollout.rs
+++ b/bin/lh-entry/src/rollout.rs
@@ -26,14 +26,14 @@
 use crate::watch::STORE_TIMEOUT;
 
 /// Time between two looks of a lead whether an open rollout goes on.
-const TEND_EVERY: Duration = Duration::from_millis(250);
+const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
 /// Time between two looks at the row of one that doesn't: another lead may have written.
-const READ_EVERY: Duration = Duration::from_secs(1);
+const REREAD_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The rollouts as this entry knows them.
 #[derive(Debug)]
 pub(crate) struct RolloutState {
-    book: RefCell<RolloutController>,
+    controller: RefCell<RolloutController>,
     /// Something changed that the store should say.
     wake: Notify,
     /// A version was found to be bad, and the other entries are to be told.
@@ -50,43 +50,43 @@
         };
         let schedule = CanarySchedule::new(bounds.exposure_share);
         Self {
-            book: RefCell::new(RolloutController::new(Instant::now(), bounds, schedule)),
+            controller: RefCell::new(RolloutController::new(Instant::now(), bounds, schedule)),
             wake: Notify::new(),
             verdict: Notify::new(),
         }
     }
 
     /// Looks something up.
-    pub(crate) fn book(&self) -> Ref<'_, RolloutController> {
-        self.book.borrow()
+    pub(crate) fn controller(&self) -> Ref<'_, RolloutController> {
+        self.controller.borrow()
     }
 
     /// Sets how many entries get requests, and whether this one is among them.
     pub(crate) fn set_entries(&self, entries: usize, is_listed: bool) {
-        self.book.borrow_mut().set_entries(entries, is_listed);
+        self.controller.borrow_mut().set_entries(entries, is_listed);
     }
 
     /// A server of `service` has `version`; see [`RolloutController::on_server`].
     pub(crate) fn on_server(&self, service: &str, version: &str, is_first: bool) {
-        let mut book = self.book.borrow_mut();
-        book.on_server(Instant::now(), service, version, is_first);
+        let mut controller = self.controller.borrow_mut();
+        controller.on_server(Instant::now(), service, version, is_first);
     }
 
     /// The operator ordered a rollout.
     pub(crate) fn on_order(&self, order: &RolloutOrder) {
-        self.change(|now, book| book.on_order(now, order));
+        self.change(|now, controller| controller.on_order(now, order));
     }
 
     /// The operator took the order for `service` back.
     pub(crate) fn on_withdrawn(&self, service: &str) {
-        self.change(|now, book| book.on_withdrawn(now, service));
+        self.change(|now, controller| controller.on_withdrawn(now, service));
     }
 
     /// The operator's rows hold these orders and no others.
     pub(crate) fn on_all_orders(&self, orders: &[&RolloutOrder]) {
         let known: Vec<String> = {
-            let book = self.book.borrow();
-            let records = book.records();
+            let controller = self.controller.borrow();
+            let records = controller.records();
             records.map(|record| record.order.service.clone()).collect()
         };
         for service in known {
@@ -99,17 +99,17 @@
     /// Another entry told `record`, or the store holds it where `is_stored`; `latest` is the
     /// time that the store's clock has not passed.
     pub(crate) fn on_record(&self, record: &RolloutRecord, latest: StoreTime, is_stored: bool) {
-        self.change(|now, book| {
+        self.change(|now, controller| {
             let age = Duration::from_millis(latest.0.saturating_sub(record.begun));
             let is_known = latest.is_some() && record.begun > 0;
             let begun = is_known.then(|| now.checked_sub(age)).flatten();
-            book.on_record(now, record, begun, is_stored);
+            controller.on_record(now, record, begun, is_stored);
         });
     }
 
     /// Another entry's counts.
-    pub(crate) fn on_beat(&self, beat: &RolloutMessage) {
-        self.change(|now, book| book.on_report(now, beat.entry, &beat.word));
+    pub(crate) fn on_peer_counts(&self, message: &RolloutMessage) {
+        self.change(|now, controller| controller.on_report(now, message.entry, &message.word));
     }
 
     /// A request goes to the server of `placement`; its token, and whether the new version runs
@@ -121,8 +121,8 @@
         service: &str,
         placement: &Placement,
     ) -> Option<(SendToken, bool)> {
-        let mut book = self.book.borrow_mut();
-        if !book.is_active() {
+        let mut controller = self.controller.borrow_mut();
+        if !controller.is_active() {
             return None;
         }
         let send = VersionSend {
@@ -133,7 +133,7 @@
             is_cold: placement.reason.cold,
             expected: Duration::from_secs_f64(placement.reason.expected.max(0.0) / 1000.0),
         };
-        book.on_sent(now, &send)
+        controller.on_sent(now, &send)
     }
 
     /// Takes in what became of a request.
@@ -148,22 +148,22 @@
             | ServerOutcome::Withdrawn
             | ServerOutcome::Abandoned => SendOutcome::Inconclusive,
         };
-        self.change(|now, book| book.on_outcome(now, token, outcome));
+        self.change(|now, controller| controller.on_outcome(now, token, outcome));
     }
 
     fn change(&self, change: impl FnOnce(Instant, &mut RolloutController)) {
-        let mut book = self.book.borrow_mut();
-        change(Instant::now(), &mut book);
-        let notes = book.take_events();
-        if book.take_verdict() {
+        let mut controller = self.controller.borrow_mut();
+        change(Instant::now(), &mut controller);
+        let events = controller.take_events();
+        if controller.take_verdict() {
             self.verdict.notify_one();
         }
-        drop(book);
-        if !notes.is_empty() {
+        drop(controller);
+        if !events.is_empty() {
             self.wake.notify_one();
         }
-        for note in notes {
-            log_note(&note);
+        for event in events {
+            log_event(&event);
         }
     }
 }
@@ -179,21 +179,21 @@
 ) -> Result<Placement, Refusal> {
     let part = request.route.parts.get(request.part);
     let service = part.map_or("", |part| part.service.as_str());
-    let mut book = state.rollouts.book.borrow_mut();
+    let mut controller = state.rollouts.controller.borrow_mut();
     let is_repeat = !request.tried.is_empty();
-    let choice = book.choose(now, service, is_repeat, operator_age(state));
-    let (rule, fallback) = book.filters(service, choice);
+    let choice = controller.choose(now, service, is_repeat, operator_age(state));
+    let (filter, fallback) = controller.filters(service, choice);
     let mut placer = state.placer.borrow_mut();
-    let placed = placer.place(now, &request.with_versions(rule));
-    let (Err(refusal), Some((rule, is_last_resort))) = (&placed, fallback) else {
+    let placed = placer.place(now, &request.with_versions(filter));
+    let (Err(refusal), Some((filter, is_last_resort))) = (&placed, fallback) else {
         return placed;
     };
     if is_last_resort && refusal.reason != RefusalReason::NoServer {
         return placed;
     }
-    let placed = placer.place(now, &request.with_versions(rule));
+    let placed = placer.place(now, &request.with_versions(filter));
     if choice == VersionChoice::New {
-        book.on_diverted(service);
+        controller.on_diverted(service);
     }
     placed
 }
@@ -211,11 +211,13 @@
     socket: &UdpSocket,
     recipients: &[SocketAddr],
 ) {
-    if !state.rollouts.book().is_active() {
+    if !state.rollouts.controller().is_active() {
         return;
     }
-    state.rollouts.change(|now, book| book.check_overdue(now));
-    let Some(word) = state.rollouts.book().report(Instant::now()) else {
+    state
+        .rollouts
+        .change(|now, controller| controller.check_overdue(now));
+    let Some(word) = state.rollouts.controller().report(Instant::now()) else {
         return;
     };
     let mut targets = recipients.to_vec();
@@ -231,35 +233,35 @@
     targets.sort_unstable();
     targets.dedup();
     targets.retain(|target| *target != state.config.peer_address);
-    let beat = RolloutMessage {
+    let message = RolloutMessage {
         entry: stable_hash(state.config.instance.as_bytes()),
         word,
     };
-    send(socket, &targets, &PeerMessage::Rollout(beat)).await;
+    send(socket, &targets, &PeerMessage::Rollout(message)).await;
 }
 
 /// Keeps the rows of open rollouts up to date while this entry leads, until the process ends.
-pub(crate) async fn tend(state: Rc<InstanceState>) {
+pub(crate) async fn maintain_rows(state: Rc<InstanceState>) {
     let mut last_read_at = Instant::now();
     loop {
-        let _ = timeout(TEND_EVERY, state.rollouts.wake.notified()).await;
+        let _ = timeout(UPDATE_INTERVAL, state.rollouts.wake.notified()).await;
         if !state.fleet.leads() {
             continue;
         }
-        let is_due = last_read_at.elapsed() >= READ_EVERY;
-        if is_due {
+        let is_reread_due = last_read_at.elapsed() >= REREAD_INTERVAL;
+        if is_reread_due {
             last_read_at = Instant::now();
         }
-        let services = state.rollouts.book().unfinished_services();
+        let services = state.rollouts.controller().unfinished_services();
         for service in services {
-            if is_due || next_record(&state, &service).is_some() {
-                tend_one(&state, &service).await;
+            if is_reread_due || next_record(&state, &service).is_some() {
+                update_row(&state, &service).await;
             }
         }
     }
 }
 
-async fn tend_one(state: &InstanceState, service: &str) {
+async fn update_row(state: &InstanceState, service: &str) {
     let client = PlatformClient::new(state.config.store).with_answer_timeout(STORE_TIMEOUT);
     let Some(row) = read_row(state, &client, service).await else {
         return;
@@ -281,22 +283,22 @@
 
 /// What the store should say of the rollout of `service`, where it doesn't.
 fn next_record(state: &InstanceState, service: &str) -> Option<RolloutRecord> {
-    let book = state.rollouts.book();
-    let version = &book.record(service)?.order.version;
-    let mut sight = ServerCounts::default();
+    let controller = state.rollouts.controller();
+    let version = &controller.record(service)?.order.version;
+    let mut counts = ServerCounts::default();
     let placer = state.placer.borrow();
     for (_, server) in placer.catalog.open_servers(service) {
         if server.entry.version == *version {
-            sight.new += 1;
+            counts.new += 1;
         } else {
-            sight.old += 1;
+            counts.old += 1;
         }
     }
     let store_now = state.fleet.latest_store_time();
     if !store_now.is_some() {
         return None;
     }
-    book.next_record(Instant::now(), service, sight, store_now.0)
+    controller.next_record(Instant::now(), service, counts, store_now.0)
 }
 
 /// The row of the rollout of `service`, which this entry takes in; `None` where the store
@@ -372,20 +374,20 @@
     }
 }
 
-fn log_note(note: &RolloutEvent) {
-    let (service, version) = (note.service.as_str(), note.version.as_str());
-    let phase = note.phase.as_str();
-    let Some(found) = note.verdict else {
+fn log_event(event: &RolloutEvent) {
+    let (service, version) = (event.service.as_str(), event.version.as_str());
+    let phase = event.phase.as_str();
+    let Some(verdict) = event.verdict else {
         log::info!(service, version, phase; "rollout");
         return;
     };
-    let (new, old) = (found.new, found.old);
-    let route = if found.route == ALL_ROUTES {
+    let (new, old) = (verdict.new, verdict.old);
+    let route = if verdict.route == ALL_ROUTES {
         "all".to_owned()
     } else {
-        format!("{:016x}", found.route)
+        format!("{:016x}", verdict.route)
     };
-    let why = if found.fails {
+    let why = if verdict.fails {
         "failures"
     } else {
         "slow answers"
--- a/bin/lh-entry/src/status.rs
+++ b/bin/lh-entry/src/status.rs
@@ -82,15 +82,15 @@
 }
 
 fn rollouts(now: Instant, state: &InstanceState) -> Vec<RolloutStatus> {
-    let book = state.rollouts.book();
+    let controller = state.rollouts.controller();
     let status = |record: &RolloutRecord| RolloutStatus {
         service: record.order.service.clone(),
         version: record.order.version.clone(),
         phase: record.phase.as_str(),
-        share: book.share(now, &record.order.service),
+        share: controller.share(now, &record.order.service),
         barred: record.excluded_versions(),
     };
-    book.records().map(status).collect()
+    controller.records().map(status).collect()
 }
 
 /// The document, with the servers of `service` where one is asked for.
--- a/bin/lh-entry/src/stop.rs
+++ b/bin/lh-entry/src/stop.rs
@@ -14,9 +14,9 @@
 /// Kept between the exit and the kill.
 const EXIT_MARGIN: Duration = Duration::from_millis(350);
 /// How often the stop looks whether everything is answered.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// After the last answer, connections get this long to carry it away.
-const LINGER: Duration = Duration::from_millis(150);
+const CLOSE_DELAY: Duration = Duration::from_millis(150);
 
 /// How far the stop has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -37,23 +37,23 @@
     kernel::wait_for_termination().await?;
     let begun = Instant::now();
     log::info!(in_flight = state.in_flight.get(); "stop requested");
-    enter(state, StopPhase::Draining);
+    set_phase(state, StopPhase::Draining);
     fleet::update_local_state(state);
     let refuse_after = REFUSE_AFTER.min(state.config.grace / 2);
     tokio::time::sleep(refuse_after).await;
-    state.metrics.show_stop(begun.elapsed());
-    enter(state, StopPhase::Refusing);
-    let last = state.config.grace.saturating_sub(EXIT_MARGIN);
-    while state.in_flight.get() > 0 && begun.elapsed() < last {
-        state.metrics.show_stop(begun.elapsed());
-        tokio::time::sleep(LOOK_EVERY).await;
+    state.metrics.set_draining_time(begun.elapsed());
+    set_phase(state, StopPhase::Refusing);
+    let exit_deadline = state.config.grace.saturating_sub(EXIT_MARGIN);
+    while state.in_flight.get() > 0 && begun.elapsed() < exit_deadline {
+        state.metrics.set_draining_time(begun.elapsed());
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    tokio::time::sleep(LINGER.min(last.saturating_sub(begun.elapsed()))).await;
+    tokio::time::sleep(CLOSE_DELAY.min(exit_deadline.saturating_sub(begun.elapsed()))).await;
     log::info!(unanswered = state.in_flight.get(), took_ms = begun.elapsed().as_millis() as u64; "stopped");
     Ok(())
 }
 
-fn enter(state: &InstanceState, phase: StopPhase) {
+fn set_phase(state: &InstanceState, phase: StopPhase) {
     state.stop.set(phase);
     state.stopping.send_replace(phase);
 }
--- a/bin/lh-entry/src/team_metrics.rs
+++ b/bin/lh-entry/src/team_metrics.rs
@@ -9,17 +9,17 @@
 
 /// Teams with series of their own: more would cost memory at each entry and at whatever
 /// reads the metrics. The first that ask have them.
-const TEAMS_SHOWN: usize = 100;
+const MAX_TEAM_SERIES: usize = 100;
 /// Stands for all other teams.
-const OTHERS: &str = "(others)";
+const OTHER_TEAMS: &str = "(others)";
 /// Stands for requests of no team.
-const NOBODY: &str = "";
+const NO_TEAM: &str = "";
 
 /// Counters by team.
 #[derive(Debug)]
 pub(crate) struct TeamMetrics {
     requests: IntCounterVec,
-    shown: RefCell<HashSet<String>>,
+    labeled_teams: RefCell<HashSet<String>>,
 }
 
 impl TeamMetrics {
@@ -38,25 +38,25 @@
         registry.register(Box::new(requests.clone()))?;
         Ok(Self {
             requests,
-            shown: RefCell::default(),
+            labeled_teams: RefCell::default(),
         })
     }
 
     /// A request of `team`, or of a public route that asks for none, ended with `outcome`.
     pub(crate) fn on_request(&self, team: Option<&str>, outcome: &str) {
-        let name = team.map_or(NOBODY, |team| self.shown_as(team));
+        let name = team.map_or(NO_TEAM, |team| self.team_label(team));
         self.requests.with_label_values(&[name, outcome]).inc();
     }
 
-    fn shown_as<'a>(&self, team: &'a str) -> &'a str {
-        let mut shown = self.shown.borrow_mut();
-        if shown.contains(team) {
+    fn team_label<'a>(&self, team: &'a str) -> &'a str {
+        let mut labeled_teams = self.labeled_teams.borrow_mut();
+        if labeled_teams.contains(team) {
             return team;
         }
-        if shown.len() >= TEAMS_SHOWN {
-            return OTHERS;
+        if labeled_teams.len() >= MAX_TEAM_SERIES {
+            return OTHER_TEAMS;
         }
-        shown.insert(team.to_owned());
+        labeled_teams.insert(team.to_owned());
         team
     }
 }
--- a/bin/lh-entry/src/view.rs
+++ b/bin/lh-entry/src/view.rs
@@ -34,15 +34,15 @@
 pub(crate) const VIEW_PATH: &str = "/view";
 /// Longest wait for an answer: several round trips. After it the other lead is asked, so
 /// that one that died costs no freshness.
-const PATIENCE: Duration = Duration::from_millis(300);
+const PULL_TIMEOUT: Duration = Duration::from_millis(300);
 /// The same for an entry that knows nothing: whole copies for a region's entries that all
 /// start at once take their time on the lead's link.
-const FIRST_PATIENCE: Duration = Duration::from_millis(1500);
+const INITIAL_PULL_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Largest answer that is read, in bytes.
-const ANSWER_BYTES: usize = 8 << 20;
+const MAX_ANSWER_BYTES: usize = 8 << 20;
 /// Encoded changes kept, by the version since which they are: followers differ by a few
 /// versions at most.
-const ENCODED_KEPT: usize = 16;
+const MAX_ENCODED: usize = 16;
 
 base::common! {
     /// What an entry knows and others may know more of.
@@ -58,9 +58,9 @@
         /// Where the one that asks tells what it knows.
         view: SocketAddr,
         /// Whether it takes a copy of the registry from nobody else.
-        insists: bool,
+        direct_only: bool,
         /// Whether it asks which servers have left.
-        ends: bool,
+        departures: bool,
     }
 
     /// What the one that asked lacks.
@@ -70,7 +70,7 @@
         /// An encoded [`RegistryDelta`]; empty where nothing changed.
         registry: Vec<u8>,
         /// Where that is to be had instead.
-        copy_at: Option<SocketAddr>,
+        relay: Option<SocketAddr>,
         /// Whether it can't be told now, since others are.
         is_busy: bool,
         /// The failure domains to be evacuated, where something changed.
@@ -81,9 +81,9 @@
         desired: Vec<u8>,
         lists: Vec<EntryList>,
         /// Servers that have left, where that was asked for.
-        ends: Vec<Departure>,
+        departures: Vec<Departure>,
         /// The latest time that the store's clock can show.
-        latest: StoreTime,
+        latest_store_time: StoreTime,
     }
 }
 
@@ -117,19 +117,19 @@
 #[derive(Debug, Default)]
 pub(crate) struct EncodedChanges {
     /// The log that they are of. Its version alone may stand for other content before.
-    of: (u64, ContentHash),
-    by_mark: HashMap<u64, Rc<Vec<u8>>>,
+    log_state: (u64, ContentHash),
+    by_version: HashMap<u64, Rc<Vec<u8>>>,
 }
 
 impl EncodedChanges {
-    fn since(&mut self, log: &RegistryLog, mark: u64) -> Rc<Vec<u8>> {
-        let of = (log.version(), log.content());
-        if self.of != of || self.by_mark.len() >= ENCODED_KEPT {
-            self.by_mark.clear();
-            self.of = of;
+    fn since(&mut self, log: &RegistryLog, version: u64) -> Rc<Vec<u8>> {
+        let log_state = (log.version(), log.content());
+        if self.log_state != log_state || self.by_version.len() >= MAX_ENCODED {
+            self.by_version.clear();
+            self.log_state = log_state;
         }
-        let encoded = self.by_mark.entry(mark);
-        Rc::clone(encoded.or_insert_with(|| Rc::new(encode(&log.since(mark)))))
+        let encoded = self.by_version.entry(version);
+        Rc::clone(encoded.or_insert_with(|| Rc::new(encode(&log.since(version)))))
     }
 }
 
@@ -140,35 +140,35 @@
     let known = state.fleet.known();
     let mut answer = ViewAnswer {
         store: known.to_message(Instant::now()),
-        latest: state.fleet.latest_store_time(),
+        latest_store_time: state.fleet.latest_store_time(),
         ..ViewAnswer::default()
     };
     if known.registry_at.is_some() && known.registry > query.registry {
         let log = state.servers.borrow();
         let changes = state.encoded.borrow_mut().since(&log, query.registry);
         let mut copies = state.copies.borrow_mut();
-        let asked =
-            copies.on_copy_request(Instant::now(), query.view, changes.len(), query.insists);
-        match asked {
+        let source =
+            copies.on_copy_request(Instant::now(), query.view, changes.len(), query.direct_only);
+        match source {
             CopySource::Direct => {
-                state.metrics.on_told(query.registry == 0);
+                state.metrics.on_copy_sent(query.registry == 0);
                 answer.registry.clone_from(&changes);
             }
-            CopySource::Relay(relay) => answer.copy_at = Some(relay),
+            CopySource::Relay(relay) => answer.relay = Some(relay),
             CopySource::Busy => answer.is_busy = true,
         }
     }
     if known.operator > query.operator {
         answer.evacuated = Some(state.evacuated.borrow().iter().cloned().collect());
-        answer.rollouts = state.rollouts.book().records().cloned().collect();
+        answer.rollouts = state.rollouts.controller().records().cloned().collect();
     }
     if known.desired > query.desired
         && let Some(desired) = state.desired.borrow().as_deref()
     {
         answer.desired = encode(desired);
     }
-    if query.ends {
-        answer.ends = state.servers.borrow().departures();
+    if query.departures {
+        answer.departures = state.servers.borrow().departures();
     }
     answer.lists = state
         .fleet
@@ -193,7 +193,7 @@
     state.fleet.client.replace(client);
     let result = result.and_then(|answers| {
         for answer in &answers {
-            take_in(&state, begun, &target, answer)?;
+            apply_answer(&state, begun, &target, answer)?;
         }
         let is_busy = answers.last().is_some_and(|answer| answer.is_busy);
         if is_busy {
@@ -220,7 +220,7 @@
     target: &PullTarget,
 ) -> Result<Vec<ViewAnswer>, ViewError> {
     let answer = client.ask(state, target, false).await?;
-    let Some(view) = answer.copy_at else {
+    let Some(view) = answer.relay else {
         return Ok(vec![answer]);
     };
     let relay = PullTarget {
@@ -236,7 +236,7 @@
     Ok(vec![client.ask(state, target, true).await?])
 }
 
-fn take_in(
+fn apply_answer(
     state: &InstanceState,
     begun: Instant,
     target: &PullTarget,
@@ -249,12 +249,12 @@
         let desired: DesiredState = postcard::from_bytes(&answer.desired)?;
         state.apply_desired_state(&desired);
     }
-    let latest = match state.fleet.latest_store_time() {
+    let latest_store_time = match state.fleet.latest_store_time() {
         known if known.is_some() => known,
-        _ => answer.latest,
+        _ => answer.latest_store_time,
     };
     for record in &answer.rollouts {
-        state.rollouts.on_record(record, latest, false);
+        state.rollouts.on_record(record, latest_store_time, false);
     }
     if let Some(evacuated) = &answer.evacuated {
         let is_whole = target.scope == PullScope::All;
@@ -265,12 +265,12 @@
         let is_whole = target.scope.is_whole();
         state.on_peer_servers(target.view_address, &progress, &delta, is_whole);
     }
-    if !answer.ends.is_empty() {
-        state.on_peer_departures(target.view_address, &answer.ends);
+    if !answer.departures.is_empty() {
+        state.on_peer_departures(target.view_address, &answer.departures);
     }
     state
         .fleet
-        .on_event(FleetEvent::StoreTime(begun, answer.latest));
+        .on_event(FleetEvent::StoreTime(begun, answer.latest_store_time));
     state
         .fleet
         .update_known(|known| known.confirm_operator(&progress));
@@ -292,7 +292,7 @@
         &mut self,
         state: &InstanceState,
         target: &PullTarget,
-        insists: bool,
+        direct_only: bool,
     ) -> Result<ViewAnswer, ViewError> {
         if self.lead != Some(target.view_address) {
             self.lead = Some(target.view_address);
@@ -310,16 +310,16 @@
             desired: known.desired,
             lists: state.fleet.with_regions(|_, regions| regions.versions()),
             view: state.config.view_address,
-            insists,
-            ends: target.scope == PullScope::Departures,
+            direct_only,
+            departures: target.scope == PullScope::Departures,
         });
         let path = format!("{VIEW_PATH}?{}", URL_SAFE_NO_PAD.encode(query));
-        let patience = if known.is_complete() {
-            PATIENCE
+        let answer_timeout = if known.is_complete() {
+            PULL_TIMEOUT
         } else {
-            FIRST_PATIENCE
+            INITIAL_PULL_TIMEOUT
         };
-        let fetched = timeout(patience, self.fetch(target.view_address, &path)).await;
+        let fetched = timeout(answer_timeout, self.fetch(target.view_address, &path)).await;
         let fetched = fetched.unwrap_or(Err(ViewError::Timeout));
         if fetched.is_err() {
             self.sender = None;
@@ -358,7 +358,7 @@
         if answer.status() != StatusCode::OK {
             return Err(ViewError::Connection(format!("status {}", answer.status())));
         }
-        let body = Limited::new(answer.into_body(), ANSWER_BYTES)
+        let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES)
             .collect()
             .await;
         let body = body.map_err(|error| ViewError::Connection(error.to_string()))?;
--- a/bin/lh-entry/tests/settings.rs
+++ b/bin/lh-entry/tests/settings.rs
@@ -29,7 +29,7 @@
     assert_eq!(config.seeds, ["127.0.0.2:7620".parse().unwrap()]);
     assert_eq!(config.grace.as_secs(), 6);
     assert_eq!(config.budget.window.as_millis(), 2500);
-    assert_eq!(config.lookup_ttl_most.as_millis(), 500);
+    assert_eq!(config.max_lookup_ttl.as_millis(), 500);
     assert_eq!(config.domains["z"], "far");
 }
 
