--- a/bin/lh-entry/tests/copies.rs
+++ b/bin/lh-entry/tests/copies.rs
@@ -9,7 +9,7 @@
 const SERVERS: usize = 3000;
 const SLOW_LINK: &str = "link_megabits = 1\n";
 
-async fn told_whole(entry: &EntryProcess) -> f64 {
+async fn full_copies_sent(entry: &EntryProcess) -> f64 {
     let metrics = entry.metrics().await;
     let name = "laurelhill_registry_told_total{copy=\"whole\"}";
     let line = metrics.lines().find(|line| line.starts_with(name));
@@ -33,7 +33,7 @@
             .put("servers", &format!("i-many-{number}"), &entry);
     }
     let store = world.store.address();
-    let first = EntryProcess::start_within(store, "n1", SLOW_LINK);
+    let first = EntryProcess::start_with_bounds(store, "n1", SLOW_LINK);
     first.wait_ready().await;
     // Else those that are able enough read the store.
     world.store.set_faults(FaultPlan {
@@ -41,7 +41,9 @@
         ..FaultPlan::default()
     });
     let others: Vec<EntryProcess> = (2..=8)
-        .map(|number| EntryProcess::start_beside(&first, store, &format!("n{number}"), SLOW_LINK))
+        .map(|number| {
+            EntryProcess::start_with_peer(&first, store, &format!("n{number}"), SLOW_LINK)
+        })
         .collect();
     for entry in &others {
         entry.wait_ready().await;
@@ -51,9 +53,9 @@
         })
         .await;
     }
-    let mut tellers = 0;
+    let mut senders = 0;
     for entry in [&first].into_iter().chain(&others) {
-        tellers += usize::from(told_whole(entry).await > 0.0);
+        senders += usize::from(full_copies_sent(entry).await > 0.0);
     }
-    assert!(tellers >= 2, "only {tellers} told a copy");
+    assert!(senders >= 2, "only {senders} told a copy");
 }
--- a/bin/lh-entry/tests/crashes.rs
+++ b/bin/lh-entry/tests/crashes.rs
@@ -122,7 +122,7 @@
 async fn a_request_that_ends_servers_stops_at_three() {
     let mut service = FragileService::new().await;
     let store = service.world.store.address();
-    let first = EntryProcess::start_in("zone-a", "north", store, "n0", &[]);
+    let first = EntryProcess::start_in_domain("zone-a", "north", store, "n0", &[]);
     let seeds = [first.ip];
     let mut entries = vec![first];
     for index in 1..6 {
@@ -131,7 +131,7 @@
         } else {
             ("zone-b", "south")
         };
-        entries.push(EntryProcess::start_in(
+        entries.push(EntryProcess::start_in_domain(
             zone,
             region,
             store,
--- a/bin/lh-entry/tests/leaving.rs
+++ b/bin/lh-entry/tests/leaving.rs
@@ -55,7 +55,7 @@
     let busy = BusyListener::start().await;
     let entry = |state| server_entry("board", busy.address(), state, 1);
     world.store.put("servers", "i-busy", &entry("ready"));
-    let process = EntryProcess::start_within(world.store.address(), "n1", "connect = 30s\n");
+    let process = EntryProcess::start_with_bounds(world.store.address(), "n1", "connect = 30s\n");
     process.wait_ready().await;
     let mut sender = process.connect().await;
     let sent = tokio::spawn(async move {
--- a/bin/lh-entry/tests/own/mod.rs
+++ b/bin/lh-entry/tests/own/mod.rs
@@ -129,7 +129,7 @@
 }
 
 /// Waits until the look-ups at `entry` name `count` entries.
-pub async fn knows(entry: &EntryProcess, count: usize) {
+pub async fn wait_for_entries(entry: &EntryProcess, count: usize) {
     until("the look-up names that many", async || {
         entries(entry, "board").await.len() == count
     })
@@ -138,7 +138,7 @@
 
 /// An answer as a caller sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Seen {
+pub struct ReceivedResponse {
     pub status: u16,
     pub outcome: String,
     pub kind: String,
@@ -152,7 +152,7 @@
     path: &str,
     headers: &[(&str, &str)],
     body: &[u8],
-) -> Option<Seen> {
+) -> Option<ReceivedResponse> {
     let mut request = Request::post(path).header("host", "test");
     for (name, value) in headers {
         request = request.header(*name, *value);
@@ -161,10 +161,10 @@
         .body(Full::new(Bytes::copy_from_slice(body)))
         .unwrap();
     let response = connect(address).await?.send_request(request).await.ok()?;
-    seen(response).await
+    read_response(response).await
 }
 
-async fn seen(response: Response<hyper::body::Incoming>) -> Option<Seen> {
+async fn read_response(response: Response<hyper::body::Incoming>) -> Option<ReceivedResponse> {
     let header = |name: &str| {
         let value = response.headers().get(name)?;
         value.to_str().ok().map(str::to_owned)
@@ -177,7 +177,7 @@
         .as_str()
         .unwrap_or("")
         .trim_start_matches("urn:laurelhill:");
-    Some(Seen {
+    Some(ReceivedResponse {
         status,
         outcome: outcome.unwrap_or_default(),
         kind: kind.to_owned(),
@@ -193,7 +193,7 @@
     ticket: &str,
     number: u64,
     attempt: u32,
-) -> Option<Seen> {
+) -> Option<ReceivedResponse> {
     book_as(None, address, id, ticket, number, attempt).await
 }
 
@@ -205,7 +205,7 @@
     ticket: &str,
     number: u64,
     attempt: u32,
-) -> Option<Seen> {
+) -> Option<ReceivedResponse> {
     let (number, attempt) = (number.to_string(), attempt.to_string());
     let credential = key.map(|key| format!("Token {key}"));
     let mut headers = vec![
--- a/bin/lh-entry/tests/pipelines.rs
+++ b/bin/lh-entry/tests/pipelines.rs
@@ -7,7 +7,7 @@
 use platform_standin::Behavior;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
-use world::{EntryProcess, PATIENCE, World, until};
+use world::{EntryProcess, WAIT_TIMEOUT, World, until};
 
 /// Memory that ten thousand waiting requests may take, in KiB: their bytes wait in the caller's
 /// and the system's buffers, not here.
@@ -31,7 +31,7 @@
             found.push(answer);
             continue;
         }
-        let read = tokio::time::timeout(PATIENCE, stream.read(&mut chunk));
+        let read = tokio::time::timeout(WAIT_TIMEOUT, stream.read(&mut chunk));
         match read.await.expect("bytes in time") {
             Ok(0) | Err(_) => break,
             Ok(length) => buffer.extend_from_slice(&chunk[..length]),
--- a/bin/lh-entry/tests/readers.rs
+++ b/bin/lh-entry/tests/readers.rs
@@ -14,8 +14,8 @@
 async fn an_entry_cut_off_from_the_store_follows_another() {
     let world = World::new(1).await;
     let first = EntryProcess::ready(&world, "n1").await;
-    let nowhere = "127.0.0.1:1".parse().unwrap();
-    let second = EntryProcess::start(nowhere, "n2", &[first.ip]);
+    let unreachable_address = "127.0.0.1:1".parse().unwrap();
+    let second = EntryProcess::start(unreachable_address, "n2", &[first.ip]);
     second.wait_ready().await;
     assert_eq!(second.send("GET", "/board/x", "a").await.status, 200);
     world.store.put("op", "config", &desired_state(9, &[DESK]));
@@ -38,8 +38,10 @@
 async fn a_region_cut_off_from_the_store_follows_another() {
     let world = World::new(1).await;
     let reader = EntryProcess::ready(&world, "n1").await;
-    let nowhere = "127.0.0.1:1".parse().unwrap();
-    let start = |name| EntryProcess::start_in("zone-b", "south", nowhere, name, &[reader.ip]);
+    let unreachable_address = "127.0.0.1:1".parse().unwrap();
+    let start = |name| {
+        EntryProcess::start_in_domain("zone-b", "south", unreachable_address, name, &[reader.ip])
+    };
     let entries = [start("n2"), start("n3")];
     for entry in &entries {
         entry.wait_ready().await;
@@ -66,7 +68,7 @@
     let world = World::new(1).await;
     let reader = EntryProcess::ready(&world, "n1").await;
     let address = standin::free_address();
-    let south = EntryProcess::start_in("zone-b", "south", address, "n2", &[reader.ip]);
+    let south = EntryProcess::start_in_domain("zone-b", "south", address, "n2", &[reader.ip]);
     south.wait_ready().await;
     let _proxy = SilentProxy::start_at(address, world.store.address()).await;
     until(
@@ -129,7 +131,7 @@
     .await;
     let third = EntryProcess::start(world.store.address(), names[2], &[reader.ip]);
     third.wait_ready().await;
-    let asked = async || {
+    let operator_calls = async || {
         let metrics = third.metrics().await;
         let calls = "laurelhill_store_calls_total{call=\"operator\"";
         metrics
@@ -139,10 +141,10 @@
             .collect::<Vec<_>>()
     };
     until("it asks the store no more", async || {
-        let before = asked().await;
+        let before = operator_calls().await;
         // Longer than its feed would stay open.
         tokio::time::sleep(Duration::from_secs(8)).await;
-        asked().await == before
+        operator_calls().await == before
     })
     .await;
     proxy.silence();
@@ -179,12 +181,12 @@
     store.put(
         "servers",
         "i-0",
-        &server_entry("board", nowhere(), "ready", 1),
+        &server_entry("board", unreachable_address(), "ready", 1),
     );
     entry.wait_ready().await;
 }
 
-fn nowhere() -> std::net::SocketAddr {
+fn unreachable_address() -> std::net::SocketAddr {
     "127.0.0.1:1".parse().unwrap()
 }
 
@@ -200,10 +202,10 @@
     third.wait_ready().await;
     let entries = [&first, &second, &third];
     until("one reads and two watch", async || {
-        let before = calls_of(&entries).await;
+        let before = store_calls(&entries).await;
         // Longer than a watch without changes stays open.
         tokio::time::sleep(Duration::from_secs(4)).await;
-        let after = calls_of(&entries).await;
+        let after = store_calls(&entries).await;
         let pairs = || before.iter().zip(&after);
         let reading = pairs().filter(|(before, after)| after.0 > before.0);
         let watching = pairs().filter(|(before, after)| after.1 > before.1);
@@ -213,7 +215,7 @@
 }
 
 /// Readings of the registry and watches of the operator's rows so far, by entry.
-async fn calls_of(entries: &[&EntryProcess]) -> Vec<(u64, u64)> {
+async fn store_calls(entries: &[&EntryProcess]) -> Vec<(u64, u64)> {
     let mut calls = Vec::new();
     for entry in entries {
         let metrics = entry.metrics().await;
--- a/bin/lh-entry/tests/requests.rs
+++ b/bin/lh-entry/tests/requests.rs
@@ -222,7 +222,7 @@
         .await
         .unwrap();
     let mut rest = Vec::new();
-    let ended = tokio::time::timeout(world::PATIENCE, slow.read_to_end(&mut rest)).await;
+    let ended = tokio::time::timeout(world::WAIT_TIMEOUT, slow.read_to_end(&mut rest)).await;
     assert!(ended.is_ok(), "a slow head must not be waited for");
     assert!(world.backends[0].seen().is_empty());
 }
--- a/bin/lh-entry/tests/rollouts.rs
+++ b/bin/lh-entry/tests/rollouts.rs
@@ -19,7 +19,7 @@
 const SERVERS: usize = 4;
 
 /// Two versions of a service, and callers of it.
-struct TwoVersions {
+struct RolloutFixture {
     world: World,
     new: Vec<FakeBackend>,
     stopped: Arc<AtomicBool>,
@@ -27,7 +27,7 @@
     callers: Vec<JoinHandle<()>>,
 }
 
-impl TwoVersions {
+impl RolloutFixture {
     async fn new() -> Self {
         let world = World::new(SERVERS).await;
         for backend in &world.backends {
@@ -43,7 +43,7 @@
     }
 
     /// Starts servers of `v2` that behave like `behavior`, beside the others.
-    async fn start_new(&mut self, behavior: &Behavior) {
+    async fn start_new_servers(&mut self, behavior: &Behavior) {
         for index in 0..SERVERS {
             let backend = FakeBackend::start(&format!("j-{index}")).await;
             backend.set_behavior(behavior.clone());
@@ -54,13 +54,13 @@
         }
     }
 
-    fn order(&self, seconds: u32) {
+    fn start_rollout(&self, seconds: u32) {
         let order = json!({"service": "board", "to": "v2", "duration": format!("{seconds}s")});
         self.world.store.put("op", "rollout/board", &order);
     }
 
-    /// Lets callers ask `entry` until [`Self::stop`].
-    fn call(&mut self, entry: &EntryProcess) {
+    /// Lets callers ask `entry` until [`Self::stop_callers`].
+    fn start_callers(&mut self, entry: &EntryProcess) {
         for caller in 0..CALLERS {
             let address = entry.callers();
             let stopped = Arc::clone(&self.stopped);
@@ -94,32 +94,32 @@
         }
     }
 
-    async fn stop(&mut self) {
+    async fn stop_callers(&mut self) {
         self.stopped.store(true, Ordering::Relaxed);
         for caller in self.callers.drain(..) {
             caller.await.unwrap();
         }
     }
 
-    fn state(&self) -> String {
+    fn reported_state(&self) -> String {
         let row = self.world.store.row("status", "rollout/board");
         row.map_or(String::new(), |row| {
             row["state"].as_str().unwrap().to_owned()
         })
     }
 
-    async fn until_state(&self, state: &str) {
+    async fn wait_for_state(&self, state: &str) {
         until(&format!("the rollout is {state}"), async || {
-            self.state() == state
+            self.reported_state() == state
         })
         .await;
     }
 
-    fn sent_new(&self) -> usize {
+    fn new_requests(&self) -> usize {
         self.new.iter().map(|backend| backend.seen().len()).sum()
     }
 
-    fn sent_old(&self) -> usize {
+    fn old_requests(&self) -> usize {
         let old = self.world.backends.iter();
         old.map(|backend| backend.seen().len()).sum()
     }
@@ -129,21 +129,21 @@
 /// completed nothing goes to the others any more.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_good_version_replaces_the_other() {
-    let mut service = TwoVersions::new().await;
+    let mut service = RolloutFixture::new().await;
     let entry = EntryProcess::ready(&service.world, "n1").await;
-    service.call(&entry);
-    service.start_new(&Behavior::Run(WORK)).await;
-    service.order(8);
-    service.until_state("running").await;
-    service.until_state("completed").await;
+    service.start_callers(&entry);
+    service.start_new_servers(&Behavior::Run(WORK)).await;
+    service.start_rollout(8);
+    service.wait_for_state("running").await;
+    service.wait_for_state("completed").await;
     until("the entry has heard of it", async || {
         !entry.logged("\"phase\":\"completed\"").is_empty()
     })
     .await;
-    let (old, new) = (service.sent_old(), service.sent_new());
-    until("requests go on", async || service.sent_new() > new + 50).await;
-    assert_eq!(service.sent_old(), old);
-    service.stop().await;
+    let (old, new) = (service.old_requests(), service.new_requests());
+    until("requests go on", async || service.new_requests() > new + 50).await;
+    assert_eq!(service.old_requests(), old);
+    service.stop_callers().await;
     assert_eq!(service.failures.load(Ordering::Relaxed), 0);
     let row = service.world.store.row("status", "rollout/board").unwrap();
     assert_eq!(row, json!({"state": "completed", "to": "v2"}));
@@ -153,16 +153,16 @@
 /// at entries that start later as well; the line says why.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_bad_version_is_rolled_back() {
-    let mut service = TwoVersions::new().await;
+    let mut service = RolloutFixture::new().await;
     let entry = EntryProcess::ready(&service.world, "n1").await;
     let store = service.world.store.address();
-    let other = EntryProcess::start_beside(&entry, store, "n2", "");
+    let other = EntryProcess::start_with_peer(&entry, store, "n2", "");
     other.wait_ready().await;
-    service.call(&entry);
-    service.call(&other);
-    service.start_new(&Behavior::Status(500)).await;
-    service.order(40);
-    service.until_state("rolled_back").await;
+    service.start_callers(&entry);
+    service.start_callers(&other);
+    service.start_new_servers(&Behavior::Status(500)).await;
+    service.start_rollout(40);
+    service.wait_for_state("rolled_back").await;
     until("both have heard of it", async || {
         let logged = |entry: &EntryProcess| {
             !entry.logged("\"phase\":\"rolled-back\"").is_empty()
@@ -182,32 +182,41 @@
             .any(|line| line.contains("\"why\":\"failures\"")),
         "{lines:?}"
     );
-    let (old, new) = (service.sent_old(), service.sent_new());
-    let exposed = new as f64 - 0.1 * (old + new) as f64 - 50.0;
-    assert!(exposed <= 0.0, "{new} of {}", old + new);
-    let late = EntryProcess::start_beside(&entry, store, "n3", "");
+    let (old, new) = (service.old_requests(), service.new_requests());
+    let excess = new as f64 - 0.1 * (old + new) as f64 - 50.0;
+    assert!(excess <= 0.0, "{new} of {}", old + new);
+    let late = EntryProcess::start_with_peer(&entry, store, "n3", "");
     late.wait_ready().await;
-    service.call(&late);
-    until("requests go on", async || service.sent_old() > old + 300).await;
-    assert_eq!(service.sent_new(), new);
-    service.stop().await;
+    service.start_callers(&late);
+    until("requests go on", async || {
+        service.old_requests() > old + 300
+    })
+    .await;
+    assert_eq!(service.new_requests(), new);
+    service.stop_callers().await;
 }
 
 /// Promise: an order that is taken back while it runs ends as rolled back.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_order_that_is_taken_back_ends() {
-    let mut service = TwoVersions::new().await;
+    let mut service = RolloutFixture::new().await;
     let entry = EntryProcess::ready(&service.world, "n1").await;
-    service.call(&entry);
-    service.start_new(&Behavior::Run(WORK)).await;
-    service.order(60);
-    until("the version gets requests", async || service.sent_new() > 0).await;
+    service.start_callers(&entry);
+    service.start_new_servers(&Behavior::Run(WORK)).await;
+    service.start_rollout(60);
+    until("the version gets requests", async || {
+        service.new_requests() > 0
+    })
+    .await;
     service.world.store.drop_row("op", "rollout/board");
-    service.until_state("rolled_back").await;
-    let (old, new) = (service.sent_old(), service.sent_new());
-    until("requests go on", async || service.sent_old() > old + 100).await;
-    assert_eq!(service.sent_new(), new);
-    service.stop().await;
+    service.wait_for_state("rolled_back").await;
+    let (old, new) = (service.old_requests(), service.new_requests());
+    until("requests go on", async || {
+        service.old_requests() > old + 100
+    })
+    .await;
+    assert_eq!(service.new_requests(), new);
+    service.stop_callers().await;
     assert_eq!(service.failures.load(Ordering::Relaxed), 0);
 }
 
@@ -215,43 +224,49 @@
 /// part once the order is there, and a rollout goes on where all entries are lost midway.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_rollout_outlives_all_entries() {
-    let mut service = TwoVersions::new().await;
+    let mut service = RolloutFixture::new().await;
     let entry = EntryProcess::ready(&service.world, "n1").await;
-    service.start_new(&Behavior::Run(WORK)).await;
-    service.order(14);
-    service.call(&entry);
-    service.until_state("running").await;
-    until("the version gets requests", async || service.sent_new() > 0).await;
-    service.stop().await;
+    service.start_new_servers(&Behavior::Run(WORK)).await;
+    service.start_rollout(14);
+    service.start_callers(&entry);
+    service.wait_for_state("running").await;
+    until("the version gets requests", async || {
+        service.new_requests() > 0
+    })
+    .await;
+    service.stop_callers().await;
     drop(entry);
     let entry = EntryProcess::ready(&service.world, "n2").await;
     service.stopped.store(false, Ordering::Relaxed);
-    service.call(&entry);
-    service.until_state("completed").await;
-    service.stop().await;
+    service.start_callers(&entry);
+    service.wait_for_state("completed").await;
+    service.stop_callers().await;
 }
 
 /// Promise: while the store is away over the deadline, the old version serves; afterwards the
 /// rollout is settled.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_store_that_is_away_completes_nothing() {
-    let mut service = TwoVersions::new().await;
+    let mut service = RolloutFixture::new().await;
     let entry = EntryProcess::ready(&service.world, "n1").await;
-    service.call(&entry);
-    service.start_new(&Behavior::Run(WORK)).await;
-    service.order(10);
-    service.until_state("running").await;
+    service.start_callers(&entry);
+    service.start_new_servers(&Behavior::Run(WORK)).await;
+    service.start_rollout(10);
+    service.wait_for_state("running").await;
     let outage = FaultPlan {
         outage: true,
         ..FaultPlan::default()
     };
     service.world.store.set_faults(outage);
     tokio::time::sleep(Duration::from_secs(12)).await;
-    let (old, new) = (service.sent_old(), service.sent_new());
-    until("requests go on", async || service.sent_old() > old + 100).await;
-    assert_eq!(service.sent_new(), new);
+    let (old, new) = (service.old_requests(), service.new_requests());
+    until("requests go on", async || {
+        service.old_requests() > old + 100
+    })
+    .await;
+    assert_eq!(service.new_requests(), new);
     service.world.store.set_faults(FaultPlan::default());
-    service.until_state("rolled_back").await;
-    service.stop().await;
+    service.wait_for_state("rolled_back").await;
+    service.stop_callers().await;
     assert_eq!(service.failures.load(Ordering::Relaxed), 0);
 }
--- a/bin/lh-entry/tests/states.rs
+++ b/bin/lh-entry/tests/states.rs
@@ -291,7 +291,7 @@
         assert_eq!(exchange(&mut sender, request).await.unwrap().status, 200);
     }
     assert!(world.backends[0].seen().is_empty());
-    let readings = async || -> usize {
+    let registry_reads = async || -> usize {
         let metrics = entry.metrics().await;
         let line = metrics.lines().find(|line| {
             line.starts_with("laurelhill_store_calls_total{call=\"servers\",result=\"ok\"}")
@@ -299,8 +299,11 @@
         line.and_then(|line| line.split(' ').next_back()?.parse().ok())
             .unwrap_or(0)
     };
-    let before = readings().await;
-    until("it was read again", async || readings().await > before + 2).await;
+    let before = registry_reads().await;
+    until("it was read again", async || {
+        registry_reads().await > before + 2
+    })
+    .await;
     assert_eq!(entry.logged("server entry left out").len(), 1);
     let own = server_entry("board", world.backends[0].address(), "ready", 2);
     world.store.put("servers", "i-0", &own);
--- a/bin/lh-entry/tests/teams.rs
+++ b/bin/lh-entry/tests/teams.rs
@@ -214,7 +214,7 @@
 async fn in_the_dark_no_key_counts() {
     let world = world(1, &[RED, BLUE]).await;
     let bounds = "revoke = 2s\nrevoke_cut_off = true\nconfig_apply = 1500ms\n";
-    let entry = EntryProcess::start_within(world.store.address(), "n1", bounds);
+    let entry = EntryProcess::start_with_bounds(world.store.address(), "n1", bounds);
     entry.wait_ready().await;
     assert_eq!(
         send(&entry, keyed("/board/x", "a", RED_KEY)).await.status,
@@ -264,7 +264,7 @@
 async fn without_the_bound_known_keys_go_on() {
     let world = world(1, &[RED, BLUE]).await;
     let bounds = "revoke = 1s\nrevoke_cut_off = false\nconfig_apply = 1s\n";
-    let entry = EntryProcess::start_within(world.store.address(), "n1", bounds);
+    let entry = EntryProcess::start_with_bounds(world.store.address(), "n1", bounds);
     entry.wait_ready().await;
     world.store.set_faults(FaultPlan::outage());
     until("it doesn't know of new keys", async || {
@@ -292,9 +292,9 @@
     };
     let world = world(2, &[slow, BLUE]).await;
     let bounds = "quota_slack = 4\nquota_excess = 0\n";
-    let first = EntryProcess::start_within(world.store.address(), "n1", bounds);
+    let first = EntryProcess::start_with_bounds(world.store.address(), "n1", bounds);
     first.wait_ready().await;
-    let second = EntryProcess::start_beside(&first, world.store.address(), "n2", bounds);
+    let second = EntryProcess::start_with_peer(&first, world.store.address(), "n2", bounds);
     second.wait_ready().await;
     until("both are named", async || {
         first.lookup().await.matches(':').count() >= 4
--- a/bin/lh-entry/tests/tickets.rs
+++ b/bin/lh-entry/tests/tickets.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use own::{OwnWorld, SERVICE_TIME, book, book_as, entries, knows, send, ticket};
+use own::{OwnWorld, SERVICE_TIME, book, book_as, entries, send, ticket, wait_for_entries};
 use standin::{REQUEST_ID_HEADER, ServerMode};
 use world::{EntryProcess, until};
 
@@ -162,7 +162,7 @@
     let world = OwnWorld::new(2, 3, LONG).await;
     let mut first = world.entry("a", &[]).await;
     let second = world.entry("b", &[&first]).await;
-    knows(&second, 2).await;
+    wait_for_entries(&second, 2).await;
     let ticket = ticket(&first, "desk").await;
     let sent = tokio::spawn({
         let (address, ticket) = (first.callers(), ticket.clone());
@@ -174,7 +174,7 @@
     let repeat = |address| book(address, "b1", &ticket, 1, 2);
     // Known, but gone; then forgotten; then replaced by another run.
     assert_eq!(repeat(second.callers()).await.unwrap().outcome, "unknown");
-    knows(&second, 1).await;
+    wait_for_entries(&second, 1).await;
     assert_eq!(repeat(second.callers()).await.unwrap().outcome, "unknown");
     let replaced = world.entry("a", &[&second]).await;
     assert_eq!(repeat(replaced.callers()).await.unwrap().outcome, "unknown");
@@ -201,7 +201,7 @@
     let world = OwnWorld::new(2, 3, SERVICE_TIME).await;
     let first = world.entry("a", &[]).await;
     let second = world.entry("b", &[&first]).await;
-    knows(&second, 2).await;
+    wait_for_entries(&second, 2).await;
     let ticket = ticket(&first, "desk").await;
     let answer = book(first.callers(), "b1", &ticket, 1, 1).await.unwrap();
     let repeat = book(second.callers(), "b1", &ticket, 1, 2).await.unwrap();
@@ -216,7 +216,7 @@
     let world = OwnWorld::new(1, 3, SERVICE_TIME).await;
     let first = world.entry("a", &[]).await;
     let second = world.entry("b", &[&first]).await;
-    knows(&second, 2).await;
+    wait_for_entries(&second, 2).await;
     for (number, found) in (1..).zip(entries(&second, "desk").await) {
         let ticket = found["ticket"].as_str().unwrap();
         let address = found["address"].as_str().unwrap().parse().unwrap();
@@ -315,9 +315,9 @@
         .put_bytes("laurelhill-entries", "blocks/south", b"127.0.0.0/8");
     let north = world.entry("a", &[]).await;
     let store = world.store.address();
-    let south = EntryProcess::start_in("zone-b", "south", store, "b", &[north.ip]);
+    let south = EntryProcess::start_in_domain("zone-b", "south", store, "b", &[north.ip]);
     south.wait_ready().await;
-    knows(&north, 2).await;
+    wait_for_entries(&north, 2).await;
     let first = entries(&north, "board&region=north").await;
     assert_eq!(first[0]["region"], "north");
     until("the client blocks are in force", async || {
@@ -338,7 +338,7 @@
     world.apply_teams(2, ["red-key-1", "blue-key-1"]);
     let first = world.entry("a", &[]).await;
     let second = world.entry("b", &[&first]).await;
-    knows(&second, 2).await;
+    wait_for_entries(&second, 2).await;
     let ticket = ticket(&first, "desk").await;
     let (red, blue) = (Some("red-key-1"), Some("blue-key-1"));
     let here = first.callers();
--- a/bin/lh-entry/tests/world/mod.rs
+++ b/bin/lh-entry/tests/world/mod.rs
@@ -16,7 +16,7 @@
 use tokio::net::TcpStream;
 
 /// Longest wait for anything; generous, since nothing here measures time.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 pub const BOARD: RouteText<'static> = RouteText {
     name: "board",
@@ -84,21 +84,21 @@
 impl EntryProcess {
     /// Starts an entry of the region north that uses `store` and hears of `seeds`.
     pub fn start(store: SocketAddr, name: &str, seeds: &[IpAddr]) -> Self {
-        Self::start_in("zone-a", "north", store, name, seeds)
+        Self::start_in_domain("zone-a", "north", store, name, seeds)
     }
 
     /// The same with further `bounds`.
-    pub fn start_within(store: SocketAddr, name: &str, bounds: &str) -> Self {
+    pub fn start_with_bounds(store: SocketAddr, name: &str, bounds: &str) -> Self {
         Self::start_at(("zone-a", "north"), store, name, &[], bounds)
     }
 
     /// The same beside `other`.
-    pub fn start_beside(other: &Self, store: SocketAddr, name: &str, bounds: &str) -> Self {
+    pub fn start_with_peer(other: &Self, store: SocketAddr, name: &str, bounds: &str) -> Self {
         Self::start_at(("zone-a", "north"), store, name, &[other.ip], bounds)
     }
 
     /// The same in the failure domain `zone` of `region`.
-    pub fn start_in(
+    pub fn start_in_domain(
         zone: &str,
         region: &str,
         store: SocketAddr,
@@ -265,7 +265,10 @@
 pub async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let begun = Instant::now();
     while !holds().await {
-        assert!(begun.elapsed() < PATIENCE, "gave up waiting until {what}");
+        assert!(
+            begun.elapsed() < WAIT_TIMEOUT,
+            "gave up waiting until {what}"
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -309,7 +312,7 @@
     sender: &mut SendRequest<Full<Bytes>>,
     request: Request<Full<Bytes>>,
 ) -> Option<Answer> {
-    let sent = tokio::time::timeout(PATIENCE, sender.send_request(request)).await;
+    let sent = tokio::time::timeout(WAIT_TIMEOUT, sender.send_request(request)).await;
     let answer = sent.expect("an answer in time").ok()?;
     let status: StatusCode = answer.status();
     let headers = answer.headers().clone();
