--- a/bin/lh-entry/src/app.rs
+++ b/bin/lh-entry/src/app.rs
@@ -1,4 +1,4 @@
-//! From the command line to the running entry, top to bottom.
+//! Startup: command line, settings, listeners and background tasks.
 
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -17,15 +17,15 @@
 use crate::state::InstanceState;
 use crate::{accept, fleet, internal, rollout, stop, watch};
 
-/// Listeners for everything but callers' requests.
+/// Names of the listeners for everything but callers' requests.
 const INTERNAL_LISTENERS: [&str; 4] = ["readiness", "look-ups", "metrics", "other entries"];
-/// How often idle connections to servers are looked through.
+/// Interval at which idle connections to servers are pruned.
 const PRUNE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Reads the command line and the settings, then works until SIGTERM.
+/// Parses the command line, loads the settings and runs the entry until SIGTERM.
 ///
 /// # Errors
-/// Where the settings are wrong or an address can't be used.
+/// Fails if the settings are invalid or an address can't be bound.
 pub fn run() -> Result<()> {
     let arguments = Arguments::parse();
     let config = EntryConfig::load(&arguments.settings)?;
@@ -65,7 +65,7 @@
     stop::run(&state).await
 }
 
-/// Opens everything that the entry needs, by name.
+/// Opens all sockets and creates the shared state, registered by name.
 fn register(config: EntryConfig, incarnation: u64) -> Result<ServiceRegistry> {
     let metrics = EntryMetrics::new()?;
     metrics.set_instance_info(&config.instance, &config.region);
@@ -92,14 +92,14 @@
     }
 }
 
-/// Checks the settings again at SIGHUP. Addresses and bounds of a running
-/// process stay; the line says whether a restart would take them.
+/// Validates the settings again on SIGHUP and logs whether a restart would accept them. The
+/// running process keeps its settings.
 async fn validate_settings_on_hangup(arguments: Arguments) {
     use tokio::signal::unix::{SignalKind, signal};
     let mut hangup = match signal(SignalKind::hangup()) {
         Ok(hangup) => hangup,
         Err(error) => {
-            log::warn!(error:%; "no reload on SIGHUP");
+            log::warn!(error:%; "can't handle SIGHUP; settings won't be checked again");
             return;
         }
     };
@@ -111,7 +111,7 @@
     }
 }
 
-/// Rises from one run of this instance to the next.
+/// Returns a number that increases from one run of this instance to the next.
 fn incarnation() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     now.map_or(0, |since| since.as_micros() as u64)
--- a/bin/lh-entry/src/cli.rs
+++ b/bin/lh-entry/src/cli.rs
@@ -4,7 +4,7 @@
 
 use clap::Parser;
 
-/// An entry that takes callers' requests and sends them to backend servers.
+/// An entry that forwards callers' requests to backend servers.
 #[derive(Debug, Parser)]
 #[command(name = "lh-entry", version)]
 #[command(
@@ -15,7 +15,7 @@
     /// The settings file (INI).
     #[arg(short, long, env = "LAURELHILL_SETTINGS", value_name = "FILE")]
     pub(crate) settings: PathBuf,
-    /// Only check the settings.
+    /// Only check the settings, then exit.
     #[arg(long)]
     pub(crate) check: bool,
 }
--- a/bin/lh-entry/src/config.rs
+++ b/bin/lh-entry/src/config.rs
@@ -1,4 +1,4 @@
-//! The settings, built and checked once.
+//! Settings of the entry, loaded and validated at startup.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,79 +14,80 @@
 
 use crate::error::Result;
 
-/// What a bad version may get of a service's requests during a rollout, from all entries.
+/// Limit on the requests that a bad version of a service gets from all entries during a
+/// rollout.
 #[derive(Debug, Clone, Copy)]
 pub struct ExposureBounds {
-    /// Part of them.
+    /// Maximum share of the service's requests.
     pub share: f64,
-    /// Requests besides.
+    /// Number of requests allowed in addition.
     pub slack: f64,
 }
 
-/// All settings of an entry.
+/// Settings of an entry.
 #[derive(Debug, Clone)]
 pub struct EntryConfig {
-    /// The instance's name.
+    /// Name of the instance.
     pub instance: String,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: String,
-    /// Its region.
+    /// Region of the instance.
     pub region: String,
-    /// Where callers send requests.
+    /// Address for callers' requests.
     pub caller_address: SocketAddr,
-    /// Where readiness is asked for.
+    /// Address for readiness checks.
     pub ready_address: SocketAddr,
-    /// Where callers ask which entries to use.
+    /// Address for callers' look-ups of entries.
     pub lookup_address: SocketAddr,
-    /// Where the other entries' beats arrive.
+    /// UDP address for messages of other entries.
     pub peer_address: SocketAddr,
-    /// Where other entries read what this one knows.
+    /// Address where other entries pull this one's state.
     pub view_address: SocketAddr,
-    /// Where metrics are served.
+    /// Address for metrics.
     pub metrics_address: SocketAddr,
-    /// Beat addresses of a few other entries; may be out of date.
+    /// Peer addresses of a few other entries; may be out of date.
     pub seeds: Vec<SocketAddr>,
-    /// Requests under tickets that are remembered at once.
+    /// Maximum number of ticketed requests whose results are stored at the same time.
     pub once_records: usize,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
     /// Time between SIGTERM and SIGKILL.
     pub grace: Duration,
-    /// Time within which a leaving server must get no more requests.
+    /// Time within which a draining server must stop getting requests.
     pub drain: Duration,
-    /// Longest time in which a server accepts a connection.
+    /// Timeout for connecting to a server.
     pub connect: Duration,
-    /// Bounds on repeats.
+    /// Limits on retries.
     pub budget: BudgetBounds,
-    /// Largest change of a region's share of requests from one window to the next.
+    /// Maximum change of a region's share of requests from one window to the next.
     pub shift_cap: f64,
-    /// How exactly teams' quotas are to be kept.
+    /// How precisely teams' quotas are enforced.
     pub quota: QuotaBounds,
-    /// What a bad version may get of a service's requests.
+    /// Limit on the requests that a bad version gets during a rollout.
     pub exposure: ExposureBounds,
-    /// How old the knowledge of keys may be.
+    /// Limits on the age of information on keys.
     pub access: AccessBounds,
-    /// Longest time for which callers keep an answer.
+    /// Maximum time for which callers may use a look-up's response.
     pub max_lookup_ttl: Duration,
-    /// Memory that the process may use, in bytes.
+    /// Memory limit of the process, in bytes.
     pub memory_bytes: usize,
-    /// Descriptors that the process may use.
+    /// File descriptor limit of the process.
     pub descriptors: usize,
-    /// What it costs to send bytes to other failure domains and regions.
+    /// Cost of sending bytes to other failure domains and regions.
     pub costs: ByteCosts,
-    /// What its link carries, in megabits a second.
+    /// Bandwidth of the instance's link, in megabits per second.
     pub link_megabits: f64,
-    /// Requests a second that the instance can carry.
+    /// Number of requests per second that the instance can process.
     pub capacity: u32,
-    /// Each failure domain's region.
+    /// Region of each failure domain.
     pub domains: HashMap<String, String>,
 }
 
 impl EntryConfig {
-    /// Reads and checks the settings file at `path`.
+    /// Loads and validates the settings file at `path`.
     ///
     /// # Errors
-    /// Where it can't be read, or a setting is missing or wrong.
+    /// Fails if the file can't be read, or if a setting is missing or invalid.
     pub fn load(path: &Path) -> Result<Self> {
         let file = SettingsFile::load(path, &schema::ENTRY)?;
         let instance = file.section("instance")?;
@@ -150,15 +151,15 @@
     }
 }
 
-/// How long a key that was taken away may be served; `None` where an instance that hears
-/// nothing goes on with what it knows.
+/// Returns how long a revoked key may still be served; `None` if an instance without updates
+/// keeps serving the keys that it knows.
 fn revoke(bounds: &CheckedSection) -> Result<Option<Duration>> {
     let binds = bounds.text("revoke_cut_off")? == "true";
     let bound = bounds.duration("revoke")?;
     Ok(binds.then_some(bound))
 }
 
-/// Other entries take beats on the same port as this one.
+/// Returns the seeds with this entry's peer port, which all entries use, except the own address.
 fn seeds(entry: &CheckedSection, own: SocketAddr) -> Result<Vec<SocketAddr>> {
     let listed = entry.list("peer_seeds")?;
     let addresses = listed.into_iter().filter_map(|text| text.parse().ok());
--- a/bin/lh-entry/src/error.rs
+++ b/bin/lh-entry/src/error.rs
@@ -4,30 +4,30 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why the program can't run.
+    /// Why the program can't start or continue.
     #[derive(Debug)]
     pub enum Error {
-        /// The settings are wrong.
+        /// The settings are invalid.
         Settings(cause: conf::Error) {
             display("{}", cause)
             from()
         }
-        /// A part of the program is missing.
+        /// A service is missing or registered twice.
         Wiring(cause: kernel::Error) {
             display("{}", cause)
             from()
         }
-        /// An address can't be used.
+        /// An address can't be bound.
         Listen(what: &'static str, address: std::net::SocketAddr, cause: std::io::Error) {
             display("can't listen for {} on {}; is another process using it?", what, address)
             source(cause)
         }
-        /// The process lacks something it needs.
+        /// Setting up the process failed.
         Process(cause: std::io::Error) {
             display("the process can't be set up: {}", cause)
             from()
         }
-        /// Metrics can't be registered.
+        /// Registering a metric failed.
         Metrics(cause: prometheus::Error) {
             display("metrics can't be registered: {}", cause)
             from()
@@ -36,7 +36,7 @@
 }
 
 impl Error {
-    /// The kind of end that this error means.
+    /// Returns the exit class of this error.
     pub fn class(&self) -> ExitClass {
         match self {
             Self::Settings(_) => ExitClass::Settings,
--- a/bin/lh-entry/src/fleet.rs
+++ b/bin/lh-entry/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The entry's part in the fleet: datagrams and timers in and out of the decisions.
+//! Drives the fleet state machine: feeds it datagrams and timers, and executes its actions.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -20,30 +20,31 @@
 use crate::view::ViewClient;
 use crate::{load_reports, quarantine, rollout, view, watch as store_watch};
 
-/// Largest datagram that is read, in bytes: a digest of a lead with sixteen regions.
+/// Maximum size of a received datagram, in bytes; fits a lead's digest with 16 regions.
 const DATAGRAM_BYTES: usize = 16 << 10;
-/// Datagrams taken in at once before timers get their turn.
+/// Number of datagrams processed in a row before timers are checked.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
 
-/// The loop has a turn every [`HEARTBEAT_INTERVAL`] at least. A longer time without one is the process's:
-/// it was stopped or had no processor, and datagrams waited meanwhile.
+/// Time between two iterations of the main loop from which on the process counts as stalled,
+/// while datagrams waited. The loop normally runs at least once per [`HEARTBEAT_INTERVAL`]; a
+/// longer gap means that the process was stopped or got no CPU time.
 const MIN_STALL: Duration = Duration::from_millis(800);
 
-/// What the fleet is to this entry: the decisions, and what they want done.
+/// The fleet state machine with its pending actions.
 #[derive(Debug)]
 pub(crate) struct FleetDriver {
     member: RefCell<FleetMember>,
     actions: RefCell<Vec<FleetAction>>,
     wake: Notify,
-    /// Whether this entry watches the operator's rows itself.
+    /// Whether this entry itself watches the operator's rows in the store.
     pub(crate) watching: watch::Sender<bool>,
-    /// Asks leads for what they know more.
+    /// Pulls newer state from leads.
     pub(crate) client: RefCell<ViewClient>,
     local_state: RefCell<LocalEntryState>,
 }
 
 impl FleetDriver {
-    /// The desk of an entry that starts now.
+    /// Creates the driver of an entry that is starting.
     pub(crate) fn new(config: MemberConfig) -> Self {
         let (watching, _) = watch::channel(false);
         Self {
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Takes in `event`.
+    /// Passes `event` to the state machine and queues the resulting actions.
     pub(crate) fn on_event(&self, event: FleetEvent) {
         let mut actions = self.actions.borrow_mut();
         let mut member = self.member.borrow_mut();
@@ -66,14 +67,14 @@
         }
     }
 
-    /// Takes in what this entry knows of the store since `change`.
+    /// Applies `change` to what this entry knows of the store.
     pub(crate) fn update_known(&self, change: impl FnOnce(&mut StoreProgress)) {
         let mut known = self.known();
         change(&mut known);
         self.on_event(FleetEvent::Known(known));
     }
 
-    /// Takes in this entry's own state, where it differs.
+    /// Passes this entry's own state to the state machine if it has changed.
     fn on_local_state(&self, local_state: LocalEntryState) {
         if *self.local_state.borrow() != local_state {
             self.local_state.replace(local_state.clone());
@@ -81,59 +82,59 @@
         }
     }
 
-    /// What this entry knows of the store.
+    /// Returns how current this entry's knowledge of the store is.
     pub(crate) fn known(&self) -> StoreProgress {
         *self.member.borrow().known()
     }
 
-    /// How long ago the store may have shown, at most, that what is known of the operator's
-    /// rows held; `None` where that can't be told.
+    /// Returns the maximum time since the store confirmed the known operator's rows; `None` if
+    /// unknown.
     pub(crate) fn proof_age(&self) -> Option<Duration> {
         self.member.borrow().proof_age(Instant::now())
     }
 
-    /// The store's time that its clock has not passed.
+    /// Returns an upper bound on the current time of the store's clock.
     pub(crate) fn latest_store_time(&self) -> StoreTime {
         self.member.borrow().latest_store_time(Instant::now())
     }
 
-    /// Whether this entry leads its region.
+    /// Returns whether this entry is a lead of its region.
     pub(crate) fn leads(&self) -> bool {
         self.member.borrow().leads()
     }
 
-    /// Whether this entry is listed as one that gets requests.
+    /// Returns whether this entry is listed as one that gets requests.
     pub(crate) fn is_listed(&self) -> bool {
         self.member.borrow().is_listed()
     }
 
-    /// Whether this entry has heard of no other since its start.
+    /// Returns whether this entry has not heard from any other since its start.
     pub(crate) fn is_isolated(&self) -> bool {
         self.member.borrow().is_isolated()
     }
 
-    /// Whether any request may be in quarantine.
+    /// Returns whether any request may be quarantined or suspected.
     pub(crate) fn has_statuses(&self) -> bool {
         self.member.borrow().has_statuses()
     }
 
-    /// How much longer the request is refused; `None` where it isn't.
+    /// Returns the remaining quarantine time of the request; `None` if it isn't quarantined.
     pub(crate) fn quarantine_left(&self, print: RequestFingerprint) -> Option<Duration> {
         let member = self.member.borrow();
         member.quarantine_left(Instant::now(), print)
     }
 
-    /// The requests in quarantine.
+    /// Returns the quarantined requests.
     pub(crate) fn quarantined(&self) -> Vec<RequestFingerprint> {
         self.member.borrow().quarantined().collect()
     }
 
-    /// Whether good answers are to be compared with suspects.
+    /// Returns whether successful responses must be checked against suspected requests.
     pub(crate) fn has_suspects(&self) -> bool {
         self.member.borrow().has_suspects(Instant::now())
     }
 
-    /// A server answered the request well.
+    /// Clears the request from suspicion after a successful response.
     pub(crate) fn clear_suspect(&self, print: RequestFingerprint) {
         let is_news = self.member.borrow().suspects(print);
         if is_news {
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Looks something up in what is known of all regions.
+    /// Calls `look` with the table of all regions.
     pub(crate) fn with_regions<T>(&self, look: impl FnOnce(Instant, &RegionTable) -> T) -> T {
         look(Instant::now(), self.member.borrow().regions())
     }
@@ -151,10 +152,10 @@
     }
 }
 
-/// Opens the socket for datagrams.
+/// Binds the UDP socket for messages of other entries.
 ///
 /// # Errors
-/// Where the address can't be used.
+/// Fails if the address can't be bound.
 pub(crate) fn open(address: SocketAddr) -> Result<UdpSocket> {
     let open = || {
         let socket = std::net::UdpSocket::bind(address)?;
@@ -164,7 +165,7 @@
     open().map_err(|cause| Error::Listen("beats", address, cause))
 }
 
-/// Takes part in the fleet until the process ends.
+/// Runs the fleet membership until the process ends.
 pub(crate) async fn run(state: Rc<InstanceState>, socket: Rc<UdpSocket>) {
     let mut measure = tokio::time::interval(HEARTBEAT_INTERVAL);
     measure.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -203,7 +204,7 @@
     }
 }
 
-/// Tells the fleet what has changed in this entry.
+/// Passes changes of this entry's own state to the fleet.
 pub(crate) fn update_local_state(state: &InstanceState) {
     let stamp = if state.has_own_routes() {
         state.tickets.stamp(Instant::now())
@@ -219,7 +220,7 @@
     });
 }
 
-/// Takes in datagrams that have arrived meanwhile: one turn of the loop for many.
+/// Processes datagrams that are already queued, to amortize one loop iteration over many.
 fn receive_pending(
     state: &InstanceState,
     socket: &UdpSocket,
@@ -234,8 +235,9 @@
     }
 }
 
-/// Takes in a datagram that may have waited for `stall`. What a lead tells is older by that:
-/// taken for new it kept an entry from asking, whose leads had ended while it stood still.
+/// Processes a datagram that may have waited in the socket for `stall`, and ages a lead's
+/// digest accordingly. Otherwise an entry whose leads ended while it was stalled would treat
+/// the queued digests as fresh and not ask elsewhere.
 fn on_datagram(state: &InstanceState, from: SocketAddr, bytes: &[u8], stall: Option<Duration>) {
     match postcard::from_bytes::<PeerMessage>(bytes) {
         Ok(PeerMessage::Load(report)) => {
@@ -331,7 +333,7 @@
             log::warn!(print:%; "request ends servers and is refused");
         }
         FleetChange::Cleared(print) => {
-            log::info!(print:%; "request answered well, nothing is held of it");
+            log::info!(print:%; "request succeeded and is no longer suspected or quarantined");
         }
         FleetChange::StartedLeading(reason) => {
             log::info!(reason, servers_age_ms, operator_age_ms; "leads its region");
--- a/bin/lh-entry/src/internal.rs
+++ b/bin/lh-entry/src/internal.rs
@@ -1,4 +1,5 @@
-//! Small answers: readiness, look-ups, status, metrics, and what other entries follow.
+//! HTTP server for everything but callers' requests: readiness, look-ups, status, metrics, and
+//! views for other entries.
 
 use std::convert::Infallible;
 use std::net::IpAddr;
@@ -19,10 +20,9 @@
 use crate::state::InstanceState;
 use crate::{status, view};
 
-/// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// Answers on `listener` until the process ends.
+/// Serves requests on `listener` until the process ends.
 pub(crate) async fn run(state: Rc<InstanceState>, listener: Rc<TcpListener>) {
     loop {
         let Ok((stream, caller)) = listener.accept().await else {
@@ -40,7 +40,7 @@
                 .header_read_timeout(None)
                 .serve_connection(TokioIo::new(stream), service);
             if let Err(error) = served.await {
-                log::debug!(error:%; "inner connection ended");
+                log::debug!(error:%; "internal connection failed");
             }
         });
     }
--- a/bin/lh-entry/src/lib.rs
+++ b/bin/lh-entry/src/lib.rs
@@ -1,11 +1,10 @@
-//! An entry: takes callers' requests and sends each to a backend server, tells
-//! callers which entries to use, and keeps up with the operator's desired state and
-//! the servers' registry.
+//! The entry process: forwards callers' requests to backend servers, tells callers which
+//! entries to use, and follows the operator's desired state and the server registry.
 //!
-//! One process an instance, one thread. Decisions are in the crates `place` and
-//! `once`, the platform's formats in the crate `platform`; here are sockets and
-//! timers. Callers come on the platform's interface or on the product's own; both
-//! share one path.
+//! There is one process per instance, with one main thread. The decision logic is in the crates
+//! `place` and `once`, and the platform's formats are in the crate `platform`; this crate
+//! contains the sockets and timers. Callers use the platform's interface or the product's own;
+//! both share one request path.
 
 mod accept;
 mod app;
--- a/bin/lh-entry/src/load_reports.rs
+++ b/bin/lh-entry/src/load_reports.rs
@@ -1,5 +1,5 @@
-//! Words among the entries that get requests: where their requests are, and what teams asked
-//! for.
+//! Load reports between the entries that get requests: the servers that process their
+//! requests, and teams' quota usage.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -17,30 +17,31 @@
 use crate::rollout;
 use crate::state::InstanceState;
 
-/// Time between two looks at whether this entry has become one that gets requests.
+/// Interval at which an idle entry checks whether it gets requests.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(600);
-/// An entry that speaks without being listed is spoken to for this long after its word.
+/// How long an unlisted entry receives reports after its last own report.
 const UNLISTED_PEER_TTL: Duration = Duration::from_secs(2);
-/// Such entries that are spoken to at once.
+/// Maximum number of unlisted entries that receive reports.
 const MAX_UNLISTED_PEERS: usize = 64;
-/// Words by which an entry that stands by again says so: some may get lost.
+/// Number of reports in which an entry that is back on standby says so, since datagrams may be
+/// lost.
 const FINAL_REPORTS: u32 = 3;
 
-/// What this entry says and hears of load.
+/// State of the exchange of load reports.
 #[derive(Debug, Default)]
 pub(crate) struct LoadReporter {
-    /// Words so far.
+    /// Number of reports sent.
     round: RefCell<u32>,
-    /// Words that are still to be said after the last request.
+    /// Number of reports still to be sent after the last request.
     final_reports: RefCell<u32>,
-    /// Entries that speak without being listed: callers still use them.
+    /// Entries that send reports without being listed, because callers still use them.
     unlisted_peers: RefCell<HashMap<SocketAddr, Instant>>,
-    /// A request came to an entry that says nothing.
+    /// Notified when an entry that sends no reports gets a request.
     pub(crate) wake: Notify,
 }
 
 impl LoadReporter {
-    /// An entry at `from`, listed or not, spoke.
+    /// Records a report from the entry at `from`, listed or not.
     pub(crate) fn on_peer_report(&self, now: Instant, from: SocketAddr) {
         let mut unlisted_peers = self.unlisted_peers.borrow_mut();
         unlisted_peers.retain(|_, at| now.saturating_duration_since(*at) < UNLISTED_PEER_TTL);
@@ -50,8 +51,9 @@
     }
 }
 
-/// Tells the entries that get requests where this one's are, those of other regions now
-/// and then; returns the time until the next word. An entry that gets none tells none.
+/// Sends this entry's load to the entries that get requests, less often to those of other
+/// regions. Returns the time until the next report. An entry that gets no requests sends no
+/// reports.
 pub(crate) async fn send_reports(state: &InstanceState, socket: &UdpSocket) -> Duration {
     let is_listed = state.fleet.is_listed();
     let is_used = state.quota.borrow().has_changes();
@@ -66,14 +68,14 @@
         .load_reports
         .final_reports
         .replace(left.saturating_sub(1));
-    let (same_region, mut other_regions) = recipients(state);
+    let (near, mut far) = recipients(state);
     let round = state
         .load_reports
         .round
         .replace_with(|round| round.wrapping_add(1));
-    let count = same_region.len() as u32;
-    if !is_sent_to_other_regions(round, count, other_regions.len() as u32) {
-        other_regions.clear();
+    let count = near.len() as u32;
+    if !is_sent_to_other_regions(round, count, far.len() as u32) {
+        far.clear();
     }
     let now = Instant::now();
     let quota = is_needed.then(|| QuotaReport {
@@ -81,48 +83,44 @@
         ..state.quota.borrow_mut().report(now)
     });
     let word = state.placer.borrow_mut().own_load(now);
+    send(socket, &near, &message(state, word.clone(), quota.clone())).await;
     send(
         socket,
-        &same_region,
-        &message(state, word.clone(), quota.clone()),
-    )
-    .await;
-    send(
-        socket,
-        &other_regions,
+        &far,
         &message(state, word.for_other_regions(), quota),
     )
     .await;
-    rollout::send_reports(state, socket, &[same_region, other_regions].concat()).await;
+    rollout::send_reports(state, socket, &[near, far].concat()).await;
     load_interval(count)
 }
 
-/// All other entries that get requests.
+/// Returns the addresses of all other entries that get requests.
 pub(crate) fn all_recipients(state: &InstanceState) -> Vec<SocketAddr> {
-    let (same_region, other_regions) = recipients(state);
-    [same_region, other_regions].concat()
+    let (near, far) = recipients(state);
+    [near, far].concat()
 }
 
-/// The entries of the own region that get requests, and those of others.
+/// Returns the addresses of other entries that get requests: those of the own region, and
+/// those of other regions.
 fn recipients(state: &InstanceState) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
-    let (mut same_region, mut other_regions) = (Vec::new(), Vec::new());
+    let (mut near, mut far) = (Vec::new(), Vec::new());
     state.fleet.with_regions(|now, regions| {
         for (region, entry) in regions.listed(now) {
             if entry.node == state.config.instance {
                 continue;
             }
             if region == state.config.region {
-                same_region.push(entry.peer_address);
+                near.push(entry.peer_address);
             } else {
-                other_regions.push(entry.peer_address);
+                far.push(entry.peer_address);
             }
         }
     });
     let unlisted_peers = state.load_reports.unlisted_peers.borrow();
     let mut unlisted: Vec<SocketAddr> = unlisted_peers.keys().copied().collect();
-    unlisted.retain(|address| !same_region.contains(address) && !other_regions.contains(address));
-    other_regions.extend(unlisted);
-    (same_region, other_regions)
+    unlisted.retain(|address| !near.contains(address) && !far.contains(address));
+    far.extend(unlisted);
+    (near, far)
 }
 
 fn message(state: &InstanceState, word: LoadUpdate, quota: Option<QuotaReport>) -> PeerMessage {
--- a/bin/lh-entry/src/logs.rs
+++ b/bin/lh-entry/src/logs.rs
@@ -1,9 +1,9 @@
-//! Log lines to standard output: one JSON object a line, bounded, never blocking.
+//! Logging to standard output: one JSON object per line, rate-limited and non-blocking.
 //!
-//! Lines go into a buffer that a thread of its own writes out. What doesn't fit
-//! is counted by kind, and a line says how many of each were left out, with the id
-//! of one of them. Lines of level warning, as of a request that must not repeat and
-//! whose outcome is unknown, have room of their own.
+//! Lines go into a buffer that a separate thread flushes. Lines that exceed the limits are
+//! counted by kind, and a summary line reports the number for each kind with the id of one
+//! request. Lines of level warning and above, such as those on a request that must not be
+//! repeated and whose outcome is unknown, have a separate limit.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -15,24 +15,24 @@
 use log::kv::{self, Key, Value, VisitSource};
 use log::{Level, LevelFilter, Record};
 
-/// How often the buffer is written out: a reader sees a line soon enough, and
-/// the thread wakes seldom.
+/// Interval at which the buffer is flushed: short enough for readers, long enough that the
+/// thread rarely wakes up.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(250);
-/// Lines of level info and below that are kept between two writes. A calm
-/// entry writes a tenth of it.
+/// Maximum number of lines of level info and below between two flushes. An idle entry writes a
+/// tenth of that.
 const MAX_INFO_LINES: usize = 150;
-/// Lines of any level that are kept between two writes.
+/// Maximum number of lines of any level between two flushes.
 const MAX_LINES: usize = 2000;
-/// Lines of one kind that are kept also where others have filled the room for lines of level
-/// info: hundreds of servers that join at once must not push out the line that says who leads.
+/// Number of lines of each kind that are exempt from [`MAX_INFO_LINES`]. Hundreds of servers
+/// that join at once must not displace the line about a change of leads.
 const LINES_PER_KIND: usize = 20;
 
-/// Lines a second of requests that were turned away: a flood of wrong keys must not leave
-/// out the lines of others. All are counted in the metrics.
+/// Maximum number of lines per window about denied requests: a flood of invalid keys must not
+/// displace other lines. The metrics count all of these requests.
 const MAX_LINES_PER_WINDOW: u32 = 40;
 const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// Bounds how many lines of one kind are written.
+/// Limits the rate of one kind of log line.
 #[derive(Debug, Default)]
 pub(crate) struct LogRateLimiter {
     begun: Cell<Option<Instant>>,
@@ -40,7 +40,7 @@
 }
 
 impl LogRateLimiter {
-    /// Whether one more line may be written.
+    /// Counts a line and returns whether it may be written.
     pub(crate) fn take(&self, now: Instant) -> bool {
         let begun = self.begun.get();
         if begun.is_none_or(|at| now.saturating_duration_since(at) >= RATE_WINDOW) {
@@ -56,13 +56,13 @@
 struct LineBuffer {
     bytes: Vec<u8>,
     lines: usize,
-    /// Number of the lines of each kind.
+    /// Number of buffered lines by kind.
     kinds: BTreeMap<String, usize>,
     dropped: BTreeMap<String, DroppedLines>,
 }
 
 impl LineBuffer {
-    /// Whether one more line of the kind `event` is kept.
+    /// Returns whether another line of the kind `event` fits, and if so counts it.
     fn admits(&mut self, level: Level, event: &str) -> bool {
         let kept = match self.kinds.get_mut(event) {
             Some(kept) => kept,
@@ -83,14 +83,14 @@
     }
 }
 
-/// Lines of one kind that were left out.
+/// Dropped lines of one kind.
 #[derive(Debug, Default)]
 struct DroppedLines {
     count: usize,
     example: String,
 }
 
-/// The lines that wait to be written.
+/// Queue of log lines that wait to be flushed.
 #[derive(Debug, Clone)]
 pub(crate) struct LogQueue {
     node: Arc<str>,
@@ -98,8 +98,8 @@
 }
 
 impl LogQueue {
-    /// Starts logging into a new queue, and the thread that writes it out. Each
-    /// line names `node`.
+    /// Installs a logger with a new queue and starts the thread that flushes it. Each line
+    /// contains `node`.
     pub(crate) fn start(node: &str) -> Self {
         let queue = Self {
             node: Arc::from(node),
@@ -122,7 +122,7 @@
         queue
     }
 
-    /// Writes out what waits.
+    /// Writes the queued lines and summaries of dropped lines.
     pub(crate) fn flush(&self) {
         let (bytes, dropped) = {
             let mut buffer = self.lock();
@@ -132,7 +132,7 @@
             (std::mem::take(&mut buffer.bytes), dropped)
         };
         let mut out = std::io::stdout().lock();
-        // Nobody reads the log if this fails, and there is no other place to say so.
+        // If this fails, there is no other place to report the error.
         let _ = out.write_all(&bytes);
         for (kind, dropped) in dropped {
             let line = self.dropped_line(&kind, &dropped);
@@ -204,7 +204,7 @@
     }
 }
 
-/// What a line is about, told only where it is left out.
+/// Kind of a log record and the id of its request; determined only for dropped lines.
 #[derive(Debug, Default)]
 struct RecordKind {
     name: String,
--- a/bin/lh-entry/src/lookup.rs
+++ b/bin/lh-entry/src/lookup.rs
@@ -1,4 +1,4 @@
-//! Answers to callers that ask which entries to use, on both interfaces.
+//! Responses to callers' look-ups of entries, on the platform's and on the product's interface.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::{Duration, Instant};
@@ -10,15 +10,15 @@
 
 use crate::state::InstanceState;
 
-/// How long callers keep an answer: some keep it three times as long, and all
-/// must have left a stopping entry before it refuses requests.
+/// How long callers may use a response. Some use it three times as long, and all of them must
+/// have left a stopping entry before it refuses requests.
 const LOOKUP_TTL: Duration = Duration::from_millis(1000);
-/// Entries named in an answer on the platform's interface; callers read no more.
+/// Maximum number of entries in a response on the platform's interface; callers read no more.
 const MAX_ENTRIES: usize = 64;
-/// Path of the question on the own interface.
+/// Path of a look-up on the product's own interface.
 pub(crate) const ENTRIES_PATH: &str = "/v1/entries";
 
-/// An entry that takes callers.
+/// An entry that accepts callers.
 struct AvailableEntry {
     instance: String,
     region: String,
@@ -41,17 +41,17 @@
     entries: Vec<EntryAnswer<'a>>,
 }
 
-/// What the own interface answers to a look-up.
+/// Result of a look-up on the product's own interface.
 pub(crate) enum OwnLookup {
-    /// The document.
+    /// The response document.
     Found(String),
     /// There is no such service.
     UnknownService,
-    /// No entry takes callers.
+    /// No entry accepts callers.
     NoEntry,
 }
 
-/// The answer on the platform's interface; `None` where no entry takes callers.
+/// Returns the response on the platform's interface; `None` if no entry accepts callers.
 pub(crate) fn answer_platform(state: &InstanceState, place: &CallerLocation) -> Option<String> {
     let entries = available_entries(state);
     let home_entries = home_region_entries(&entries, &place.region, |entry| &entry.region);
@@ -64,7 +64,7 @@
     (!addresses.is_empty()).then(|| lookup::encode_answer(&addresses, ttl))
 }
 
-/// The answer on the own interface to a caller at `from`.
+/// Returns the response on the product's own interface to a caller at `from`.
 pub(crate) fn answer_own(state: &InstanceState, query: &str, from: IpAddr) -> OwnLookup {
     let parameter = |name: &str| {
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -104,7 +104,7 @@
     match serde_json::to_string(&answer) {
         Ok(text) => OwnLookup::Found(text),
         Err(error) => {
-            log::error!(error:%; "no answer to a look-up");
+            log::error!(error:%; "can't encode the response to a look-up");
             OwnLookup::NoEntry
         }
     }
@@ -114,8 +114,9 @@
     LOOKUP_TTL.min(state.config.max_lookup_ttl)
 }
 
-/// The entries that callers are told to use, by the lists of their regions; before there
-/// is one, an entry that has met others tells nobody, since abler ones may be found.
+/// Returns the entries that callers should use, from the lists of all regions. Without a list,
+/// only an entry that has never heard from others names itself: otherwise an entry with a higher
+/// capacity may turn up.
 fn available_entries(state: &InstanceState) -> Vec<AvailableEntry> {
     let mut entries = Vec::new();
     if state.fleet.is_isolated() && !state.fleet.is_listed() && state.is_ready() {
--- a/bin/lh-entry/src/main.rs
+++ b/bin/lh-entry/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `lh-entry`.
+//! The `lh-entry` binary.
 
 use std::process::ExitCode;
 
--- a/bin/lh-entry/src/metrics.rs
+++ b/bin/lh-entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, and their text.
+//! Prometheus metrics of the entry.
 
 use prometheus::{
     Gauge, GaugeVec, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge, Opts,
@@ -12,7 +12,7 @@
 use crate::error::Result;
 use crate::team_metrics::TeamMetrics;
 
-/// Upper bounds of the latency buckets, in seconds: around the usual objectives.
+/// Upper bounds of the latency buckets, in seconds, chosen around common latency objectives.
 const LATENCY_BUCKETS: [f64; 11] = [0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.8, 1.2, 2.0, 4.0];
 
 /// All metrics of the entry.
@@ -38,7 +38,7 @@
     registry_age: Gauge,
     pub(crate) version: IntGauge,
     pub(crate) foreign_rows: IntGauge,
-    /// Servers whose rows vanished and that are kept for now.
+    /// Servers that are kept for now although their rows are missing.
     pub(crate) kept_servers: IntGauge,
     pub(crate) leads: IntGauge,
     pulls: IntCounterVec,
@@ -55,7 +55,7 @@
     /// Registers all metrics.
     ///
     /// # Errors
-    /// Where a metric is registered twice.
+    /// Fails if a metric is registered twice.
     pub(crate) fn new() -> Result<Self> {
         let registry = Registry::new();
         let requests = IntCounterVec::new(
@@ -189,7 +189,7 @@
             "laurelhill_contradictions_total",
             "Times that leads began to know other things of the registry though both have read it",
         )?;
-        // Shown from the start, so that a rate can be told before the first one.
+        // Exported with 0 from the start, so that a rate can be computed from the first event.
         for copy in ["whole", "changes"] {
             registry_copies.with_label_values(&[copy]);
         }
@@ -271,43 +271,42 @@
         })
     }
 
-    /// A request of `route` was answered.
+    /// Records a response to a request of `route`.
     pub(crate) fn on_request(&self, route: &str, outcome: &str, seconds: f64) {
         self.requests.with_label_values(&[route, outcome]).inc();
         self.latency.with_label_values(&[route]).observe(seconds);
     }
 
-    /// An attempt at a server of `service` ended.
+    /// Records the result of an attempt at a server of `service`.
     pub(crate) fn on_attempt(&self, service: &str, result: &str) {
         self.attempts.with_label_values(&[service, result]).inc();
     }
 
-    /// A request of `route` was answered within its objective.
+    /// Records a response of `route` within its latency objective.
     pub(crate) fn on_good(&self, route: &str) {
         self.good.with_label_values(&[route]).inc();
     }
 
-    /// A call to the store ended, with an error of the kind `error` if there was one.
+    /// Records a call to the store, with the kind of its error if it failed.
     pub(crate) fn on_store_call(&self, call: &str, error: Option<&str>) {
         let result = error.unwrap_or("ok");
         self.store_calls.with_label_values(&[call, result]).inc();
     }
 
-    /// A lead was asked for changes or for a whole copy, and answered or not.
+    /// Records a pull of changes or of a full copy from a lead, and whether it succeeded.
     pub(crate) fn on_pull(&self, is_whole: bool, done: bool) {
         let asked = if is_whole { "all" } else { "changes" };
         let result = if done { "ok" } else { "failed" };
         self.pulls.with_label_values(&[asked, result]).inc();
     }
 
-    /// Another entry was told the registry's changes or all of it.
+    /// Records that changes or a full copy of the registry were sent to another entry.
     pub(crate) fn on_copy_sent(&self, is_whole: bool) {
         let copy = if is_whole { "whole" } else { "changes" };
         self.registry_copies.with_label_values(&[copy]).inc();
     }
 
-    /// The store has answered a reading of the registry: it was taken in or left out, and
-    /// brought something new or not.
+    /// Records a read of the registry: whether it was applied, and whether it changed nothing.
     pub(crate) fn on_reading(&self, is_taken: bool, is_same: bool) {
         let result = match (is_taken, is_same) {
             (false, _) => "left-out",
@@ -317,46 +316,47 @@
         self.readings.with_label_values(&[result]).inc();
     }
 
-    /// A datagram was not understood; returns how many so far.
+    /// Counts a datagram that can't be decoded and returns their total.
     pub(crate) fn on_bad_datagram(&self) -> u64 {
         self.bad_datagrams.inc();
         self.bad_datagrams.get()
     }
 
-    /// A server of `service` broke off requests, and had ended or not.
+    /// Records that a server of `service` aborted requests, and whether it had ended.
     pub(crate) fn on_broken_off(&self, service: &str, has_ended: bool) {
         let server = if has_ended { "ended" } else { "runs" };
         self.broken_off.with_label_values(&[service, server]).inc();
     }
 
-    /// A request was refused.
+    /// Records a refused request.
     pub(crate) fn on_refusal(&self, reason: &str) {
         self.refusals.with_label_values(&[reason]).inc();
     }
 
-    /// A request met the bound `limit`: it was `used` or refused.
+    /// Records whether a request was within (`used`) or refused by the limit `limit`.
     pub(crate) fn on_limit(&self, limit: &str, used: bool) {
         let result = if used { "used" } else { "refused" };
         self.limits.with_label_values(&[limit, result]).inc();
     }
 
-    /// A request is sent to the old or the new version of a service while a rollout runs.
+    /// Records a request that is sent to the old or new version of a service during a rollout.
     pub(crate) fn on_rollout_request(&self, is_new: bool) {
         let version = if is_new { "new" } else { "old" };
         self.rollout_requests.with_label_values(&[version]).inc();
     }
 
-    /// Shows which instance this is.
+    /// Sets the name and region of this instance.
     pub(crate) fn set_instance_info(&self, instance: &str, region: &str) {
         self.info.with_label_values(&[instance, region]).set(1.0);
     }
 
-    /// Shows how long ago a planned stop began.
+    /// Sets the time since a planned stop began.
     pub(crate) fn set_draining_time(&self, age: Duration) {
         self.draining.set(age.as_secs_f64());
     }
 
-    /// Shows how long ago the operator's rows were told, and how old that word is at most.
+    /// Sets the age of the last information on the operator's rows, and the maximum age of the
+    /// store's confirmation of it.
     pub(crate) fn set_operator_ages(
         &self,
         registry_copies: Option<Duration>,
@@ -367,7 +367,7 @@
         self.proof_age.set(seconds(proof));
     }
 
-    /// Shows the servers as they are known now; those that are gone leave.
+    /// Updates the metrics of all known servers; series of removed servers disappear.
     pub(crate) fn update_servers(&self, now: Instant, region: &str, catalog: &ServerCatalog) {
         self.servers.reset();
         self.server_requests.reset();
@@ -396,7 +396,7 @@
         }
     }
 
-    /// All metrics as text.
+    /// Returns all metrics in the text format.
     pub(crate) fn text(&self) -> String {
         let encoder = TextEncoder::new();
         encoder
--- a/bin/lh-entry/src/rollout.rs
+++ b/bin/lh-entry/src/rollout.rs
@@ -1,5 +1,5 @@
-//! Rollouts: which version a request runs on, what is told of that, and, at entries that
-//! lead, the rows in which it is agreed how far a rollout is.
+//! Rollouts: selects the version that processes a request and exchanges request counts with
+//! other entries. Leads also maintain the rows that hold the agreed phase of each rollout.
 
 use std::cell::{Ref, RefCell};
 use std::net::SocketAddr;
@@ -25,23 +25,24 @@
 use crate::state::InstanceState;
 use crate::watch::STORE_TIMEOUT;
 
-/// Time between two looks of a lead whether an open rollout goes on.
+/// Interval at which a lead checks whether an unfinished rollout can advance.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
-/// Time between two looks at the row of one that doesn't: another lead may have written.
+/// Interval at which the row of an unfinished rollout is read again, since another lead may
+/// have written it.
 const REREAD_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The rollouts as this entry knows them.
+/// State of the known rollouts.
 #[derive(Debug)]
 pub(crate) struct RolloutState {
     controller: RefCell<RolloutController>,
-    /// Something changed that the store should say.
+    /// Notified when a change has to be written to the store.
     wake: Notify,
-    /// A version was found to be bad, and the other entries are to be told.
+    /// Notified when a version is found to be bad and other entries have to be informed.
     pub(crate) verdict: Notify,
 }
 
 impl RolloutState {
-    /// The desk of an entry that starts now.
+    /// Creates the state of an entry that is starting.
     pub(crate) fn new(config: &EntryConfig, incarnation: u64) -> Self {
         let bounds = RolloutConfig {
             exposure_share: config.exposure.share,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Looks something up.
+    /// Borrows the controller for reading.
     pub(crate) fn controller(&self) -> Ref<'_, RolloutController> {
         self.controller.borrow()
     }
@@ -66,23 +67,23 @@
         self.controller.borrow_mut().set_entries(entries, is_listed);
     }
 
-    /// A server of `service` has `version`; see [`RolloutController::on_server`].
+    /// Records that a server of `service` runs `version`; see [`RolloutController::on_server`].
     pub(crate) fn on_server(&self, service: &str, version: &str, is_first: bool) {
         let mut controller = self.controller.borrow_mut();
         controller.on_server(Instant::now(), service, version, is_first);
     }
 
-    /// The operator ordered a rollout.
+    /// Handles an operator's rollout order.
     pub(crate) fn on_order(&self, order: &RolloutOrder) {
         self.change(|now, controller| controller.on_order(now, order));
     }
 
-    /// The operator took the order for `service` back.
+    /// Handles the cancellation of the order for `service`.
     pub(crate) fn on_withdrawn(&self, service: &str) {
         self.change(|now, controller| controller.on_withdrawn(now, service));
     }
 
-    /// The operator's rows hold these orders and no others.
+    /// Handles that `orders` is the complete set of orders: all others were cancelled.
     pub(crate) fn on_all_orders(&self, orders: &[&RolloutOrder]) {
         let known: Vec<String> = {
             let controller = self.controller.borrow();
@@ -96,8 +97,8 @@
         }
     }
 
-    /// Another entry told `record`, or the store holds it where `is_stored`; `latest` is the
-    /// time that the store's clock has not passed.
+    /// Handles a record from another entry, or from the store if `is_stored`. `latest` is an
+    /// upper bound on the current time of the store's clock.
     pub(crate) fn on_record(&self, record: &RolloutRecord, latest: StoreTime, is_stored: bool) {
         self.change(|now, controller| {
             let age = Duration::from_millis(latest.0.saturating_sub(record.begun));
@@ -107,13 +108,13 @@
         });
     }
 
-    /// Another entry's counts.
+    /// Handles another entry's request counts.
     pub(crate) fn on_peer_counts(&self, message: &RolloutMessage) {
         self.change(|now, controller| controller.on_report(now, message.entry, &message.word));
     }
 
-    /// A request goes to the server of `placement`; its token, and whether the new version runs
-    /// it, where a rollout of `service` runs.
+    /// Records that a request is sent to the server of `placement`. During a rollout of `service`
+    /// returns a token for the request, and whether it goes to the new version.
     pub(crate) fn on_sent(
         &self,
         now: Instant,
@@ -136,7 +137,7 @@
         controller.on_sent(now, &send)
     }
 
-    /// Takes in what became of a request.
+    /// Records the outcome of a request.
     pub(crate) fn on_outcome(&self, token: SendToken, outcome: ServerOutcome) {
         let outcome = match outcome {
             ServerOutcome::Answered { good: true } => SendOutcome::Answered,
@@ -168,10 +169,10 @@
     }
 }
 
-/// Chooses the server of `request`, of a version that may run it.
+/// Chooses a server for `request` among those whose version may process it.
 ///
 /// # Errors
-/// The refusal, where no server should get it.
+/// Returns the refusal if no server should get the request.
 pub(crate) fn place(
     state: &InstanceState,
     now: Instant,
@@ -198,14 +199,14 @@
     placed
 }
 
-/// Age of what is known of the operator's rows.
+/// Returns the age of the last information on the operator's rows.
 fn operator_age(state: &InstanceState) -> Option<Duration> {
     let known_at = state.fleet.known().operator_at?;
     Some(known_at.elapsed())
 }
 
-/// Tells the counts in rollouts to `recipients`, and to leads, which aren't among these where
-/// they get no requests.
+/// Sends the request counts of rollouts to `recipients` and to all leads. A lead that gets no
+/// requests isn't among `recipients`.
 pub(crate) async fn send_reports(
     state: &InstanceState,
     socket: &UdpSocket,
@@ -240,7 +241,8 @@
     send(socket, &targets, &PeerMessage::Rollout(message)).await;
 }
 
-/// Keeps the rows of open rollouts up to date while this entry leads, until the process ends.
+/// Keeps the rows of unfinished rollouts up to date while this entry is a lead. Runs until the
+/// process ends.
 pub(crate) async fn maintain_rows(state: Rc<InstanceState>) {
     let mut last_read_at = Instant::now();
     loop {
@@ -275,13 +277,13 @@
     }
     let revision = row.map_or(0, |row| row.revision);
     if write_record(state, &client, &record, revision).await {
-        // What this entry acts on is what the store says, and its version tells others that
-        // there is something new.
+        // The entry acts on the stored record only, and the row's version informs other entries
+        // of the change.
         read_row(state, &client, service).await;
     }
 }
 
-/// What the store should say of the rollout of `service`, where it doesn't.
+/// Returns the record to store for the rollout of `service`; `None` if it needs no change.
 fn next_record(state: &InstanceState, service: &str) -> Option<RolloutRecord> {
     let controller = state.rollouts.controller();
     let version = &controller.record(service)?.order.version;
@@ -301,8 +303,7 @@
     controller.next_record(Instant::now(), service, counts, store_now.0)
 }
 
-/// The row of the rollout of `service`, which this entry takes in; `None` where the store
-/// doesn't answer.
+/// Reads and applies the row of the rollout of `service`; `None` if the store doesn't respond.
 async fn read_row(
     state: &InstanceState,
     client: &PlatformClient,
@@ -315,7 +316,7 @@
     let row = match result {
         Ok(row) => row,
         Err(error) => {
-            log::info!(service, error:%; "row of a rollout not read");
+            log::info!(service, error:%; "can't read the row of a rollout");
             return None;
         }
     };
@@ -331,7 +332,8 @@
     Some(row)
 }
 
-/// Writes `record` where its row still has `revision`; whether the store may have done so.
+/// Writes `record` if its row still has the revision `revision`. Returns whether the store may
+/// have done so.
 async fn write_record(
     state: &InstanceState,
     client: &PlatformClient,
@@ -341,7 +343,7 @@
     let text = match serde_json::to_string(record) {
         Ok(text) => text,
         Err(error) => {
-            log::error!(error:%; "rollout not written");
+            log::error!(error:%; "can't encode a rollout");
             return false;
         }
     };
@@ -349,7 +351,7 @@
     let mut writes = vec![RowWrite::new(ENTRY_TABLE, &key, &text).with_expected(revision)];
     match status_write(record) {
         Ok(status) => writes.extend(status),
-        Err(error) => log::error!(error:%; "status of a rollout not written"),
+        Err(error) => log::error!(error:%; "can't encode the status of a rollout"),
     }
     let result = client.commit(&writes).await;
     let error = result.as_ref().err().map(store::Error::kind);
@@ -359,7 +361,7 @@
     match result {
         Ok(CommitOutcome::Done) => log::info!(service, phase; "rollout written"),
         Ok(CommitOutcome::Conflict) => log::info!(service, phase; "another lead wrote the rollout"),
-        Err(error) => log::info!(service, phase, error:%; "rollout may not be written"),
+        Err(error) => log::info!(service, phase, error:%; "rollout may not have been written"),
     }
     true
 }
@@ -368,7 +370,7 @@
     match serde_json::from_str(&row.value) {
         Ok(record) => Some(record),
         Err(error) => {
-            log::warn!(key = row.key.as_str(), error:%; "row of a rollout left out");
+            log::warn!(key = row.key.as_str(), error:%; "ignoring an invalid row of a rollout");
             None
         }
     }
--- a/bin/lh-entry/src/state.rs
+++ b/bin/lh-entry/src/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of the entry share. One thread, so plain cells do.
+//! State shared by all tasks of the entry. They run on one thread, so cells need no locks.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -41,52 +41,52 @@
 use crate::view::EncodedChanges;
 use crate::watch::Dependency;
 
-/// The entry's state.
+/// Shared state of the entry.
 #[derive(Debug)]
 pub(crate) struct InstanceState {
     pub(crate) config: EntryConfig,
-    /// This run of the instance.
+    /// Instance and incarnation of this process.
     pub(crate) node: NodeId,
     pub(crate) tickets: TicketDesk,
     pub(crate) placer: RefCell<RequestPlacer>,
     pub(crate) routes: RefCell<Rc<RouteTable>>,
     pub(crate) desired: RefCell<Option<Rc<DesiredState>>>,
     pub(crate) teams: RefCell<Rc<TeamIndex>>,
-    /// Lines of requests that were turned away at the door.
+    /// Limits log lines about requests that admission denied.
     pub(crate) denial_log_limit: LogRateLimiter,
-    /// Teams and routes without a common home, as logged last.
+    /// Last logged list of teams and routes without a common home region.
     logged_home_conflicts: RefCell<String>,
     pub(crate) limits: Cell<RequestLimits>,
     pub(crate) evacuated: RefCell<HashSet<String>>,
-    /// The registry's changes, as other entries are told.
+    /// Changes of the server registry, for other entries.
     pub(crate) servers: RefCell<RegistryLog>,
-    /// The same, encoded.
+    /// Encoded changes, cached for other entries.
     pub(crate) encoded: RefCell<EncodedChanges>,
-    /// Whole copies of it that were told.
+    /// Schedules full copies of the registry for other entries.
     pub(crate) copies: RefCell<CopyScheduler>,
-    /// Reads the registry; taken while it does.
+    /// Client for reading the registry; `None` while a read is in progress.
     pub(crate) registry: RefCell<Option<StoreClient>>,
     pub(crate) registry_dependency: RefCell<Dependency>,
-    /// The part in the fleet.
+    /// Membership in the fleet of entries.
     pub(crate) fleet: FleetDriver,
-    /// Times at which the machine stood still.
+    /// Detects that the machine was suspended.
     suspensions: RefCell<SuspensionMeter>,
-    /// Which versions of services get requests.
+    /// Selects the version of a service that gets a request during a rollout.
     pub(crate) rollouts: RolloutState,
-    /// What each team asks for.
+    /// Enforces teams' request quotas.
     pub(crate) quota: RefCell<QuotaLimiter>,
-    /// Which teams ask for more than their part.
+    /// Ranks teams by how far they exceed their fair share.
     pub(crate) fairness: RefCell<FairnessRanker>,
-    /// What is said and heard of load.
+    /// Exchange of load reports with other entries.
     pub(crate) load_reports: LoadReporter,
-    /// Counts callers' requests.
+    /// Measures the rate of callers' requests.
     pub(crate) request_meter: RefCell<RateMeter>,
-    /// Requests a second that this entry gets, as it told the others last.
+    /// Request rate per second that was last advertised to other entries.
     pub(crate) advertised_rate: Cell<u32>,
     /// Home regions of client addresses.
     pub(crate) homes: RefCell<HomeRegionTable>,
     pub(crate) pool: ServerPool,
-    /// Servers that broke off requests.
+    /// Tracks servers that aborted requests.
     pub(crate) crashes: CrashDesk,
     pub(crate) metrics: EntryMetrics,
     pub(crate) stop: Cell<StopPhase>,
@@ -96,7 +96,7 @@
 }
 
 impl InstanceState {
-    /// The state of an entry that knows nothing yet.
+    /// Creates the state of an entry that has read nothing from the store yet.
     pub(crate) fn new(config: EntryConfig, metrics: EntryMetrics, incarnation: u64) -> Self {
         let own = stable_hash(config.instance.as_bytes());
         let placer = RequestPlacer::new(place::placing::placer::PlacerConfig {
@@ -147,62 +147,63 @@
         }
     }
 
-    /// Whether callers should be sent here.
+    /// Returns whether this entry is ready to serve callers.
     pub(crate) fn is_ready(&self) -> bool {
         self.has_required_state() && self.serves_keys()
     }
 
-    /// Whether this entry could take callers, but has not heard lately which keys hold.
-    /// Where no other entry has either, callers of public routes still find it.
+    /// Returns whether this entry can serve only public routes, because its information on
+    /// valid keys is too old. If this holds for all entries, look-ups still name this entry
+    /// for callers of public routes.
     pub(crate) fn serves_public_only(&self) -> bool {
         self.has_required_state() && !self.serves_keys()
     }
 
-    /// Whether it knows what it needs to serve callers, and is to.
+    /// Returns whether the desired state and the registry are known and no stop was requested.
     fn has_required_state(&self) -> bool {
         let known = self.version() > 0 && self.placer.borrow().catalog.read_at().is_some();
         known && self.stop.get() == StopPhase::Serving
     }
 
-    /// Whether this entry has heard lately enough which keys hold.
+    /// Returns whether the information on valid keys is fresh enough to serve teams' requests.
     pub(crate) fn serves_keys(&self) -> bool {
         let access = self.config.access;
         self.teams.borrow().is_empty() || access.may_serve(self.proof_age())
     }
 
-    /// Age of what is known of the operator's rows at most; `None` where it can't be told.
+    /// Returns the maximum age of what is known of the operator's rows; `None` if unknown.
     pub(crate) fn proof_age(&self) -> Option<Duration> {
         self.detect_suspension();
         self.fleet.proof_age()
     }
 
-    /// How old that may become while teams' requests are served.
+    /// Returns the age up to which that information allows serving teams' requests.
     pub(crate) fn proof_within(&self) -> Option<Duration> {
         let has_teams = !self.teams.borrow().is_empty();
         self.config.access.revoke.filter(|_| has_teams)
     }
 
-    /// Finds out whether the machine stood still.
+    /// Detects and handles that the machine was suspended.
     fn detect_suspension(&self) {
         let Some(span) = self.suspensions.borrow_mut().take() else {
             return;
         };
-        log::warn!(span_ms = span.as_millis() as u64; "the machine stood still");
+        log::warn!(span_ms = span.as_millis() as u64; "machine was suspended");
         self.fleet.on_event(FleetEvent::Suspended(span));
     }
 
-    /// Whether callers on the own interface are expected.
+    /// Returns whether there are routes for callers on the product's own interface.
     pub(crate) fn has_own_routes(&self) -> bool {
         let routes = self.routes.borrow();
         routes.iter().any(|route| route.host == ANY_HOST)
     }
 
-    /// Version of the desired state in force; 0 before the first.
+    /// Returns the version of the desired state in force; 0 before the first.
     pub(crate) fn version(&self) -> u64 {
         self.routes.borrow().version()
     }
 
-    /// Takes in a change of the operator's; a desired state only if it is newer.
+    /// Applies an operator's change; a desired state only if it is newer.
     pub(crate) fn on_operator_change(&self, change: &OperatorChange) {
         match change {
             OperatorChange::Desired(desired) => self.apply_desired_state(desired),
@@ -225,13 +226,13 @@
         }
     }
 
-    /// Whether a planned stop has begun.
+    /// Returns whether a planned stop has begun.
     pub(crate) fn is_stopping(&self) -> bool {
         self.stop.get() != StopPhase::Serving
     }
 
-    /// Takes in the evacuations that a lead told with what it knows, `progress`. Where all
-    /// was asked for they count also if they seem older.
+    /// Applies the evacuations from a lead with the given progress. A response to a request
+    /// for everything (`is_whole`) is applied even if it appears older.
     pub(crate) fn on_peer_operator(
         &self,
         progress: &StoreProgress,
@@ -249,8 +250,8 @@
             .update_known(|known| known.replace_operator(progress));
     }
 
-    /// Takes in all of the operator's rows: evacuations and rollouts that aren't among them
-    /// have been taken back.
+    /// Applies the complete set of the operator's rows: evacuations and rollouts that are
+    /// missing from it have been cancelled.
     pub(crate) fn on_operator_rows(&self, changes: &[OperatorChange]) {
         let (mut domains, mut orders) = (Vec::new(), Vec::new());
         for change in changes {
@@ -265,7 +266,7 @@
         self.rollouts.on_all_orders(&orders);
     }
 
-    /// Takes the evacuations of all failure domains but `domains` back.
+    /// Cancels the evacuations of all failure domains except `domains`.
     fn restore_domains_except(&self, domains: &[String]) {
         let evacuated = self.evacuated.borrow().clone();
         for domain in evacuated {
@@ -275,7 +276,8 @@
         }
     }
 
-    /// Takes in a reading of the registry, unless a newer one is known; whether it was.
+    /// Applies a snapshot of the registry unless a newer one is known. Returns whether it was
+    /// applied.
     pub(crate) fn on_registry_snapshot(
         &self,
         snapshot: &CatalogSnapshot,
@@ -312,8 +314,8 @@
         true
     }
 
-    /// Takes in what a lead told of the registry with what it knows, `progress`, unless it is
-    /// known. Where all was asked for it counts also if it seems older.
+    /// Applies registry changes from a lead with the given progress, unless they are known. A
+    /// response to a request for everything (`is_whole`) is applied even if it appears older.
     pub(crate) fn on_peer_servers(
         &self,
         lead: SocketAddr,
@@ -350,7 +352,7 @@
         self.report_pending_removals();
     }
 
-    /// Takes in which servers have left, as a lead told that has run for longer.
+    /// Applies the departed servers as reported by a lead that has been running longer.
     pub(crate) fn on_peer_departures(&self, lead: SocketAddr, ends: &[Departure]) {
         let mut servers = self.servers.borrow_mut();
         servers.on_departures(ends);
@@ -367,14 +369,14 @@
         self.fleet.update_known(|known| known.registry = changed_at);
     }
 
-    /// Tells the fleet when servers whose rows vanished are gone.
+    /// Informs the fleet when servers whose rows are missing will finally be removed.
     pub(crate) fn report_pending_removals(&self) {
         let next_removal_at = self.placer.borrow().catalog.next_removal_at();
         self.fleet
             .on_event(FleetEvent::RemovalsFinalAt(next_removal_at));
     }
 
-    /// Tells the rollouts of the versions of servers that joined.
+    /// Reports the versions of servers that joined to the rollout controller.
     fn report_versions(&self, changes: &[CatalogChange], is_first: bool) {
         let placer = self.placer.borrow();
         for change in changes {
@@ -401,15 +403,15 @@
         self.metrics.kept_servers.set(kept as i64);
         for change in changes {
             if let CatalogChange::Restarted(id) = change {
-                // Its connections ended with the former run.
+                // Its connections were closed when the previous process ended.
                 self.pool.forget(id);
             }
             log_change(change, source);
         }
     }
 
-    /// Divides shared rates among the entries that get requests. One that isn't listed
-    /// stands by: the others don't count it.
+    /// Divides shared rates among the entries that get requests. An entry that isn't listed is
+    /// on standby: the others don't count it.
     pub(crate) fn refresh_entries(&self) {
         let own = &self.config.instance;
         let (mut hashes, mut near) = (Vec::new(), 0);
@@ -434,7 +436,7 @@
         placer.set_standby(!gets_requests);
     }
 
-    /// Takes in a desired state; one that isn't newer changes nothing.
+    /// Applies a desired state if it is newer than the one in force.
     pub(crate) fn apply_desired_state(&self, desired: &DesiredState) {
         let known = self.version();
         if desired.version <= known {
@@ -507,7 +509,7 @@
     }
 }
 
-/// Who told of a change in the registry, and how old that word was.
+/// Source of a registry change, and the age of the information.
 #[derive(Debug, Clone, Copy)]
 struct ChangeSource<'a> {
     by: &'a str,
--- a/bin/lh-entry/src/status.rs
+++ b/bin/lh-entry/src/status.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of this entry, as JSON.
+//! Status of this entry for operators, as JSON.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -10,7 +10,7 @@
 
 use crate::state::InstanceState;
 
-/// Path of the question.
+/// Path of the request.
 pub(crate) const STATUS_PATH: &str = "/v1/status";
 
 #[derive(Serialize)]
@@ -24,24 +24,24 @@
     in_flight: usize,
     /// Live entries, this one included.
     instances: u32,
-    /// Whether this entry is the reader of its region or the deputy.
+    /// Whether this entry is a lead of its region (the reader or the deputy).
     leads: bool,
     evacuated: Vec<String>,
     rollouts: Vec<RolloutStatus>,
-    /// Prints of the requests that end servers and are refused.
+    /// Fingerprints of quarantined requests, which crash servers and are refused.
     quarantined: Vec<String>,
-    /// Age of the newest reading of the servers' registry; -1 before the first.
+    /// Age of the latest read of the server registry; -1 before the first.
     registry_age_ms: i64,
-    /// How old the store's word on keys is at most; -1 where that can't be told.
+    /// Maximum age of the store's confirmation of the known keys; -1 if unknown.
     keys_age_ms: i64,
-    /// How old it may become while keys are served; absent where nothing bounds it.
+    /// Maximum such age at which requests with keys are served; absent if unlimited.
     #[serde(skip_serializing_if = "Option::is_none")]
     revoke_ms: Option<u64>,
-    /// Whether keys are served here now.
+    /// Whether requests with keys are served now.
     serves_keys: bool,
     teams: usize,
     services: Vec<ServiceStatus>,
-    /// The servers of the service that was asked for.
+    /// Servers of the requested service.
     #[serde(skip_serializing_if = "Option::is_none")]
     servers: Option<Vec<ServerStatus>>,
 }
@@ -51,9 +51,9 @@
     service: String,
     version: String,
     phase: &'static str,
-    /// The share of new requests that go to the version now.
+    /// Current share of new requests that go to the version.
     share: f64,
-    /// Versions that get nothing.
+    /// Versions that get no requests.
     barred: Vec<String>,
 }
 
@@ -61,10 +61,10 @@
 struct ServiceStatus {
     service: String,
     servers: usize,
-    /// Servers that may get requests now.
+    /// Number of servers that may get requests now.
     open: usize,
     slots: u32,
-    /// Slots thought free.
+    /// Estimated number of free slots.
     free: f64,
 }
 
@@ -93,7 +93,7 @@
     controller.records().map(status).collect()
 }
 
-/// The document, with the servers of `service` where one is asked for.
+/// Returns the status document, with the servers of `service` if one is requested.
 pub(crate) fn answer_status(state: &InstanceState, service: Option<&str>) -> String {
     let now = Instant::now();
     let placer = state.placer.borrow();
@@ -149,7 +149,7 @@
         servers,
     };
     serde_json::to_string(&answer).unwrap_or_else(|error| {
-        log::error!(error:%; "no status");
+        log::error!(error:%; "can't encode the status");
         String::new()
     })
 }
--- a/bin/lh-entry/src/stop.rs
+++ b/bin/lh-entry/src/stop.rs
@@ -1,4 +1,4 @@
-//! The planned stop: told to callers first, then served to the end.
+//! Graceful shutdown: callers are redirected first, then pending requests are completed.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -7,32 +7,33 @@
 use crate::fleet;
 use crate::state::InstanceState;
 
-/// Callers that keep an answer of the look-up three times its life have left by
-/// then; requests that come later are refused, so that all that was read is
-/// answered before the process is killed.
+/// Time from which on new requests are refused, so that all accepted requests are answered
+/// before the process is killed. Callers that use a look-up's response for three times its TTL
+/// have switched to other entries by then.
 const REFUSE_AFTER: Duration = Duration::from_millis(3200);
-/// Kept between the exit and the kill.
+/// Safety margin between the exit of the process and SIGKILL.
 const EXIT_MARGIN: Duration = Duration::from_millis(350);
-/// How often the stop looks whether everything is answered.
+/// Interval at which the shutdown checks for pending requests.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// After the last answer, connections get this long to carry it away.
+/// Time for transmitting the last response before connections are closed.
 const CLOSE_DELAY: Duration = Duration::from_millis(150);
 
-/// How far the stop has come.
+/// Phase of the shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StopPhase {
-    /// No stop.
+    /// No stop was requested.
     Serving,
-    /// New requests are served; connections close after their answers.
+    /// New requests are served; connections are closed after their responses.
     Draining,
     /// New requests are refused.
     Refusing,
 }
 
-/// Waits for SIGTERM, then returns when everything that was read is answered.
+/// Waits for SIGTERM, then returns when all accepted requests are answered or the grace period
+/// ends.
 ///
 /// # Errors
-/// Where the signals can't be had.
+/// Fails if signal handlers can't be installed.
 pub(crate) async fn run(state: &Rc<InstanceState>) -> Result<()> {
     kernel::wait_for_termination().await?;
     let begun = Instant::now();
--- a/bin/lh-entry/src/team_metrics.rs
+++ b/bin/lh-entry/src/team_metrics.rs
@@ -1,4 +1,4 @@
-//! What each team asked for and got: series for a bounded number of teams.
+//! Request metrics by team, with a bounded number of series.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -7,15 +7,15 @@
 
 use crate::error::Result;
 
-/// Teams with series of their own: more would cost memory at each entry and at whatever
-/// reads the metrics. The first that ask have them.
+/// Number of teams with series of their own, in the order of their first requests. More would
+/// cost memory in each entry and in the system that scrapes the metrics.
 const MAX_TEAM_SERIES: usize = 100;
-/// Stands for all other teams.
+/// Label of all other teams.
 const OTHER_TEAMS: &str = "(others)";
-/// Stands for requests of no team.
+/// Label of requests without a team.
 const NO_TEAM: &str = "";
 
-/// Counters by team.
+/// Request counters by team.
 #[derive(Debug)]
 pub(crate) struct TeamMetrics {
     requests: IntCounterVec,
@@ -26,7 +26,7 @@
     /// Registers the counters.
     ///
     /// # Errors
-    /// Where one is registered twice.
+    /// Fails if a counter is registered twice.
     pub(crate) fn new(registry: &Registry) -> Result<Self> {
         let requests = IntCounterVec::new(
             Opts::new(
@@ -42,7 +42,7 @@
         })
     }
 
-    /// A request of `team`, or of a public route that asks for none, ended with `outcome`.
+    /// Records the outcome of a request of `team`, or of a public route that needs no team.
     pub(crate) fn on_request(&self, team: Option<&str>, outcome: &str) {
         let name = team.map_or(NO_TEAM, |team| self.team_label(team));
         self.requests.with_label_values(&[name, outcome]).inc();
--- a/bin/lh-entry/src/view.rs
+++ b/bin/lh-entry/src/view.rs
@@ -1,4 +1,4 @@
-//! Tells other entries what this one knows of the store, and asks leads for it.
+//! Serves this entry's knowledge of the store to other entries, and pulls it from leads.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -30,22 +30,22 @@
 
 use crate::state::InstanceState;
 
-/// Path of the question.
+/// Path of the request.
 pub(crate) const VIEW_PATH: &str = "/view";
-/// Longest wait for an answer: several round trips. After it the other lead is asked, so
-/// that one that died costs no freshness.
+/// Timeout of a pull, which covers several round trips. After it the other lead is asked, so
+/// that a failed lead doesn't delay updates.
 const PULL_TIMEOUT: Duration = Duration::from_millis(300);
-/// The same for an entry that knows nothing: whole copies for a region's entries that all
-/// start at once take their time on the lead's link.
+/// Timeout of a pull by an entry that has no complete state yet. If all entries of a region
+/// start at once, full copies for all of them take long on the lead's link.
 const INITIAL_PULL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Largest answer that is read, in bytes.
+/// Maximum size of a response, in bytes.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
-/// Encoded changes kept, by the version since which they are: followers differ by a few
-/// versions at most.
+/// Maximum number of cached encodings, one for each starting version. Followers are at most a
+/// few versions apart.
 const MAX_ENCODED: usize = 16;
 
 base::common! {
-    /// What an entry knows and others may know more of.
+    /// Request for newer state: the versions that the requesting entry has.
     struct ViewQuery {
         /// Version of the registry's log.
         registry: u64,
@@ -55,68 +55,69 @@
         desired: u64,
         /// Versions of the lists of entries.
         lists: Vec<(String, ListVersion)>,
-        /// Where the one that asks tells what it knows.
+        /// Address at which the requesting entry serves its own state.
         view: SocketAddr,
-        /// Whether it takes a copy of the registry from nobody else.
+        /// Whether it accepts a copy of the registry only from the requested entry.
         direct_only: bool,
-        /// Whether it asks which servers have left.
+        /// Whether it requests the list of departed servers.
         departures: bool,
     }
 
-    /// What the one that asked lacks.
+    /// Response with the state that the requesting entry lacks.
     #[derive(Default)]
     struct ViewAnswer {
         store: StoreProgressMessage,
-        /// An encoded [`RegistryDelta`]; empty where nothing changed.
+        /// An encoded [`RegistryDelta`]; empty if nothing changed.
         registry: Vec<u8>,
-        /// Where that is to be had instead.
+        /// Address of another entry that serves a copy of the registry instead.
         relay: Option<SocketAddr>,
-        /// Whether it can't be told now, since others are.
+        /// Whether the registry can't be sent now because copies for others occupy the link.
         is_busy: bool,
-        /// The failure domains to be evacuated, where something changed.
+        /// Evacuated failure domains, if any of the operator's rows changed.
         evacuated: Option<Vec<String>>,
-        /// The rollouts, where something changed.
+        /// Rollouts, if any of the operator's rows changed.
         rollouts: Vec<RolloutRecord>,
-        /// An encoded [`DesiredState`]; empty where the one that asked has it.
+        /// An encoded [`DesiredState`]; empty if the requesting entry has it.
         desired: Vec<u8>,
         lists: Vec<EntryList>,
-        /// Servers that have left, where that was asked for.
+        /// Departed servers, if requested.
         departures: Vec<Departure>,
-        /// The latest time that the store's clock can show.
+        /// Upper bound on the current time of the store's clock.
         latest_store_time: StoreTime,
     }
 }
 
 quick_error! {
-    /// Why another entry's word gave nothing.
+    /// Why a pull from another entry failed.
     #[derive(Debug)]
     #[allow(unreachable_pub, reason = "the macro takes no narrower visibility")]
     pub enum ViewError {
-        /// No connection or no whole answer.
+        /// The connection failed, or the response was incomplete.
         Connection(why: String) {
             display("{}", why)
         }
-        /// No answer in time.
+        /// No response in time.
         Timeout {
             display("no answer in time")
         }
-        /// The other entry tells others everything now.
+        /// The other entry is sending copies to others.
         Busy {
             display("busy with copies for others")
         }
-        /// An answer that isn't understood, as of another version.
+        /// The response can't be decoded, for example because it is from another release.
         Format(why: postcard::Error) {
-            display("answer not understood: {}", why)
+            display("can't decode the response: {}", why)
             from()
         }
     }
 }
 
-/// Changes of the registry as encoded for one follower, for others that ask for the same:
-/// whole copies for a region's entries are made once.
+/// Cache of encoded registry changes, shared by followers that request the same ones. A full
+/// copy for all entries of a region is encoded once.
 #[derive(Debug, Default)]
 pub(crate) struct EncodedChanges {
-    /// The log that they are of. Its version alone may stand for other content before.
+    /// Version and content of the log that was encoded. The version alone doesn't suffice: the
+    /// same version may have had other content before.
     log_state: (u64, ContentHash),
     by_version: HashMap<u64, Rc<Vec<u8>>>,
 }
@@ -133,7 +134,7 @@
     }
 }
 
-/// What this entry knows beyond `query`; `None` where that isn't understood.
+/// Returns the state that is newer than `query`; `None` if the query can't be decoded.
 pub(crate) fn answer_view(state: &InstanceState, query: &str) -> Option<Vec<u8>> {
     let bytes = URL_SAFE_NO_PAD.decode(query).ok()?;
     let query: ViewQuery = postcard::from_bytes(&bytes).ok()?;
@@ -176,16 +177,16 @@
     Some(encode(&answer))
 }
 
-/// The bytes of `value`; none where it can't be encoded, which the one that asked tells
-/// from an answer.
+/// Encodes `value`. If that fails the result is empty, which the receiver can tell from a
+/// response.
 fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     postcard::to_allocvec(value).unwrap_or_else(|error| {
-        log::error!(error:%; "nothing told to another entry");
+        log::error!(error:%; "can't encode a message for another entry");
         Vec::new()
     })
 }
 
-/// Asks a lead for what it knows more, and takes that in.
+/// Pulls newer state from a lead and applies it.
 pub(crate) async fn pull(state: Rc<InstanceState>, target: PullTarget) {
     let begun = Instant::now();
     let mut client = state.fleet.client.take();
@@ -213,7 +214,8 @@
         .on_event(FleetEvent::PullFinished(target.view_address, done));
 }
 
-/// The lead's answer, and that of the entry which it names for a copy of the registry.
+/// Returns the lead's response, followed by that of the entry to which it refers for a copy of
+/// the registry. Falls back to the lead if that entry has no copy.
 async fn ask(
     state: &InstanceState,
     client: &mut ViewClient,
@@ -230,8 +232,8 @@
     let copy = ViewClient::default().ask(state, &relay, false).await;
     match copy {
         Ok(copy) if !copy.registry.is_empty() => return Ok(vec![answer, copy]),
-        Ok(_) => log::info!(relay:% = view; "no copy of the registry there"),
-        Err(error) => log::info!(relay:% = view, error:%; "no copy of the registry there"),
+        Ok(_) => log::info!(relay:% = view; "relay has no copy of the registry"),
+        Err(error) => log::info!(relay:% = view, error:%; "relay sent no registry copy"),
     }
     Ok(vec![client.ask(state, target, true).await?])
 }
@@ -242,8 +244,8 @@
     target: &PullTarget,
     answer: &ViewAnswer,
 ) -> Result<(), ViewError> {
-    // The answer was given at some time since the question: taking it for new would hide how
-    // long this process had no turn to read it.
+    // The response was created at some time since `begun`. Dating it to now would hide how long
+    // this process was stalled before reading it.
     let progress = StoreProgress::from_message(begun, &answer.store);
     if !answer.desired.is_empty() {
         let desired: DesiredState = postcard::from_bytes(&answer.desired)?;
@@ -280,7 +282,7 @@
     Ok(())
 }
 
-/// Asks one lead after the other, over a connection that is kept.
+/// Client for other entries' views; keeps the connection to the last one open.
 #[derive(Debug, Default)]
 pub(crate) struct ViewClient {
     lead: Option<SocketAddr>,
@@ -341,7 +343,7 @@
             let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(lost)?;
             tokio::task::spawn_local(async move {
                 if let Err(error) = connection.await {
-                    log::debug!(error:%; "connection to another entry ended");
+                    log::debug!(error:%; "connection to another entry failed");
                 }
             });
             self.sender = Some(sender);
--- a/bin/lh-entry/src/watch.rs
+++ b/bin/lh-entry/src/watch.rs
@@ -1,7 +1,8 @@
-//! Asks the platform's store: the operator's rows through a feed, the servers' registry
-//! by readings, the rows by which leads and callers' regions are found.
+//! Reads the platform's store: watches the operator's rows through a change feed, polls the
+//! server registry, and reads and writes the rows by which leads and callers' home regions are
+//! found.
 //!
-//! When this entry is to ask is decided in `place::fleet`.
+//! `place::fleet` decides when this entry calls the store.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,32 +20,34 @@
 use crate::quarantine;
 use crate::state::InstanceState;
 
-/// Longest wait for an answer of the store. Slow answers of up to a second
-/// have been seen; after that a new connection is better.
+/// Timeout of calls to the store. Responses that took up to a second have been observed; after
+/// that a new connection is more likely to succeed.
 pub(crate) const STORE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long a feed without changes stays open. A connection that went silent
-/// is noticed after this and the patience: within the time in which an entry
-/// must be up to date again after its connections were disturbed.
+/// How long a feed without changes stays open. A connection that went silent is detected after
+/// this plus [`STORE_TIMEOUT`], which is within the time in which an entry must be up to date
+/// again after its connections were disturbed.
 const FEED_WAIT: Duration = Duration::from_millis(2000);
-/// Parts of the times within which keys must be known and forgotten for which a feed stays
-/// open at most: the rest is for the way to the other entries, and for a second call.
+/// Fraction of the time within which new keys must be known for which a feed stays open at
+/// most. The rest is left for propagation to other entries and for a second call.
 const MAX_LEARN_FRACTION: f64 = 0.6;
+/// The same for the time within which revoked keys must be rejected.
 const MAX_REVOKE_FRACTION: f64 = 0.4;
-/// First pause after a failed call, so that a store in trouble isn't pressed.
+/// Delay after the first failed call, so that a failing store isn't overloaded.
 const MIN_BACKOFF: Duration = Duration::from_millis(300);
-/// Longest pause: a store that is back is noticed within it.
+/// Maximum delay between calls; a recovered store is noticed within it.
 const MAX_BACKOFF: Duration = Duration::from_millis(1200);
-/// Time between two looks at the rows of client blocks, where callers are sorted by them.
+/// Interval at which client block rows are read if callers' home regions depend on them.
 const BLOCKS_INTERVAL: Duration = Duration::from_secs(15);
 
-/// Keeps the operator's rows in force, while this entry is to watch them, until the
-/// process ends.
+/// Watches and applies the operator's rows while the fleet assigns this to the entry. Runs
+/// until the process ends.
 pub(crate) async fn watch_operator(state: Rc<InstanceState>) {
     let mut client = StoreClient::new(state.config.store, STORE_TIMEOUT);
     let mut dependency = Dependency::new("operator feed");
     let mut watching = state.fleet.watching.subscribe();
     let mut backoff = MIN_BACKOFF;
-    // A store that nobody has written to is at version 0, and its rows are none.
+    // A store that was never written to is at version 0 and has no rows, so the version alone
+    // doesn't show whether it has been read.
     let mut has_read = false;
     let mut reports_time = true;
     loop {
@@ -92,8 +95,8 @@
     }
 }
 
-/// How long the store may hold its answer back: its word must not grow too old meanwhile,
-/// where it can be told how old it is.
+/// Returns how long the store may delay its response. If the age of the information is known,
+/// it must not exceed its bounds meanwhile.
 fn feed_wait(state: &InstanceState, reports_time: bool) -> Duration {
     let longest = match state.proof_within() {
         None => FEED_WAIT,
@@ -111,16 +114,17 @@
     }
 }
 
-/// Rows that vanish from now on may only have lapsed.
+/// Records that the registry can't be read: rows that disappear from now on may only have
+/// lapsed.
 fn on_registry_unavailable(state: &InstanceState) {
     let mut placer = state.placer.borrow_mut();
     placer.catalog.on_read_failed(Instant::now());
 }
 
-/// Takes in the operator's rows as of `as_of`: all of them, or those that changed.
+/// Applies the operator's rows as of `as_of`: the complete set, or only those that changed.
 fn apply_operator_rows(state: &InstanceState, rows: &OperatorRows, as_of: Instant, is_whole: bool) {
     if rows.version < state.fleet.known().operator {
-        // A lead told what is newer while this answer was on its way.
+        // A lead sent newer rows while this response was in transit.
         return;
     }
     if is_whole {
@@ -143,7 +147,7 @@
     });
 }
 
-/// Reads the registry once.
+/// Reads the registry once and reports the outcome to the fleet.
 pub(crate) async fn read_registry(state: Rc<InstanceState>, call: RegistryRead) {
     let mut client = state
         .registry
@@ -202,8 +206,8 @@
     state.fleet.on_event(FleetEvent::RegistryRead(outcome));
 }
 
-/// Lets `client` go on from what a lead has told, so that an entry that begins to read
-/// asks for changes only.
+/// Lets `client` resume from the registry as received from a lead, so that an entry that
+/// starts reading requests only changes.
 fn resume(state: &InstanceState, client: &mut StoreClient) {
     let told = state.fleet.known().registry_read;
     if client.servers_version().is_none_or(|read| read < told) && told > 0 {
@@ -213,7 +217,7 @@
     }
 }
 
-/// Looks at the rows by which leads and callers' regions are found.
+/// Reads the rows by which leads, quarantined requests and callers' home regions are found.
 pub(crate) async fn read_entry_rows(state: Rc<InstanceState>) {
     let client = PlatformClient::new(state.config.store).with_answer_timeout(STORE_TIMEOUT);
     let rows = match client.list(ENTRY_TABLE).await {
@@ -222,7 +226,7 @@
             state
                 .metrics
                 .on_store_call("entries", Some(store::Error::kind(&error)));
-            log::info!(error:%; "rows of leads not read");
+            log::info!(error:%; "can't read the rows of leads");
             return;
         }
     };
@@ -241,14 +245,14 @@
         for address in row.value.split(',') {
             match address.parse() {
                 Ok(address) => leads.push((region.to_owned(), address)),
-                Err(_) => log::warn!(region; "lead's row left out"),
+                Err(_) => log::warn!(region; "ignoring an invalid address in a lead's row"),
             }
         }
     }
     state.fleet.on_event(FleetEvent::LeadRows(leads));
 }
 
-/// Writes who leads the region, for entries that can't find out otherwise.
+/// Writes the region's leads to the store, for entries that can't discover them otherwise.
 pub(crate) async fn write_lead_row(state: Rc<InstanceState>, leads: Vec<SocketAddr>) {
     let client = PlatformClient::new(state.config.store).with_answer_timeout(STORE_TIMEOUT);
     let key = format!("{LEAD_PREFIX}{}", state.config.region);
@@ -258,12 +262,13 @@
     let error = result.as_ref().err().map(store::Error::kind);
     state.metrics.on_store_call("entries", error);
     if let Err(error) = result {
-        log::info!(error:%; "row of leads not written");
+        log::info!(error:%; "can't write the row of leads");
     }
 }
 
-/// Looks for client blocks now and then where callers of the own interface are sorted by
-/// them, until the process ends. Leads look at these rows anyway.
+/// Periodically reads client blocks if there are routes on the product's own interface, whose
+/// callers' home regions depend on them. Leads read these rows anyway. Runs until the process
+/// ends.
 pub(crate) async fn watch_blocks(state: Rc<InstanceState>) {
     loop {
         tokio::time::sleep(BLOCKS_INTERVAL).await;
@@ -273,7 +278,7 @@
     }
 }
 
-/// Logs when something the entry depends on is lost and regained, once each.
+/// Logs each loss and recovery of a dependency once.
 #[derive(Debug)]
 pub(crate) struct Dependency {
     name: &'static str,
@@ -281,7 +286,7 @@
 }
 
 impl Dependency {
-    /// The dependency `name`, not lost.
+    /// Creates the available dependency `name`.
     pub(crate) fn new(name: &'static str) -> Self {
         Self {
             name,
--- a/bin/lh-entry/tests/copies.rs
+++ b/bin/lh-entry/tests/copies.rs
@@ -1,11 +1,11 @@
-//! Entries that need a copy of all servers while their lead's link is busy with others.
+//! Tests of full registry copies for entries while their lead's link is saturated.
 
 mod world;
 
 use platform_standin::{FaultPlan, server_entry};
 use world::{EntryProcess, World, until};
 
-/// Enough rows that a copy takes the slow link of the test most of a second.
+/// Number of servers at which a copy occupies the test's slow link for most of a second.
 const SERVERS: usize = 3000;
 const SLOW_LINK: &str = "link_megabits = 1\n";
 
@@ -18,8 +18,8 @@
     })
 }
 
-/// Promise: entries that start together while their leads' links are slow all get a copy, some
-/// of them from one that got it before, and know the same servers.
+/// Entries that start together while the leads' links are slow must all get a copy, some of them
+/// relayed by an entry that got it before, and must know the same servers.
 #[tokio::test(flavor = "multi_thread")]
 async fn entries_that_have_a_copy_tell_others() {
     let world = World::new(1).await;
@@ -35,7 +35,7 @@
     let store = world.store.address();
     let first = EntryProcess::start_with_bounds(store, "n1", SLOW_LINK);
     first.wait_ready().await;
-    // Else those that are able enough read the store.
+    // Otherwise eligible entries would read the store themselves.
     world.store.set_faults(FaultPlan {
         outage: true,
         ..FaultPlan::default()
@@ -57,5 +57,5 @@
     for entry in [&first].into_iter().chain(&others) {
         senders += usize::from(full_copies_sent(entry).await > 0.0);
     }
-    assert!(senders >= 2, "only {senders} told a copy");
+    assert!(senders >= 2, "only {senders} sent a copy");
 }
--- a/bin/lh-entry/tests/lines.rs
+++ b/bin/lh-entry/tests/lines.rs
@@ -1,11 +1,11 @@
-//! Which lines an entry writes when much happens at once.
+//! Tests of the log line limits under bursts of events.
 
 mod world;
 
 use platform_standin::{FaultPlan, server_entry};
 use world::{EntryProcess, World, until};
 
-/// Promise: hundreds of servers that join at once don't push out the line that another one is
+/// Hundreds of servers that join at once must not displace the log line that another server is
 /// leaving.
 #[tokio::test]
 async fn a_mass_of_lines_of_one_kind_hides_no_other() {
--- a/bin/lh-entry/tests/own/mod.rs
+++ b/bin/lh-entry/tests/own/mod.rs
@@ -1,4 +1,4 @@
-//! Callers on the product's own interface, with servers that take real time.
+//! Test fixture: callers on the product's own interface, and servers with real processing times.
 #![allow(dead_code, unreachable_pub, missing_docs)]
 
 use std::net::SocketAddr;
@@ -24,15 +24,15 @@
     [service desk]\nrepeat = at-most-once\ndeadline = 30s\n\
     [service locker]\nrepeat = idempotent\ndeadline = 300s\n";
 
-/// The store and the servers.
+/// The fake store and simulated backend servers.
 pub struct OwnWorld {
     pub store: FakeStore,
     pub backends: Vec<BackendSim>,
 }
 
 impl OwnWorld {
-    /// `count` servers for each of the services `board` (idempotent), `desk` (at most
-    /// once) and `locker` (large bodies), with `slots` slots and the given mean time.
+    /// Creates `count` servers for each of the services `board` (idempotent), `desk` (at most
+    /// once) and `locker` (large bodies), with `slots` slots and the given mean service time.
     pub async fn new(count: usize, slots: u16, service_time: Duration) -> Self {
         let store = FakeStore::start().await;
         let mut backends = Vec::new();
@@ -57,7 +57,7 @@
         world
     }
 
-    /// Puts the deployment in force with another bound on bodies.
+    /// Applies the deployment with another limit on the size of bodies.
     pub fn apply(&self, version: u64, max_body: &str) {
         let text = BASE.replace(
             "name = test",
@@ -66,7 +66,7 @@
         self.apply_text(version, &text);
     }
 
-    /// Puts the deployment with the teams `red` and `blue`, of one key each, in force.
+    /// Applies the deployment with the teams `red` and `blue`, each with one key.
     pub fn apply_teams(&self, version: u64, [red, blue]: [&str; 2]) {
         let team = |name: &str, key: &str| {
             let digest = KeyDigest::of(key.as_bytes()).to_text();
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Starts the entry `name` that hears of `others`.
+    /// Starts the entry `name` with `others` as its seeds.
     pub async fn entry(&self, name: &str, others: &[&EntryProcess]) -> EntryProcess {
         let seeds: Vec<_> = others.iter().map(|other| other.ip).collect();
         let entry = EntryProcess::start(self.store.address(), name, &seeds);
@@ -106,15 +106,16 @@
     }
 }
 
-/// What a look-up on the own interface names.
+/// Returns the entries named by a look-up on the product's own interface.
 pub async fn entries(entry: &EntryProcess, service: &str) -> Vec<serde_json::Value> {
     let path = format!("/v1/entries?service={service}");
     let found = entry.document(&path).await;
     found["entries"].as_array().cloned().unwrap_or_default()
 }
 
-/// The ticket for `entry` from a look-up at it. Another entry that has just begun to lead
-/// may list the region before it has heard this one's beat; it is named soon after.
+/// Returns the ticket for `entry` from a look-up at it. Retries, because an entry that has just
+/// become a lead may publish the list of the region before it has received this entry's
+/// heartbeat.
 pub async fn ticket(entry: &EntryProcess, service: &str) -> String {
     let address = entry.callers().to_string();
     let mut ticket = None;
@@ -128,7 +129,7 @@
     ticket.expect("it was found")
 }
 
-/// Waits until the look-ups at `entry` name `count` entries.
+/// Waits until a look-up at `entry` names `count` entries.
 pub async fn wait_for_entries(entry: &EntryProcess, count: usize) {
     until("the look-up names that many", async || {
         entries(entry, "board").await.len() == count
@@ -136,7 +137,7 @@
     .await;
 }
 
-/// An answer as a caller sees it.
+/// A response as received by a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReceivedResponse {
     pub status: u16,
@@ -146,7 +147,7 @@
     pub body: Bytes,
 }
 
-/// Sends a request with the given headers; `None` where the connection broke.
+/// Sends a request with the given headers; `None` if the connection failed.
 pub async fn send(
     address: SocketAddr,
     path: &str,
@@ -186,7 +187,7 @@
     })
 }
 
-/// Sends a booking under a ticket.
+/// Sends a booking with a ticket.
 pub async fn book(
     address: SocketAddr,
     id: &str,
@@ -197,7 +198,7 @@
     book_as(None, address, id, ticket, number, attempt).await
 }
 
-/// The same with the key of a team.
+/// Sends a booking with a ticket and optionally a team's key.
 pub async fn book_as(
     key: Option<&str>,
     address: SocketAddr,
--- a/bin/lh-entry/tests/pages.rs
+++ b/bin/lh-entry/tests/pages.rs
@@ -1,4 +1,4 @@
-//! The pages for operators are in step with the program.
+//! Tests that the operators' documentation matches the program.
 
 mod world;
 
@@ -14,8 +14,8 @@
     std::fs::read_to_string(root.join(path)).unwrap()
 }
 
-/// Promise: the platform's template fills in settings that the program takes, and all
-/// that have no default.
+/// The platform's template must contain only settings that the program accepts, and all of those
+/// without a default.
 #[test]
 fn the_template_fills_in_all_settings() {
     let text = page("platform/entry.ini");
@@ -59,7 +59,7 @@
     assert!(config.is_ok(), "{plain}\n{:?}", config.err());
 }
 
-/// Promise: each metric has its row with its labels and its help.
+/// Each metric must have a row in the documentation with its labels and help text.
 #[tokio::test]
 async fn each_metric_has_its_row() {
     let world = World::new(1).await;
@@ -129,8 +129,7 @@
         .collect()
 }
 
-/// Promise: the request lines that the operators' page quotes have the fields that
-/// the program writes.
+/// Request log lines quoted in the documentation must have the fields that the program writes.
 #[tokio::test]
 async fn quoted_lines_have_the_programs_fields() {
     let world = World::new(1).await;
--- a/bin/lh-entry/tests/readers.rs
+++ b/bin/lh-entry/tests/readers.rs
@@ -1,4 +1,4 @@
-//! Which entries read the store, and how the others hear what it holds.
+//! Tests of which entries read the store, and of how the others get its content.
 
 mod world;
 
@@ -8,8 +8,8 @@
 use platform_standin::{FakeStore, desired_state, server_entry};
 use world::{BOARD, DESK, EntryProcess, SilentProxy, World, until};
 
-/// Promise: an entry that the store doesn't answer learns servers, desired states and
-/// evacuations from another, also while they change.
+/// An entry without access to the store must get servers, desired states and evacuations from
+/// another entry, including later changes.
 #[tokio::test]
 async fn an_entry_cut_off_from_the_store_follows_another() {
     let world = World::new(1).await;
@@ -32,8 +32,8 @@
     .await;
 }
 
-/// Promise: where the store answers no entry of a region, they follow one of another
-/// region, also while what it holds changes.
+/// If no entry of a region has access to the store, they must follow an entry of another region,
+/// including later changes.
 #[tokio::test]
 async fn a_region_cut_off_from_the_store_follows_another() {
     let world = World::new(1).await;
@@ -62,7 +62,7 @@
     }
 }
 
-/// Promise: an entry that followed others reads for itself once the store answers it.
+/// An entry that followed others must read the store itself once it has access.
 #[tokio::test]
 async fn a_region_that_is_served_again_reads_for_itself() {
     let world = World::new(1).await;
@@ -87,8 +87,8 @@
     .await;
 }
 
-/// Promise: a reader whose connections to the store went silent makes nobody late: its
-/// follower has a new desired state before the reader itself has noticed.
+/// A reader whose connections to the store went silent must not delay its follower, which must
+/// get a new desired state before the reader detects the failure.
 #[tokio::test]
 async fn a_silent_reader_makes_no_follower_late() {
     let world = World::new(1).await;
@@ -99,7 +99,7 @@
     reader.wait_ready().await;
     let follower = EntryProcess::start(world.store.address(), names[1], &[reader.ip]);
     follower.wait_ready().await;
-    until("it follows: its readings have stopped", async || {
+    until("it follows: its registry reads have stopped", async || {
         let before = world.store.calls("/rows-get");
         tokio::time::sleep(Duration::from_secs(3)).await;
         world.store.calls("/rows-get") - before <= 5
@@ -114,8 +114,8 @@
     assert!(reader.logged("dependency lost").is_empty());
 }
 
-/// Promise: an entry that two others tell the operator's changes asks the store for none,
-/// and is up to date though one of the two fell silent; it asks again when both are gone.
+/// An entry that gets the operator's changes from two leads must not call the store, must stay
+/// up to date if one of the two loses the store, and must call the store when both are gone.
 #[tokio::test]
 async fn a_third_entry_is_told_by_two() {
     let world = World::new(1).await;
@@ -142,7 +142,7 @@
     };
     until("it asks the store no more", async || {
         let before = operator_calls().await;
-        // Longer than its feed would stay open.
+        // Longer than a feed stays open.
         tokio::time::sleep(Duration::from_secs(8)).await;
         operator_calls().await == before
     })
@@ -163,7 +163,7 @@
     .await;
 }
 
-/// Promise: a store that holds nothing yet is watched, not read again and again.
+/// An empty store must be watched rather than polled in a tight loop.
 #[tokio::test]
 async fn an_empty_store_is_not_pressed() {
     let store = FakeStore::start().await;
@@ -175,7 +175,7 @@
     let calls = || store.calls("/rows-get") + store.calls("/rows-feed");
     let before = calls();
     tokio::time::sleep(Duration::from_secs(3)).await;
-    // Two watches a reader's interval apart make six; without a wait they are hundreds.
+    // Watches with a wait make about six calls in this time; without a wait, hundreds.
     assert!(calls() - before <= 30, "{} calls", calls() - before);
     store.put("op", "config", &desired_state(5, &[BOARD]));
     store.put(
@@ -190,8 +190,8 @@
     "127.0.0.1:1".parse().unwrap()
 }
 
-/// Promise: few entries read the store: of three in a region one reads the registry, two
-/// watch the operator's rows, and the third asks for nothing.
+/// Of three entries in a region, exactly one must read the registry, two must watch the
+/// operator's rows, and the third must make no calls to the store.
 #[tokio::test]
 async fn one_entry_of_a_region_reads() {
     let world = World::new(1).await;
@@ -203,7 +203,7 @@
     let entries = [&first, &second, &third];
     until("one reads and two watch", async || {
         let before = store_calls(&entries).await;
-        // Longer than a watch without changes stays open.
+        // Longer than a feed without changes stays open.
         tokio::time::sleep(Duration::from_secs(4)).await;
         let after = store_calls(&entries).await;
         let pairs = || before.iter().zip(&after);
@@ -214,7 +214,7 @@
     .await;
 }
 
-/// Readings of the registry and watches of the operator's rows so far, by entry.
+/// Returns the number of registry reads and of operator watches of each entry.
 async fn store_calls(entries: &[&EntryProcess]) -> Vec<(u64, u64)> {
     let mut calls = Vec::new();
     for entry in entries {
--- a/bin/lh-entry/tests/rollouts.rs
+++ b/bin/lh-entry/tests/rollouts.rs
@@ -1,5 +1,4 @@
-//! Rollouts on real entries: the order, the rows that tell how far it is, and which servers
-//! get requests meanwhile.
+//! Tests of rollouts with real entries: orders, status rows, and which servers get requests.
 
 mod world;
 
@@ -12,13 +11,13 @@
 use tokio::task::JoinHandle;
 use world::{BOARD, EntryProcess, World, connect, exchange, request_for, until};
 
-/// Requests that are on their way at the same time.
+/// Number of concurrent requests.
 const CALLERS: usize = 6;
 const PAUSE: Duration = Duration::from_millis(15);
 const WORK: Duration = Duration::from_millis(30);
 const SERVERS: usize = 4;
 
-/// Two versions of a service, and callers of it.
+/// A service with two versions, and its callers.
 struct RolloutFixture {
     world: World,
     new: Vec<FakeBackend>,
@@ -42,7 +41,7 @@
         }
     }
 
-    /// Starts servers of `v2` that behave like `behavior`, beside the others.
+    /// Starts additional servers of `v2` with the given behavior.
     async fn start_new_servers(&mut self, behavior: &Behavior) {
         for index in 0..SERVERS {
             let backend = FakeBackend::start(&format!("j-{index}")).await;
@@ -59,7 +58,7 @@
         self.world.store.put("op", "rollout/board", &order);
     }
 
-    /// Lets callers ask `entry` until [`Self::stop_callers`].
+    /// Starts callers that send requests to `entry` until [`Self::stop_callers`].
     fn start_callers(&mut self, entry: &EntryProcess) {
         for caller in 0..CALLERS {
             let address = entry.callers();
@@ -125,8 +124,8 @@
     }
 }
 
-/// Promise: a good version gets everything, the status says so in turn, and once it is
-/// completed nothing goes to the others any more.
+/// A good version must finally get all requests, with the status row reporting each phase, and
+/// the old version must get none after completion.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_good_version_replaces_the_other() {
     let mut service = RolloutFixture::new().await;
@@ -149,8 +148,8 @@
     assert_eq!(row, json!({"state": "completed", "to": "v2"}));
 }
 
-/// Promise: a version whose answers fail is rolled back at once and gets nothing afterwards,
-/// at entries that start later as well; the line says why.
+/// A version whose responses fail must be rolled back quickly and get no more requests, also
+/// from entries that start later; the log line must contain the reason.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_bad_version_is_rolled_back() {
     let mut service = RolloutFixture::new().await;
@@ -196,7 +195,7 @@
     service.stop_callers().await;
 }
 
-/// Promise: an order that is taken back while it runs ends as rolled back.
+/// A rollout whose order is cancelled while it runs must end as rolled back.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_order_that_is_taken_back_ends() {
     let mut service = RolloutFixture::new().await;
@@ -220,8 +219,8 @@
     assert_eq!(service.failures.load(Ordering::Relaxed), 0);
 }
 
-/// Promise: servers of a version that appear before the order for it get no more than their
-/// part once the order is there, and a rollout goes on where all entries are lost midway.
+/// A rollout must continue when all entries are restarted midway, also if the servers of the new
+/// version appeared before the order.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_rollout_outlives_all_entries() {
     let mut service = RolloutFixture::new().await;
@@ -243,8 +242,8 @@
     service.stop_callers().await;
 }
 
-/// Promise: while the store is away over the deadline, the old version serves; afterwards the
-/// rollout is settled.
+/// If a store outage outlasts the deadline, the old version must serve; afterwards the rollout
+/// must be rolled back.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_store_that_is_away_completes_nothing() {
     let mut service = RolloutFixture::new().await;
--- a/bin/lh-entry/tests/settings.rs
+++ b/bin/lh-entry/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file: what it must hold, and what a wrong one is told.
+//! Tests of loading the settings file and of its error messages.
 #![allow(missing_docs)]
 
 use std::path::Path;
@@ -22,7 +22,7 @@
     EntryConfig::load(&path).map_err(|error| error.to_string())
 }
 
-/// Promise: a whole file is read; the own address is no seed.
+/// A complete file must load, and the own address must not be among the seeds.
 #[test]
 fn a_whole_file_is_read() {
     let config = load(GOOD).unwrap();
@@ -42,7 +42,7 @@
         .all(|spec| spec.default.is_some())
 }
 
-/// Promise: bounds that a platform doesn't set, and leaves empty, have their defaults.
+/// Settings that a platform's template leaves empty must get their defaults.
 #[test]
 fn bounds_left_empty_have_defaults() {
     let mut text = GOOD.to_owned();
@@ -58,7 +58,7 @@
     assert!(config.seeds.is_empty());
 }
 
-/// Promise: each missing or wrong setting is named.
+/// The error for a missing or invalid setting must contain its name.
 #[test]
 fn a_wrong_setting_is_named() {
     for line in GOOD.lines().filter(|line| line.contains(" = ")) {
@@ -80,7 +80,7 @@
     assert!(error.contains("peer_ports"), "{error}");
 }
 
-/// Promise: the program checks its settings and says what to do, with exit code 2.
+/// With `--check`, an unreadable settings file must be reported with exit code 2.
 #[test]
 fn the_program_checks_its_settings() {
     let program = Command::new(env!("CARGO_BIN_EXE_lh-entry"))
--- a/bin/lh-entry/tests/states.rs
+++ b/bin/lh-entry/tests/states.rs
@@ -1,4 +1,4 @@
-//! Desired states, the registry, the store's troubles and stops.
+//! Tests of desired states, the server registry, store failures and shutdown.
 
 mod world;
 
@@ -7,7 +7,7 @@
 use platform_standin::{Behavior, FakeBackend, FaultPlan, RouteText, desired_state, server_entry};
 use world::{BOARD, DESK, EntryProcess, World, connect, exchange, request, request_for, until};
 
-/// Promise: a new desired state is in force soon, and an older one never again.
+/// A new desired state must come into force, and an older one must be ignored afterwards.
 #[tokio::test]
 async fn a_desired_state_never_goes_back() {
     let world = World::new(1).await;
@@ -35,7 +35,7 @@
     assert_eq!(entry.send("POST", "/desk/x", "c").await.status, 404);
 }
 
-/// Promise: a desired state that doesn't decode changes nothing, and says so.
+/// A desired state or server entry that can't be decoded must be logged and change nothing.
 #[tokio::test]
 async fn a_broken_desired_state_changes_nothing() {
     let world = World::new(1).await;
@@ -55,7 +55,7 @@
     assert_eq!(entry.send("GET", "/board/x", "a").await.status, 200);
 }
 
-/// Promise: a lost history is no obstacle: everything is read again.
+/// When the store has lost its change history, the entry must read all rows again.
 #[tokio::test]
 async fn a_lost_history_is_read_again() {
     let world = World::new(1).await;
@@ -68,7 +68,7 @@
     .await;
 }
 
-/// Promise: a server that is leaving gets no new requests.
+/// A draining server must get no new requests.
 #[tokio::test]
 async fn a_leaving_server_gets_nothing_new() {
     let world = World::new(2).await;
@@ -88,8 +88,7 @@
     assert_eq!(leaving.seen().len(), before);
 }
 
-/// Promise: an address that belongs to another server now runs nothing of the
-/// former one's.
+/// A request for a server whose address now belongs to another one must not run there.
 #[tokio::test]
 async fn an_address_used_again_runs_nothing() {
     let world = World::new(2).await;
@@ -109,8 +108,8 @@
     assert!(!asked.is_empty(), "the address was never tried");
 }
 
-/// Promise: nothing is sent to an evacuated failure domain, and an entry with no
-/// server left refuses at once.
+/// Nothing may be sent to an evacuated failure domain, and an entry without a remaining server
+/// must refuse immediately.
 #[tokio::test]
 async fn an_evacuated_domain_gets_nothing() {
     let world = World::new(1).await;
@@ -132,8 +131,8 @@
     .await;
 }
 
-/// Promise: an entry that knows no desired state is not ready, refuses at once
-/// with a time to come back, and serves once the store answers.
+/// An entry without a desired state must not be ready, must refuse immediately with a
+/// retry-after header, and must serve once the store responds.
 #[tokio::test]
 async fn an_entry_without_a_desired_state_refuses() {
     let world = World::new(1).await;
@@ -152,8 +151,8 @@
     assert_eq!(entry.send("GET", "/board/x", "b").await.status, 200);
 }
 
-/// Promise: the last known state stays in force while the store is away, and the
-/// loss and the return of the store are logged.
+/// The last known state must stay in force during a store outage, and the loss and recovery of
+/// the store must be logged.
 #[tokio::test]
 async fn the_last_known_state_outlives_the_store() {
     let world = World::new(1).await;
@@ -171,9 +170,8 @@
     .await;
 }
 
-/// Promise: at a stop, what was read is answered, later requests on kept
-/// connections too, connections are closed in order, and the process ends by
-/// itself.
+/// During shutdown all accepted requests must be answered, including later ones on open
+/// connections; connections must be closed cleanly, and the process must exit by itself.
 #[tokio::test]
 async fn a_stop_cuts_nothing_off() {
     let world = World::new(1).await;
@@ -204,8 +202,8 @@
     assert!(ended.await.unwrap().success());
 }
 
-/// Promise: entries find each other by a seed, callers are told of both, and of a
-/// dead one no longer.
+/// Entries must find each other through a seed; look-ups must name both, and no longer name one
+/// that has died.
 #[tokio::test]
 async fn callers_are_told_of_live_entries() {
     let world = World::new(1).await;
@@ -226,7 +224,7 @@
     .await;
 }
 
-/// Promise: an entry that gets SIGHUP with wrong settings goes on with the old.
+/// SIGHUP must have the settings checked again and must not interrupt service.
 #[tokio::test]
 async fn a_hangup_ends_nothing() {
     let world = World::new(1).await;
@@ -240,8 +238,8 @@
     assert!(connect(entry.callers()).await.is_some());
 }
 
-/// Promise: a server that left and starts again under its id is used again, at once
-/// at its new address, though its counts start anew.
+/// A server that left and restarts under the same id must be used again, at its new address,
+/// although its sequence number starts over.
 #[tokio::test]
 async fn a_server_that_starts_again_under_its_id_is_used() {
     let world = World::new(1).await;
@@ -271,8 +269,8 @@
     assert!(!entry.logged("started again under its id").is_empty());
 }
 
-/// Promise: a row of another writer takes the server out while it stands, is logged
-/// once however often it is read, and is counted.
+/// A foreign row must take its server out of use while it exists, must be logged once no matter
+/// how often it is read, and must be counted.
 #[tokio::test]
 async fn a_foreign_row_is_told_once() {
     let world = World::new(2).await;
--- a/bin/lh-entry/tests/world/mod.rs
+++ b/bin/lh-entry/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! A real lh-entry with everything around it played by the test: the platform's
-//! store, backend servers and callers.
+//! Test fixture: real lh-entry processes with a fake platform store, fake backend servers and
+//! simulated callers.
 #![allow(dead_code, unreachable_pub, missing_docs)]
 
 use std::net::{IpAddr, SocketAddr};
@@ -15,7 +15,7 @@
 use platform_standin::{FakeBackend, FakeStore, RouteText, desired_state, server_entry};
 use tokio::net::TcpStream;
 
-/// Longest wait for anything; generous, since nothing here measures time.
+/// Timeout of all waits; generous, since these tests don't measure time.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 pub const BOARD: RouteText<'static> = RouteText {
@@ -33,14 +33,14 @@
     timeout: "30s",
 };
 
-/// The store and the servers.
+/// The fake store and backend servers.
 pub struct World {
     pub store: FakeStore,
     pub backends: Vec<FakeBackend>,
 }
 
 impl World {
-    /// Two routes to `count` servers.
+    /// Creates a store with two routes to `count` servers.
     pub async fn new(count: usize) -> Self {
         let store = FakeStore::start().await;
         store.put("op", "config", &desired_state(5, &[BOARD, DESK]));
@@ -54,13 +54,13 @@
         Self { store, backends }
     }
 
-    /// How often all servers ran the request `id`.
+    /// Returns how often the request `id` ran, over all servers.
     pub fn runs(&self, id: &str) -> usize {
         self.backends.iter().map(|backend| backend.runs(id)).sum()
     }
 }
 
-/// One lh-entry process.
+/// An lh-entry process.
 pub struct EntryProcess {
     pub child: Child,
     pub ip: IpAddr,
@@ -82,22 +82,23 @@
 const PEER_PORT: u16 = 20_005;
 
 impl EntryProcess {
-    /// Starts an entry of the region north that uses `store` and hears of `seeds`.
+    /// Starts an entry in the region north that uses `store` and has the given seeds.
     pub fn start(store: SocketAddr, name: &str, seeds: &[IpAddr]) -> Self {
         Self::start_in_domain("zone-a", "north", store, name, seeds)
     }
 
-    /// The same with further `bounds`.
+    /// Starts an entry in the region north with additional settings in `[bounds]`.
     pub fn start_with_bounds(store: SocketAddr, name: &str, bounds: &str) -> Self {
         Self::start_at(("zone-a", "north"), store, name, &[], bounds)
     }
 
-    /// The same beside `other`.
+    /// Starts an entry in the region north that has `other` as its seed, with additional
+    /// settings in `[bounds]`.
     pub fn start_with_peer(other: &Self, store: SocketAddr, name: &str, bounds: &str) -> Self {
         Self::start_at(("zone-a", "north"), store, name, &[other.ip], bounds)
     }
 
-    /// The same in the failure domain `zone` of `region`.
+    /// Starts an entry in the failure domain `zone` of `region`.
     pub fn start_in_domain(
         zone: &str,
         region: &str,
@@ -192,13 +193,13 @@
         answer.map_or(String::new(), |answer| answer.body)
     }
 
-    /// A JSON document at the look-up address.
+    /// Fetches a JSON document from the look-up address.
     pub async fn document(&self, path: &str) -> serde_json::Value {
         let answer = get(self.at(LOOKUP_PORT), path).await.unwrap();
         serde_json::from_str(&answer.body).unwrap_or_default()
     }
 
-    /// Largest memory that the process ever had, in KiB.
+    /// Returns the peak memory of the process, in KiB.
     pub fn peak_memory(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find(|line| line.starts_with("VmHWM"));
@@ -219,7 +220,7 @@
         assert!(status.unwrap().success());
     }
 
-    /// Log lines that contain `text`, so far.
+    /// Returns the log lines so far that contain `text`.
     pub fn logged(&self, text: &str) -> Vec<String> {
         let lines = self.lines.lock().unwrap();
         lines
@@ -235,7 +236,7 @@
             .expect("the entry accepts callers")
     }
 
-    /// Sends one request on a connection of its own.
+    /// Sends a request on a new connection.
     pub async fn send(&self, method: &str, path: &str, id: &str) -> Answer {
         let mut sender = self.connect().await;
         exchange(&mut sender, request(method, path, id))
@@ -244,7 +245,7 @@
     }
 }
 
-/// An answer as a caller sees it.
+/// A response as received by a caller.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -307,7 +308,7 @@
         .unwrap()
 }
 
-/// Sends a request; `None` if the connection ended without a whole answer.
+/// Sends a request; `None` if the connection ended without a complete response.
 pub async fn exchange(
     sender: &mut SendRequest<Full<Bytes>>,
     request: Request<Full<Bytes>>,
@@ -329,8 +330,8 @@
     exchange(&mut sender, request("GET", path, "check")).await
 }
 
-/// Passes a store's connections on until it is silenced: then nothing passes, and
-/// nothing is closed.
+/// Proxy in front of a store. After it is silenced, it forwards no more data but keeps all
+/// connections open.
 pub struct SilentProxy {
     pub address: SocketAddr,
     silent: tokio::sync::watch::Sender<bool>,
