--- a/bin/lh-entry/src/config.rs
+++ b/bin/lh-entry/src/config.rs
@@ -131,7 +131,7 @@
                 slack: bounds.number("exposure_slack")?,
             },
             access: AccessBounds {
-                revoke: revoke(bounds)?,
+                revoke: revocation_bound(bounds)?,
                 learn: bounds.duration("config_apply")?,
             },
             max_lookup_ttl: bounds.duration("lookup_ttl_most")?,
@@ -153,10 +153,10 @@
 
 /// Returns how long a revoked key may still be served; `None` if an instance without updates
 /// keeps serving the keys that it knows.
-fn revoke(bounds: &CheckedSection) -> Result<Option<Duration>> {
-    let binds = bounds.text("revoke_cut_off")? == "true";
+fn revocation_bound(bounds: &CheckedSection) -> Result<Option<Duration>> {
+    let is_limited = bounds.text("revoke_cut_off")? == "true";
     let bound = bounds.duration("revoke")?;
-    Ok(binds.then_some(bound))
+    Ok(is_limited.then_some(bound))
 }
 
 /// Returns the seeds with this entry's peer port, which all entries use, except the own address.
--- a/bin/lh-entry/src/error.rs
+++ b/bin/lh-entry/src/error.rs
@@ -13,7 +13,7 @@
             from()
         }
         /// A service is missing or registered twice.
-        Wiring(cause: kernel::Error) {
+        Services(cause: kernel::Error) {
             display("{}", cause)
             from()
         }
--- a/bin/lh-entry/src/internal.rs
+++ b/bin/lh-entry/src/internal.rs
@@ -33,8 +33,8 @@
         tokio::task::spawn_local(async move {
             let _ = stream.set_nodelay(true);
             let service = service_fn(move |request| {
-                let respond = respond(&state, &request, caller.ip());
-                async move { Ok::<_, Infallible>(respond) }
+                let answer = respond(&state, &request, caller.ip());
+                async move { Ok::<_, Infallible>(answer) }
             });
             let served = Builder::new()
                 .header_read_timeout(None)
@@ -65,14 +65,14 @@
             )
         }
         platform::lookup::LOOKUP_PATH => {
-            let place = platform::lookup::parse_location(query);
-            match lookup::answer_platform(state, &place) {
-                Some(respond) => json(StatusCode::OK, respond),
+            let location = platform::lookup::parse_location(query);
+            match lookup::answer_platform(state, &location) {
+                Some(answer) => json(StatusCode::OK, answer),
                 None => text(StatusCode::SERVICE_UNAVAILABLE, String::new()),
             }
         }
         lookup::ENTRIES_PATH => match lookup::answer_own(state, query, from) {
-            OwnLookup::Found(respond) => json(StatusCode::OK, respond),
+            OwnLookup::Found(answer) => json(StatusCode::OK, answer),
             OwnLookup::UnknownService => text(StatusCode::NOT_FOUND, String::new()),
             OwnLookup::NoEntry => text(StatusCode::SERVICE_UNAVAILABLE, String::new()),
         },
@@ -81,7 +81,7 @@
             json(StatusCode::OK, status::answer_status(state, service))
         }
         view::VIEW_PATH => match view::answer_view(state, query) {
-            Some(respond) => bytes(respond),
+            Some(answer) => bytes(answer),
             None => text(StatusCode::BAD_REQUEST, String::new()),
         },
         METRICS_PATH => {
--- a/bin/lh-entry/src/lookup.rs
+++ b/bin/lh-entry/src/lookup.rs
@@ -12,7 +12,7 @@
 
 /// How long callers may use a response. Some use it three times as long, and all of them must
 /// have left a stopping entry before it refuses requests.
-const LOOKUP_TTL: Duration = Duration::from_millis(1000);
+const DEFAULT_LOOKUP_TTL: Duration = Duration::from_millis(1000);
 /// Maximum number of entries in a response on the platform's interface; callers read no more.
 const MAX_ENTRIES: usize = 64;
 /// Path of a look-up on the product's own interface.
@@ -52,9 +52,9 @@
 }
 
 /// Returns the response on the platform's interface; `None` if no entry accepts callers.
-pub(crate) fn answer_platform(state: &InstanceState, place: &CallerLocation) -> Option<String> {
+pub(crate) fn answer_platform(state: &InstanceState, location: &CallerLocation) -> Option<String> {
     let entries = available_entries(state);
-    let home_entries = home_region_entries(&entries, &place.region, |entry| &entry.region);
+    let home_entries = home_region_entries(&entries, &location.region, |entry| &entry.region);
     let addresses: Vec<SocketAddr> = home_entries
         .into_iter()
         .take(MAX_ENTRIES)
@@ -111,7 +111,7 @@
 }
 
 fn ttl(state: &InstanceState) -> Duration {
-    LOOKUP_TTL.min(state.config.max_lookup_ttl)
+    DEFAULT_LOOKUP_TTL.min(state.config.max_lookup_ttl)
 }
 
 /// Returns the entries that callers should use, from the lists of all regions. Without a list,
--- a/bin/lh-entry/src/state.rs
+++ b/bin/lh-entry/src/state.rs
@@ -353,13 +353,13 @@
     }
 
     /// Applies the departed servers as reported by a lead that has been running longer.
-    pub(crate) fn on_peer_departures(&self, lead: SocketAddr, ends: &[Departure]) {
+    pub(crate) fn on_peer_departures(&self, lead: SocketAddr, departures: &[Departure]) {
         let mut servers = self.servers.borrow_mut();
-        servers.on_departures(ends);
+        servers.on_departures(departures);
         let changed_at = servers.version();
         drop(servers);
         let mut placer = self.placer.borrow_mut();
-        let changes = placer.catalog.on_ends(Instant::now(), ends);
+        let changes = placer.catalog.on_ends(Instant::now(), departures);
         drop(placer);
         let by = &lead.to_string();
         for change in &changes {
--- a/bin/lh-entry/src/view.rs
+++ b/bin/lh-entry/src/view.rs
@@ -330,7 +330,7 @@
     }
 
     async fn fetch(&mut self, lead: SocketAddr, path: &str) -> Result<Bytes, ViewError> {
-        let lost = |error: hyper::Error| ViewError::Connection(error.to_string());
+        let connection_error = |error: hyper::Error| ViewError::Connection(error.to_string());
         let open = self
             .sender
             .as_ref()
@@ -340,7 +340,9 @@
                 .await
                 .map_err(|error| ViewError::Connection(error.to_string()))?;
             let _ = stream.set_nodelay(true);
-            let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(lost)?;
+            let (sender, connection) = handshake(TokioIo::new(stream))
+                .await
+                .map_err(connection_error)?;
             tokio::task::spawn_local(async move {
                 if let Err(error) = connection.await {
                     log::debug!(error:%; "connection to another entry failed");
@@ -351,12 +353,15 @@
         let Some(sender) = self.sender.as_mut() else {
             return Err(ViewError::Timeout);
         };
-        sender.ready().await.map_err(lost)?;
+        sender.ready().await.map_err(connection_error)?;
         let request = Request::get(path)
             .header(hyper::header::HOST, "entry")
             .body(Empty::new())
             .map_err(|error| ViewError::Connection(error.to_string()))?;
-        let answer = sender.send_request(request).await.map_err(lost)?;
+        let answer = sender
+            .send_request(request)
+            .await
+            .map_err(connection_error)?;
         if answer.status() != StatusCode::OK {
             return Err(ViewError::Connection(format!("status {}", answer.status())));
         }
--- a/bin/lh-entry/src/watch.rs
+++ b/bin/lh-entry/src/watch.rs
@@ -86,7 +86,7 @@
             }
             Err(error) => {
                 dependency.on_lost(&error);
-                on_registry_unavailable(&state);
+                on_store_unavailable(&state);
                 state.fleet.on_event(FleetEvent::WatchFinished(false));
                 tokio::time::sleep(backoff).await;
                 backoff = (backoff * 2).min(MAX_BACKOFF);
@@ -114,9 +114,9 @@
     }
 }
 
-/// Records that the registry can't be read: rows that disappear from now on may only have
+/// Records that a call to the store failed: rows that disappear from now on may only have
 /// lapsed.
-fn on_registry_unavailable(state: &InstanceState) {
+fn on_store_unavailable(state: &InstanceState) {
     let mut placer = state.placer.borrow_mut();
     placer.catalog.on_read_failed(Instant::now());
 }
@@ -198,7 +198,7 @@
             }
         }
         Err(_) => {
-            on_registry_unavailable(&state);
+            on_store_unavailable(&state);
             ReadOutcome::Failed
         }
     };
--- a/bin/lh-entry/tests/copies.rs
+++ b/bin/lh-entry/tests/copies.rs
@@ -21,7 +21,7 @@
 /// Entries that start together while the leads' links are slow must all get a copy, some of them
 /// relayed by an entry that got it before, and must know the same servers.
 #[tokio::test(flavor = "multi_thread")]
-async fn entries_that_have_a_copy_tell_others() {
+async fn entries_relay_copies_to_others() {
     let world = World::new(1).await;
     for number in 0..SERVERS {
         let address = format!("127.0.1.{}:{}", number % 250 + 1, 10_000 + number)
--- a/bin/lh-entry/tests/lines.rs
+++ b/bin/lh-entry/tests/lines.rs
@@ -8,7 +8,7 @@
 /// Hundreds of servers that join at once must not displace the log line that another server is
 /// leaving.
 #[tokio::test]
-async fn a_mass_of_lines_of_one_kind_hides_no_other() {
+async fn a_burst_of_one_kind_displaces_no_other_line() {
     const JOINING: u16 = 600;
     let world = World::new(0).await;
     let entry = |state, port| server_entry("board", ([127, 0, 0, 1], port).into(), state, 1);
--- a/bin/lh-entry/tests/readers.rs
+++ b/bin/lh-entry/tests/readers.rs
@@ -64,7 +64,7 @@
 
 /// An entry that followed others must read the store itself once it has access.
 #[tokio::test]
-async fn a_region_that_is_served_again_reads_for_itself() {
+async fn a_region_that_regains_the_store_reads_it() {
     let world = World::new(1).await;
     let reader = EntryProcess::ready(&world, "n1").await;
     let address = standin::free_address();
@@ -90,7 +90,7 @@
 /// A reader whose connections to the store went silent must not delay its follower, which must
 /// get a new desired state before the reader detects the failure.
 #[tokio::test]
-async fn a_silent_reader_makes_no_follower_late() {
+async fn a_silent_reader_does_not_delay_its_follower() {
     let world = World::new(1).await;
     let mut names = ["n1", "n2"];
     names.sort_by_key(|name| stable_hash(name.as_bytes()));
@@ -117,7 +117,7 @@
 /// An entry that gets the operator's changes from two leads must not call the store, must stay
 /// up to date if one of the two loses the store, and must call the store when both are gone.
 #[tokio::test]
-async fn a_third_entry_is_told_by_two() {
+async fn a_third_entry_is_updated_by_two_leads() {
     let world = World::new(1).await;
     let mut names = ["n1", "n2", "n3"];
     names.sort_by_key(|name| stable_hash(name.as_bytes()));
@@ -165,7 +165,7 @@
 
 /// An empty store must be watched rather than polled in a tight loop.
 #[tokio::test]
-async fn an_empty_store_is_not_pressed() {
+async fn an_empty_store_is_not_polled_in_a_loop() {
     let store = FakeStore::start().await;
     let entry = EntryProcess::start(store.address(), "n1", &[]);
     until("it leads its region", async || {
--- a/bin/lh-entry/tests/rollouts.rs
+++ b/bin/lh-entry/tests/rollouts.rs
@@ -197,7 +197,7 @@
 
 /// A rollout whose order is cancelled while it runs must end as rolled back.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_order_that_is_taken_back_ends() {
+async fn a_cancelled_rollout_is_rolled_back() {
     let mut service = RolloutFixture::new().await;
     let entry = EntryProcess::ready(&service.world, "n1").await;
     service.start_callers(&entry);
@@ -222,7 +222,7 @@
 /// A rollout must continue when all entries are restarted midway, also if the servers of the new
 /// version appeared before the order.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_rollout_outlives_all_entries() {
+async fn a_rollout_survives_a_restart_of_all_entries() {
     let mut service = RolloutFixture::new().await;
     let entry = EntryProcess::ready(&service.world, "n1").await;
     service.start_new_servers(&Behavior::Run(WORK)).await;
@@ -245,7 +245,7 @@
 /// If a store outage outlasts the deadline, the old version must serve; afterwards the rollout
 /// must be rolled back.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_that_is_away_completes_nothing() {
+async fn a_store_outage_completes_no_rollout() {
     let mut service = RolloutFixture::new().await;
     let entry = EntryProcess::ready(&service.world, "n1").await;
     service.start_callers(&entry);
--- a/bin/lh-entry/tests/states.rs
+++ b/bin/lh-entry/tests/states.rs
@@ -9,7 +9,7 @@
 
 /// A new desired state must come into force, and an older one must be ignored afterwards.
 #[tokio::test]
-async fn a_desired_state_never_goes_back() {
+async fn an_older_desired_state_is_ignored() {
     let world = World::new(1).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     let added = RouteText {
@@ -57,7 +57,7 @@
 
 /// When the store has lost its change history, the entry must read all rows again.
 #[tokio::test]
-async fn a_lost_history_is_read_again() {
+async fn all_rows_are_read_again_after_history_is_lost() {
     let world = World::new(1).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     world.store.forget_history();
@@ -70,7 +70,7 @@
 
 /// A draining server must get no new requests.
 #[tokio::test]
-async fn a_leaving_server_gets_nothing_new() {
+async fn a_draining_server_gets_no_new_requests() {
     let world = World::new(2).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     let leaving = &world.backends[0];
@@ -90,7 +90,7 @@
 
 /// A request for a server whose address now belongs to another one must not run there.
 #[tokio::test]
-async fn an_address_used_again_runs_nothing() {
+async fn a_reused_address_runs_nothing_for_the_former_server() {
     let world = World::new(2).await;
     let former = server_entry("board", world.backends[1].address(), "ready", 1);
     world.store.put("servers", "i-former", &former);
@@ -111,7 +111,7 @@
 /// Nothing may be sent to an evacuated failure domain, and an entry without a remaining server
 /// must refuse immediately.
 #[tokio::test]
-async fn an_evacuated_domain_gets_nothing() {
+async fn an_evacuated_domain_gets_no_requests() {
     let world = World::new(1).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     world
@@ -154,7 +154,7 @@
 /// The last known state must stay in force during a store outage, and the loss and recovery of
 /// the store must be logged.
 #[tokio::test]
-async fn the_last_known_state_outlives_the_store() {
+async fn the_last_known_state_stays_in_force_during_a_store_outage() {
     let world = World::new(1).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     world.store.set_faults(FaultPlan::outage());
@@ -173,7 +173,7 @@
 /// During shutdown all accepted requests must be answered, including later ones on open
 /// connections; connections must be closed cleanly, and the process must exit by itself.
 #[tokio::test]
-async fn a_stop_cuts_nothing_off() {
+async fn shutdown_answers_all_accepted_requests() {
     let world = World::new(1).await;
     let mut entry = EntryProcess::ready(&world, "n1").await;
     world.backends[0].set_behavior(Behavior::Run(Duration::from_millis(1500)));
@@ -205,7 +205,7 @@
 /// Entries must find each other through a seed; look-ups must name both, and no longer name one
 /// that has died.
 #[tokio::test]
-async fn callers_are_told_of_live_entries() {
+async fn look_ups_name_live_entries_only() {
     let world = World::new(1).await;
     let first = EntryProcess::ready(&world, "n1").await;
     let mut second = EntryProcess::start(world.store.address(), "n2", &[first.ip]);
@@ -226,7 +226,7 @@
 
 /// SIGHUP must have the settings checked again and must not interrupt service.
 #[tokio::test]
-async fn a_hangup_ends_nothing() {
+async fn sighup_does_not_interrupt_service() {
     let world = World::new(1).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     entry.signal("HUP");
@@ -241,7 +241,7 @@
 /// A server that left and restarts under the same id must be used again, at its new address,
 /// although its sequence number starts over.
 #[tokio::test]
-async fn a_server_that_starts_again_under_its_id_is_used() {
+async fn a_server_that_restarts_under_the_same_id_is_used() {
     let world = World::new(1).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     let former = &world.backends[0];
@@ -272,7 +272,7 @@
 /// A foreign row must take its server out of use while it exists, must be logged once no matter
 /// how often it is read, and must be counted.
 #[tokio::test]
-async fn a_foreign_row_is_told_once() {
+async fn a_foreign_row_is_logged_once() {
     let world = World::new(2).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     let odd = serde_json::json!({"service": "board", "state": "ready"});
--- a/bin/lh-entry/tests/world/mod.rs
+++ b/bin/lh-entry/tests/world/mod.rs
@@ -262,10 +262,10 @@
     }
 }
 
-/// Waits until `holds` is true.
-pub async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
+/// Waits until `condition` is true.
+pub async fn until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     let begun = Instant::now();
-    while !holds().await {
+    while !condition().await {
         assert!(
             begun.elapsed() < WAIT_TIMEOUT,
             "gave up waiting until {what}"
@@ -353,8 +353,8 @@
                 };
                 let (inner_read, inner_write) = inner.into_split();
                 let (outer_read, outer_write) = outer.into_split();
-                tokio::spawn(pass(inner_read, outer_write, listening.clone()));
-                tokio::spawn(pass(outer_read, inner_write, listening.clone()));
+                tokio::spawn(forward(inner_read, outer_write, listening.clone()));
+                tokio::spawn(forward(outer_read, inner_write, listening.clone()));
             }
         });
         Self { address, silent }
@@ -365,7 +365,7 @@
     }
 }
 
-async fn pass(
+async fn forward(
     mut from: tokio::net::tcp::OwnedReadHalf,
     mut to: tokio::net::tcp::OwnedWriteHalf,
     silent: tokio::sync::watch::Receiver<bool>,
