--- a/bin/lh-entry/tests/lines.rs
+++ b/bin/lh-entry/tests/lines.rs
@@ -26,7 +26,7 @@
     }
     world.store.put("servers", "z", &entry("draining", 9));
     world.store.set_faults(FaultPlan::default());
-    until("the line on the server that leaves is there", async || {
+    until("the line about the leaving server is written", async || {
         process.logged("\"event\":\"server is leaving\"").len() == 1
     })
     .await;
--- a/bin/lh-entry/tests/readers.rs
+++ b/bin/lh-entry/tests/readers.rs
@@ -140,7 +140,7 @@
             .map(str::to_owned)
             .collect::<Vec<_>>()
     };
-    until("it asks the store no more", async || {
+    until("it makes no more calls to the store", async || {
         let before = operator_calls().await;
         // Longer than a feed stays open.
         tokio::time::sleep(Duration::from_secs(8)).await;
--- a/bin/lh-entry/tests/rollouts.rs
+++ b/bin/lh-entry/tests/rollouts.rs
@@ -135,7 +135,7 @@
     service.start_rollout(8);
     service.wait_for_state("running").await;
     service.wait_for_state("completed").await;
-    until("the entry has heard of it", async || {
+    until("the entry knows the outcome", async || {
         !entry.logged("\"phase\":\"completed\"").is_empty()
     })
     .await;
@@ -162,7 +162,7 @@
     service.start_new_servers(&Behavior::Status(500)).await;
     service.start_rollout(40);
     service.wait_for_state("rolled_back").await;
-    until("both have heard of it", async || {
+    until("both know the outcome", async || {
         let logged = |entry: &EntryProcess| {
             !entry.logged("\"phase\":\"rolled-back\"").is_empty()
                 || !entry.logged("version is bad").is_empty()
--- a/bin/lh-entry/tests/states.rs
+++ b/bin/lh-entry/tests/states.rs
@@ -125,7 +125,7 @@
     assert_eq!(entry.send("GET", "/board/x", "b").await.status, 503);
     assert_eq!(world.backends[0].seen().len(), before);
     world.store.drop_row("op", "evacuate/zone-a");
-    until("it is taken back", async || {
+    until("the evacuation is cancelled", async || {
         entry.send("GET", "/board/x", "c").await.status == 200
     })
     .await;
@@ -252,7 +252,7 @@
     };
     let leaving = row(former.address(), "draining", 60, 1_700_000_000_000);
     world.store.put("servers", former.id(), &leaving);
-    until("the former run is left", async || {
+    until("the former process gets no more requests", async || {
         entry.send("GET", "/board/x", "a").await.status == 503
     })
     .await;
