--- a/bin/lh-entry/src/admission.rs
+++ b/bin/lh-entry/src/admission.rs
@@ -76,7 +76,7 @@
 ) -> Result<RequestPolicy, Problem> {
     let teams = Rc::clone(&state.teams.borrow());
     let access = state.config.access;
-    let team = match access.decide(&teams, claim, route.is_public, state.knowledge_age()) {
+    let team = match access.decide(&teams, claim, route.is_public, state.proof_age()) {
         Access::Open => None,
         Access::Team(team) => Some(team),
         Access::Denied => return Err(unauthorized(claim)),
@@ -86,7 +86,7 @@
     let mut policy = RequestPolicy::new(route, team).ok_or_else(no_common_region)?;
     if let Some(team) = policy.team_name() {
         charge_quota(state, team)?;
-        let penalty = state.shares.borrow_mut().on_request(Instant::now(), team);
+        let penalty = state.fairness.borrow_mut().on_request(Instant::now(), team);
         policy.priority += penalty;
     }
     Ok(policy)
@@ -99,7 +99,7 @@
     let had_changes = quota.has_changes();
     let admitted = quota.admit(now, team);
     if !had_changes && !state.fleet.is_listed() {
-        state.words.wake.notify_one();
+        state.load_reports.wake.notify_one();
     }
     state.metrics.on_limit("quota", admitted.is_ok());
     admitted.map_err(|after| {
--- a/bin/lh-entry/src/fleet.rs
+++ b/bin/lh-entry/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The entry's part in the fleet: datagrams and timers in and out of the decisions.
+//! Drives the fleet state machine: feeds it datagrams and timers, and executes its actions.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -18,32 +18,33 @@
 use crate::error::{Error, Result};
 use crate::state::InstanceState;
 use crate::view::ViewClient;
-use crate::{quarantine, rollout, view, watch as store_watch, words};
+use crate::{load_reports, quarantine, rollout, view, watch as store_watch};
 
-/// Largest datagram that is read, in bytes: a digest of a lead with sixteen regions.
+/// Maximum size of a received datagram, in bytes; fits a lead's digest with 16 regions.
 const DATAGRAM_BYTES: usize = 16 << 10;
-/// Datagrams taken in at once before timers get their turn.
-const DATAGRAMS_AT_ONCE: usize = 64;
+/// Number of datagrams processed in a row before timers are checked.
+const MAX_DATAGRAMS_PER_TURN: usize = 64;
 
-/// The loop has a turn every [`HEARTBEAT_INTERVAL`] at least. A longer time without one is the process's:
-/// it was stopped or had no processor, and datagrams waited meanwhile.
-const HELD_UP_LEAST: Duration = Duration::from_millis(800);
+/// Time between two iterations of the main loop from which on the process counts as stalled,
+/// while datagrams waited. The loop normally runs at least once per [`HEARTBEAT_INTERVAL`]; a
+/// longer gap means that the process was stopped or got no CPU time.
+const MIN_STALL: Duration = Duration::from_millis(800);
 
-/// What the fleet is to this entry: the decisions, and what they want done.
+/// The fleet state machine with its pending actions.
 #[derive(Debug)]
-pub(crate) struct FleetDesk {
+pub(crate) struct FleetDriver {
     member: RefCell<FleetMember>,
     actions: RefCell<Vec<FleetAction>>,
     wake: Notify,
-    /// Whether this entry watches the operator's rows itself.
+    /// Whether this entry itself watches the operator's rows in the store.
     pub(crate) watching: watch::Sender<bool>,
-    /// Asks leads for what they know more.
+    /// Pulls newer state from leads.
     pub(crate) client: RefCell<ViewClient>,
-    own: RefCell<LocalEntryState>,
+    local_state: RefCell<LocalEntryState>,
 }
 
-impl FleetDesk {
-    /// The desk of an entry that starts now.
+impl FleetDriver {
+    /// Creates the driver of an entry that is starting.
     pub(crate) fn new(config: MemberConfig) -> Self {
         let (watching, _) = watch::channel(false);
         Self {
@@ -52,11 +53,11 @@
             wake: Notify::new(),
             watching,
             client: RefCell::default(),
-            own: RefCell::default(),
+            local_state: RefCell::default(),
         }
     }
 
-    /// Takes in `event`.
+    /// Passes `event` to the state machine and queues the resulting actions.
     pub(crate) fn on_event(&self, event: FleetEvent) {
         let mut actions = self.actions.borrow_mut();
         let mut member = self.member.borrow_mut();
@@ -66,82 +67,82 @@
         }
     }
 
-    /// Takes in what this entry knows of the store since `change`.
-    pub(crate) fn on_known(&self, change: impl FnOnce(&mut StoreProgress)) {
+    /// Applies `change` to what this entry knows of the store.
+    pub(crate) fn update_known(&self, change: impl FnOnce(&mut StoreProgress)) {
         let mut known = self.known();
         change(&mut known);
         self.on_event(FleetEvent::Known(known));
     }
 
-    /// Takes in this entry's own state, where it differs.
-    fn on_own(&self, own: LocalEntryState) {
-        if *self.own.borrow() != own {
-            self.own.replace(own.clone());
-            self.on_event(FleetEvent::LocalState(own));
+    /// Passes this entry's own state to the state machine if it has changed.
+    fn on_local_state(&self, local_state: LocalEntryState) {
+        if *self.local_state.borrow() != local_state {
+            self.local_state.replace(local_state.clone());
+            self.on_event(FleetEvent::LocalState(local_state));
         }
     }
 
-    /// What this entry knows of the store.
+    /// Returns how current this entry's knowledge of the store is.
     pub(crate) fn known(&self) -> StoreProgress {
         *self.member.borrow().known()
     }
 
-    /// How long ago the store may have shown, at most, that what is known of the operator's
-    /// rows held; `None` where that can't be told.
+    /// Returns the maximum time since the store confirmed the known operator's rows; `None` if
+    /// unknown.
     pub(crate) fn proof_age(&self) -> Option<Duration> {
         self.member.borrow().proof_age(Instant::now())
     }
 
-    /// The store's time that its clock has not passed.
+    /// Returns an upper bound on the current time of the store's clock.
     pub(crate) fn latest_store_time(&self) -> StoreTime {
         self.member.borrow().latest_store_time(Instant::now())
     }
 
-    /// Whether this entry leads its region.
+    /// Returns whether this entry is a lead of its region.
     pub(crate) fn leads(&self) -> bool {
         self.member.borrow().leads()
     }
 
-    /// Whether this entry is listed as one that gets requests.
+    /// Returns whether this entry is listed as one that gets requests.
     pub(crate) fn is_listed(&self) -> bool {
         self.member.borrow().is_listed()
     }
 
-    /// Whether this entry has heard of no other since its start.
+    /// Returns whether this entry has not heard from any other since its start.
     pub(crate) fn is_isolated(&self) -> bool {
         self.member.borrow().is_isolated()
     }
 
-    /// Whether any request may be in quarantine.
+    /// Returns whether any request may be quarantined or suspected.
     pub(crate) fn has_statuses(&self) -> bool {
         self.member.borrow().has_statuses()
     }
 
-    /// How much longer the request is refused; `None` where it isn't.
+    /// Returns the remaining quarantine time of the request; `None` if it isn't quarantined.
     pub(crate) fn quarantine_left(&self, print: RequestFingerprint) -> Option<Duration> {
         let member = self.member.borrow();
         member.quarantine_left(Instant::now(), print)
     }
 
-    /// The requests in quarantine.
+    /// Returns the quarantined requests.
     pub(crate) fn quarantined(&self) -> Vec<RequestFingerprint> {
         self.member.borrow().quarantined().collect()
     }
 
-    /// Whether good answers are to be compared with suspects.
+    /// Returns whether successful responses must be checked against suspected requests.
     pub(crate) fn has_suspects(&self) -> bool {
         self.member.borrow().has_suspects(Instant::now())
     }
 
-    /// A server answered the request well.
-    pub(crate) fn on_answered(&self, print: RequestFingerprint) {
+    /// Clears the request from suspicion after a successful response.
+    pub(crate) fn clear_suspect(&self, print: RequestFingerprint) {
         let is_news = self.member.borrow().suspects(print);
         if is_news {
             self.on_event(FleetEvent::Cleared(print));
         }
     }
 
-    /// Looks something up in what is known of all regions.
+    /// Calls `look` with the table of all regions.
     pub(crate) fn with_regions<T>(&self, look: impl FnOnce(Instant, &RegionTable) -> T) -> T {
         look(Instant::now(), self.member.borrow().regions())
     }
@@ -151,10 +152,10 @@
     }
 }
 
-/// Opens the socket for datagrams.
+/// Binds the UDP socket for messages of other entries.
 ///
 /// # Errors
-/// Where the address can't be used.
+/// Fails if the address can't be bound.
 pub(crate) fn open(address: SocketAddr) -> Result<UdpSocket> {
     let open = || {
         let socket = std::net::UdpSocket::bind(address)?;
@@ -164,92 +165,93 @@
     open().map_err(|cause| Error::Listen("beats", address, cause))
 }
 
-/// Takes part in the fleet until the process ends.
+/// Runs the fleet membership until the process ends.
 pub(crate) async fn run(state: Rc<InstanceState>, socket: Rc<UdpSocket>) {
     let mut measure = tokio::time::interval(HEARTBEAT_INTERVAL);
     measure.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut buffer = vec![0; DATAGRAM_BYTES];
-    let mut load_at = Instant::now();
-    let mut turn_at = Instant::now();
+    let mut next_report_at = Instant::now();
+    let mut last_turn_at = Instant::now();
     loop {
-        tell_own(&state);
-        perform(&state, &socket).await;
+        update_local_state(&state);
+        perform_actions(&state, &socket).await;
         tokio::select! {
-            () = tokio::time::sleep_until(load_at.into()) => {
-                load_at = Instant::now() + words::speak(&state, &socket).await;
+            () = tokio::time::sleep_until(next_report_at.into()) => {
+                next_report_at = Instant::now() + load_reports::send_reports(&state, &socket).await;
             }
-            () = state.words.wake.notified() => load_at = Instant::now(),
+            () = state.load_reports.wake.notified() => next_report_at = Instant::now(),
             () = state.rollouts.verdict.notified() => {
-                rollout::speak(&state, &socket, &words::everybody(&state)).await;
+                rollout::send_reports(&state, &socket, &load_reports::all_recipients(&state)).await;
             }
             () = tokio::time::sleep_until(state.fleet.due().into()) => {
                 state.fleet.on_event(FleetEvent::Tick);
             }
             () = state.fleet.wake.notified() => {}
             _ = measure.tick() => {
-                let rate = state.meter.borrow_mut().measure(HEARTBEAT_INTERVAL.as_secs_f64());
-                state.told_rate.set(rate.round() as u32);
+                let rate = state.request_meter.borrow_mut().measure(HEARTBEAT_INTERVAL.as_secs_f64());
+                state.advertised_rate.set(rate.round() as u32);
             }
             received = socket.recv_from(&mut buffer) => match received {
                 Ok((length, from)) => {
-                    let waited = Some(turn_at.elapsed()).filter(|span| *span >= HELD_UP_LEAST);
-                    on_datagram(&state, from, &buffer[..length], waited);
-                    take_waiting(&state, &socket, &mut buffer, waited);
+                    let stall = Some(last_turn_at.elapsed()).filter(|span| *span >= MIN_STALL);
+                    on_datagram(&state, from, &buffer[..length], stall);
+                    receive_pending(&state, &socket, &mut buffer, stall);
                 }
                 Err(error) => log::debug!(error:%; "datagram not received"),
             }
         }
-        turn_at = Instant::now();
+        last_turn_at = Instant::now();
     }
 }
 
-/// Tells the fleet what has changed in this entry.
-pub(crate) fn tell_own(state: &InstanceState) {
+/// Passes changes of this entry's own state to the fleet.
+pub(crate) fn update_local_state(state: &InstanceState) {
     let stamp = if state.has_own_routes() {
         state.tickets.stamp(Instant::now())
     } else {
         String::new()
     };
-    state.fleet.on_own(LocalEntryState {
+    state.fleet.on_local_state(LocalEntryState {
         ready: state.is_ready(),
         leaving: state.is_stopping(),
-        rate: state.told_rate.get(),
+        rate: state.advertised_rate.get(),
         stamp,
         proof_within: state.proof_within(),
     });
 }
 
-/// Takes in datagrams that have arrived meanwhile: one turn of the loop for many.
-fn take_waiting(
+/// Processes datagrams that are already queued, to amortize one loop iteration over many.
+fn receive_pending(
     state: &InstanceState,
     socket: &UdpSocket,
     buffer: &mut [u8],
-    waited: Option<Duration>,
+    stall: Option<Duration>,
 ) {
-    for _ in 0..DATAGRAMS_AT_ONCE {
+    for _ in 0..MAX_DATAGRAMS_PER_TURN {
         let Ok((length, from)) = socket.try_recv_from(buffer) else {
             return;
         };
-        on_datagram(state, from, &buffer[..length], waited);
+        on_datagram(state, from, &buffer[..length], stall);
     }
 }
 
-/// Takes in a datagram that may have waited for `waited`. What a lead tells is older by that:
-/// taken for new it kept an entry from asking, whose leads had ended while it stood still.
-fn on_datagram(state: &InstanceState, from: SocketAddr, bytes: &[u8], waited: Option<Duration>) {
+/// Processes a datagram that may have waited in the socket for `stall`, and ages a lead's
+/// digest accordingly. Otherwise an entry whose leads ended while it was stalled would treat
+/// the queued digests as fresh and not ask elsewhere.
+fn on_datagram(state: &InstanceState, from: SocketAddr, bytes: &[u8], stall: Option<Duration>) {
     match postcard::from_bytes::<PeerMessage>(bytes) {
-        Ok(PeerMessage::Load(beat)) => {
+        Ok(PeerMessage::Load(report)) => {
             let now = Instant::now();
-            if let Some(quota) = &beat.quota {
-                state.words.on_word(now, from);
-                state.quota.borrow_mut().on_report(now, beat.entry, quota);
+            if let Some(quota) = &report.quota {
+                state.load_reports.on_peer_report(now, from);
+                state.quota.borrow_mut().on_report(now, report.entry, quota);
             }
             let mut placer = state.placer.borrow_mut();
-            placer.on_peer_load(now, beat.entry, beat.word);
+            placer.on_peer_load(now, report.entry, report.word);
         }
-        Ok(PeerMessage::Rollout(beat)) => state.rollouts.on_beat(&beat),
+        Ok(PeerMessage::Rollout(report)) => state.rollouts.on_peer_counts(&report),
         Ok(mut message) => {
-            if let (PeerMessage::Digest(digest), Some(span)) = (&mut message, waited) {
+            if let (PeerMessage::Digest(digest), Some(span)) = (&mut message, stall) {
                 digest.store = digest.store.delayed_by(span);
             }
             state.fleet.on_event(FleetEvent::Message(message));
@@ -262,7 +264,7 @@
     }
 }
 
-async fn perform(state: &Rc<InstanceState>, socket: &UdpSocket) {
+async fn perform_actions(state: &Rc<InstanceState>, socket: &UdpSocket) {
     loop {
         let actions = state.fleet.actions.take();
         if actions.is_empty() {
@@ -281,10 +283,10 @@
                     state.fleet.watching.send_replace(watches);
                 }
                 FleetAction::ReadLeadRows => {
-                    tokio::task::spawn_local(store_watch::read_rows(Rc::clone(state)));
+                    tokio::task::spawn_local(store_watch::read_entry_rows(Rc::clone(state)));
                 }
                 FleetAction::WriteLeadRow(leads) => {
-                    tokio::task::spawn_local(store_watch::write_row(Rc::clone(state), leads));
+                    tokio::task::spawn_local(store_watch::write_lead_row(Rc::clone(state), leads));
                 }
                 FleetAction::WriteQuarantineRows(quarantines) => {
                     tokio::task::spawn_local(quarantine::write_rows(Rc::clone(state), quarantines));
@@ -294,7 +296,7 @@
                 }
                 FleetAction::ConfirmRegistry(at) => state.placer.borrow_mut().catalog.confirm(at),
                 FleetAction::ListsChanged => state.refresh_entries(),
-                FleetAction::Log(note) => log_note(state, &note),
+                FleetAction::Log(change) => log_fleet_change(state, &change),
             }
         }
     }
@@ -318,12 +320,12 @@
     }
 }
 
-fn log_note(state: &InstanceState, note: &FleetChange) {
+fn log_fleet_change(state: &InstanceState, change: &FleetChange) {
     let known = state.fleet.known();
     let age = |at: Option<Instant>| at.map_or(-1, |at| at.elapsed().as_millis() as i64);
     let servers_age_ms = age(known.registry_at);
     let operator_age_ms = age(known.operator_at);
-    match note {
+    match change {
         FleetChange::Suspected(print) => {
             log::info!(print:%; "request was at two servers that ended");
         }
@@ -331,7 +333,7 @@
             log::warn!(print:%; "request ends servers and is refused");
         }
         FleetChange::Cleared(print) => {
-            log::info!(print:%; "request answered well, nothing is held of it");
+            log::info!(print:%; "request succeeded and is no longer suspected or quarantined");
         }
         FleetChange::StartedLeading(reason) => {
             log::info!(reason, servers_age_ms, operator_age_ms; "leads its region");
@@ -349,7 +351,7 @@
             log::info!(listed, named; "entries of the region listed");
         }
         FleetChange::ConflictingLead(lead) => {
-            state.metrics.contradictions.inc();
+            state.metrics.lead_conflicts.inc();
             let (registry, read) = (known.registry, known.registry_read);
             let content = known.content.to_string();
             log::warn!(lead = lead.as_str(), registry, read, content = content.as_str(), servers_age_ms; "a lead knows other servers");
--- a/bin/lh-entry/src/handler.rs
+++ b/bin/lh-entry/src/handler.rs
@@ -56,7 +56,7 @@
     let (parts, body) = request.into_parts();
     let mut caller = Caller::from_platform_headers(&parts.headers);
     let mut record = RequestRecord::new(&state, caller.request_id_text());
-    state.meter.borrow_mut().on_request();
+    state.request_meter.borrow_mut().on_request();
     if state.stop.get() == StopPhase::Refusing {
         return respond_unavailable(&mut record, &caller, "stopping", STOPPING_RETRY_AFTER);
     }
--- a/bin/lh-entry/src/inner.rs
+++ b/bin/lh-entry/src/internal.rs
@@ -1,4 +1,5 @@
-//! Small answers: readiness, look-ups, status, metrics, and what other entries follow.
+//! HTTP server for everything but callers' requests: readiness, look-ups, status, metrics, and
+//! views for other entries.
 
 use std::convert::Infallible;
 use std::net::IpAddr;
@@ -19,10 +20,9 @@
 use crate::state::InstanceState;
 use crate::{status, view};
 
-/// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// Answers on `listener` until the process ends.
+/// Serves requests on `listener` until the process ends.
 pub(crate) async fn run(state: Rc<InstanceState>, listener: Rc<TcpListener>) {
     loop {
         let Ok((stream, caller)) = listener.accept().await else {
@@ -33,20 +33,20 @@
         tokio::task::spawn_local(async move {
             let _ = stream.set_nodelay(true);
             let service = service_fn(move |request| {
-                let answer = answer(&state, &request, caller.ip());
+                let answer = respond(&state, &request, caller.ip());
                 async move { Ok::<_, Infallible>(answer) }
             });
             let served = Builder::new()
                 .header_read_timeout(None)
                 .serve_connection(TokioIo::new(stream), service);
             if let Err(error) = served.await {
-                log::debug!(error:%; "inner connection ended");
+                log::debug!(error:%; "internal connection failed");
             }
         });
     }
 }
 
-fn answer(
+fn respond(
     state: &InstanceState,
     request: &Request<Incoming>,
     from: IpAddr,
@@ -65,8 +65,8 @@
             )
         }
         platform::lookup::LOOKUP_PATH => {
-            let place = platform::lookup::parse_location(query);
-            match lookup::answer_platform(state, &place) {
+            let location = platform::lookup::parse_location(query);
+            match lookup::answer_platform(state, &location) {
                 Some(answer) => json(StatusCode::OK, answer),
                 None => text(StatusCode::SERVICE_UNAVAILABLE, String::new()),
             }
@@ -85,19 +85,19 @@
             None => text(StatusCode::BAD_REQUEST, String::new()),
         },
         METRICS_PATH => {
-            let heard = state.fleet.known().operator_at;
+            let operator_at = state.fleet.known().operator_at;
             let content = state.servers.borrow().content();
             state.metrics.registry_content.set(content.short());
-            let proof = state.knowledge_age();
+            let proof = state.proof_age();
             state
                 .metrics
-                .show_operator(heard.map(|at| at.elapsed()), proof);
+                .set_operator_ages(operator_at.map(|at| at.elapsed()), proof);
             state.metrics.leads.set(i64::from(state.fleet.leads()));
             let placer = state.placer.borrow();
             let region = &state.config.region;
             state
                 .metrics
-                .show_servers(Instant::now(), region, &placer.catalog);
+                .update_servers(Instant::now(), region, &placer.catalog);
             text(StatusCode::OK, state.metrics.text())
         }
         _ => text(StatusCode::NOT_FOUND, String::new()),
--- a/bin/lh-entry/src/job.rs
+++ b/bin/lh-entry/src/job.rs
@@ -166,7 +166,7 @@
         }
         self.record.on_refused(refusal);
         if matches!(refusal.reason, RefusalReason::Full | RefusalReason::Late) {
-            self.state.shares.borrow_mut().on_refused(Instant::now());
+            self.state.fairness.borrow_mut().on_refused(Instant::now());
         }
         let reason = refusal.reason.as_str();
         respond_unavailable(&mut self.record, &self.caller, reason, refusal.retry_after)
--- /dev/null
+++ b/bin/lh-entry/src/load_reports.rs
@@ -0,0 +1,132 @@
+//! Load reports between the entries that get requests: the servers that process their
+//! requests, and teams' quota usage.
+
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+
+use place::fleet::message::{LoadReport, PeerMessage};
+use place::placing::load::{LoadUpdate, is_sent_to_other_regions, load_interval};
+use place::rank::stable_hash;
+use team::quota::QuotaReport;
+use tokio::net::UdpSocket;
+use tokio::sync::Notify;
+
+use crate::fleet::send;
+use crate::rollout;
+use crate::state::InstanceState;
+
+/// Interval at which an idle entry checks whether it gets requests.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(600);
+/// How long an unlisted entry receives reports after its last own report.
+const UNLISTED_PEER_TTL: Duration = Duration::from_secs(2);
+/// Maximum number of unlisted entries that receive reports.
+const MAX_UNLISTED_PEERS: usize = 64;
+/// Number of reports in which an entry that is back on standby says so, since datagrams may be
+/// lost.
+const FINAL_REPORTS: u32 = 3;
+
+/// State of the exchange of load reports.
+#[derive(Debug, Default)]
+pub(crate) struct LoadReporter {
+    /// Number of reports sent.
+    round: RefCell<u32>,
+    /// Number of reports still to be sent after the last request.
+    final_reports: RefCell<u32>,
+    /// Entries that send reports without being listed, because callers still use them.
+    unlisted_peers: RefCell<HashMap<SocketAddr, Instant>>,
+    /// Notified when an entry that sends no reports gets a request.
+    pub(crate) wake: Notify,
+}
+
+impl LoadReporter {
+    /// Records a report from the entry at `from`, listed or not.
+    pub(crate) fn on_peer_report(&self, now: Instant, from: SocketAddr) {
+        let mut unlisted_peers = self.unlisted_peers.borrow_mut();
+        unlisted_peers.retain(|_, at| now.saturating_duration_since(*at) < UNLISTED_PEER_TTL);
+        if unlisted_peers.len() < MAX_UNLISTED_PEERS {
+            unlisted_peers.insert(from, now);
+        }
+    }
+}
+
+/// Sends this entry's load to the entries that get requests, less often to those of other
+/// regions. Returns the time until the next report. An entry that gets no requests sends no
+/// reports.
+pub(crate) async fn send_reports(state: &InstanceState, socket: &UdpSocket) -> Duration {
+    let is_listed = state.fleet.is_listed();
+    let is_used = state.quota.borrow().has_changes();
+    let is_needed = state.quota.borrow().has_quotas();
+    if is_listed || is_used {
+        state.load_reports.final_reports.replace(FINAL_REPORTS);
+    } else if !is_needed || state.load_reports.final_reports.take() == 0 {
+        return IDLE_CHECK_INTERVAL;
+    }
+    let left = *state.load_reports.final_reports.borrow();
+    state
+        .load_reports
+        .final_reports
+        .replace(left.saturating_sub(1));
+    let (near, mut far) = recipients(state);
+    let round = state
+        .load_reports
+        .round
+        .replace_with(|round| round.wrapping_add(1));
+    let count = near.len() as u32;
+    if !is_sent_to_other_regions(round, count, far.len() as u32) {
+        far.clear();
+    }
+    let now = Instant::now();
+    let quota = is_needed.then(|| QuotaReport {
+        stops: !is_listed && !is_used,
+        ..state.quota.borrow_mut().report(now)
+    });
+    let word = state.placer.borrow_mut().own_load(now);
+    send(socket, &near, &message(state, word.clone(), quota.clone())).await;
+    send(
+        socket,
+        &far,
+        &message(state, word.for_other_regions(), quota),
+    )
+    .await;
+    rollout::send_reports(state, socket, &[near, far].concat()).await;
+    load_interval(count)
+}
+
+/// Returns the addresses of all other entries that get requests.
+pub(crate) fn all_recipients(state: &InstanceState) -> Vec<SocketAddr> {
+    let (near, far) = recipients(state);
+    [near, far].concat()
+}
+
+/// Returns the addresses of other entries that get requests: those of the own region, and
+/// those of other regions.
+fn recipients(state: &InstanceState) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
+    let (mut near, mut far) = (Vec::new(), Vec::new());
+    state.fleet.with_regions(|now, regions| {
+        for (region, entry) in regions.listed(now) {
+            if entry.node == state.config.instance {
+                continue;
+            }
+            if region == state.config.region {
+                near.push(entry.peer_address);
+            } else {
+                far.push(entry.peer_address);
+            }
+        }
+    });
+    let unlisted_peers = state.load_reports.unlisted_peers.borrow();
+    let mut unlisted: Vec<SocketAddr> = unlisted_peers.keys().copied().collect();
+    unlisted.retain(|address| !near.contains(address) && !far.contains(address));
+    far.extend(unlisted);
+    (near, far)
+}
+
+fn message(state: &InstanceState, word: LoadUpdate, quota: Option<QuotaReport>) -> PeerMessage {
+    PeerMessage::Load(LoadReport {
+        entry: stable_hash(state.config.instance.as_bytes()),
+        word,
+        quota,
+    })
+}
--- a/bin/lh-entry/src/logs.rs
+++ b/bin/lh-entry/src/logs.rs
@@ -1,9 +1,9 @@
-//! Log lines to standard output: one JSON object a line, bounded, never blocking.
+//! Logging to standard output: one JSON object per line, rate-limited and non-blocking.
 //!
-//! Lines go into a buffer that a thread of its own writes out. What doesn't fit
-//! is counted by kind, and a line says how many of each were left out, with the id
-//! of one of them. Lines of level warning, as of a request that must not repeat and
-//! whose outcome is unknown, have room of their own.
+//! Lines go into a buffer that a separate thread flushes. Lines that exceed the limits are
+//! counted by kind, and a summary line reports the number for each kind with the id of one
+//! request. Lines of level warning and above, such as those on a request that must not be
+//! repeated and whose outcome is unknown, have a separate limit.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -15,40 +15,40 @@
 use log::kv::{self, Key, Value, VisitSource};
 use log::{Level, LevelFilter, Record};
 
-/// How often the buffer is written out: a reader sees a line soon enough, and
-/// the thread wakes seldom.
-const WRITE_EVERY: Duration = Duration::from_millis(250);
-/// Lines of level info and below that are kept between two writes. A calm
-/// entry writes a tenth of it.
-const INFO_LINES: usize = 150;
-/// Lines of any level that are kept between two writes.
-const ALL_LINES: usize = 2000;
-/// Lines of one kind that are kept also where others have filled the room for lines of level
-/// info: hundreds of servers that join at once must not push out the line that says who leads.
-const KIND_LINES: usize = 20;
-
-/// Lines a second of requests that were turned away: a flood of wrong keys must not leave
-/// out the lines of others. All are counted in the metrics.
-const LIMITED_LINES: u32 = 40;
-const LIMITED_SPAN: Duration = Duration::from_secs(1);
-
-/// Bounds how many lines of one kind are written.
+/// Interval at which the buffer is flushed: short enough for readers, long enough that the
+/// thread rarely wakes up.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum number of lines of level info and below between two flushes. An idle entry writes a
+/// tenth of that.
+const MAX_INFO_LINES: usize = 150;
+/// Maximum number of lines of any level between two flushes.
+const MAX_LINES: usize = 2000;
+/// Number of lines of each kind that are exempt from [`MAX_INFO_LINES`]. Hundreds of servers
+/// that join at once must not displace the line about a change of leads.
+const LINES_PER_KIND: usize = 20;
+
+/// Maximum number of lines per window about denied requests: a flood of invalid keys must not
+/// displace other lines. The metrics count all of these requests.
+const MAX_LINES_PER_WINDOW: u32 = 40;
+const RATE_WINDOW: Duration = Duration::from_secs(1);
+
+/// Limits the rate of one kind of log line.
 #[derive(Debug, Default)]
-pub(crate) struct LineLimit {
+pub(crate) struct LogRateLimiter {
     begun: Cell<Option<Instant>>,
     lines: Cell<u32>,
 }
 
-impl LineLimit {
-    /// Whether one more line may be written.
+impl LogRateLimiter {
+    /// Counts a line and returns whether it may be written.
     pub(crate) fn take(&self, now: Instant) -> bool {
         let begun = self.begun.get();
-        if begun.is_none_or(|at| now.saturating_duration_since(at) >= LIMITED_SPAN) {
+        if begun.is_none_or(|at| now.saturating_duration_since(at) >= RATE_WINDOW) {
             self.begun.set(Some(now));
             self.lines.set(0);
         }
         self.lines.set(self.lines.get() + 1);
-        self.lines.get() <= LIMITED_LINES
+        self.lines.get() <= MAX_LINES_PER_WINDOW
     }
 }
 
@@ -56,41 +56,41 @@
 struct LineBuffer {
     bytes: Vec<u8>,
     lines: usize,
-    /// Number of the lines of each kind.
+    /// Number of buffered lines by kind.
     kinds: BTreeMap<String, usize>,
-    left_out: BTreeMap<String, LeftOut>,
+    dropped: BTreeMap<String, DroppedLines>,
 }
 
 impl LineBuffer {
-    /// Whether one more line of the kind `event` is kept.
-    fn takes(&mut self, level: Level, event: &str) -> bool {
+    /// Returns whether another line of the kind `event` fits, and if so counts it.
+    fn admits(&mut self, level: Level, event: &str) -> bool {
         let kept = match self.kinds.get_mut(event) {
             Some(kept) => kept,
             None => self.kinds.entry(event.to_owned()).or_default(),
         };
-        let is_rare = *kept < KIND_LINES;
+        let is_rare = *kept < LINES_PER_KIND;
         let most = if level >= Level::Info && !is_rare {
-            INFO_LINES
+            MAX_INFO_LINES
         } else {
-            ALL_LINES
+            MAX_LINES
         };
-        let takes = self.lines < most;
-        if takes {
+        let admits = self.lines < most;
+        if admits {
             *kept += 1;
             self.lines += 1;
         }
-        takes
+        admits
     }
 }
 
-/// Lines of one kind that were left out.
+/// Dropped lines of one kind.
 #[derive(Debug, Default)]
-struct LeftOut {
+struct DroppedLines {
     count: usize,
     example: String,
 }
 
-/// The lines that wait to be written.
+/// Queue of log lines that wait to be flushed.
 #[derive(Debug, Clone)]
 pub(crate) struct LogQueue {
     node: Arc<str>,
@@ -98,8 +98,8 @@
 }
 
 impl LogQueue {
-    /// Starts logging into a new queue, and the thread that writes it out. Each
-    /// line names `node`.
+    /// Installs a logger with a new queue and starts the thread that flushes it. Each line
+    /// contains `node`.
     pub(crate) fn start(node: &str) -> Self {
         let queue = Self {
             node: Arc::from(node),
@@ -115,60 +115,60 @@
         let writer = queue.clone();
         std::thread::spawn(move || {
             loop {
-                std::thread::sleep(WRITE_EVERY);
+                std::thread::sleep(FLUSH_INTERVAL);
                 writer.flush();
             }
         });
         queue
     }
 
-    /// Writes out what waits.
+    /// Writes the queued lines and summaries of dropped lines.
     pub(crate) fn flush(&self) {
-        let (bytes, left_out) = {
+        let (bytes, dropped) = {
             let mut buffer = self.lock();
             buffer.lines = 0;
             buffer.kinds.clear();
-            let left_out = std::mem::take(&mut buffer.left_out);
-            (std::mem::take(&mut buffer.bytes), left_out)
+            let dropped = std::mem::take(&mut buffer.dropped);
+            (std::mem::take(&mut buffer.bytes), dropped)
         };
         let mut out = std::io::stdout().lock();
-        // Nobody reads the log if this fails, and there is no other place to say so.
+        // If this fails, there is no other place to report the error.
         let _ = out.write_all(&bytes);
-        for (kind, left_out) in left_out {
-            let line = self.left_out_line(&kind, &left_out);
+        for (kind, dropped) in dropped {
+            let line = self.dropped_line(&kind, &dropped);
             let _ = out.write_all(line.as_bytes());
         }
         let _ = out.flush();
     }
 
-    fn left_out_line(&self, kind: &str, left_out: &LeftOut) -> String {
+    fn dropped_line(&self, kind: &str, dropped: &DroppedLines) -> String {
         let mut line = self.line_start(Level::Warn, "lines left out");
-        let _ = write!(line, ",\"count\":{},\"kind\":", left_out.count);
-        push_text(&mut line, kind);
+        let _ = write!(line, ",\"count\":{},\"kind\":", dropped.count);
+        push_json_string(&mut line, kind);
         line.push_str(",\"example\":");
-        push_text(&mut line, &left_out.example);
+        push_json_string(&mut line, &dropped.example);
         line.push_str("}\n");
         line
     }
 
     fn line_start(&self, level: Level, event: &str) -> String {
         let mut line = String::with_capacity(400);
-        let time = milliseconds();
+        let time = unix_time_ms();
         let _ = write!(line, "{{\"time_ms\":{time},\"node\":");
-        push_text(&mut line, &self.node);
+        push_json_string(&mut line, &self.node);
         let _ = write!(line, ",\"level\":\"{level}\",\"event\":");
-        push_text(&mut line, event);
+        push_json_string(&mut line, event);
         line
     }
 
     fn push(&self, record: &Record<'_>) {
         let mut buffer = self.lock();
         let event = record.args().to_string();
-        if !buffer.takes(record.level(), &event) {
+        if !buffer.admits(record.level(), &event) {
             let kind = RecordKind::of(record);
-            let left_out = buffer.left_out.entry(kind.name).or_default();
-            left_out.count += 1;
-            left_out.example = kind.request;
+            let dropped = buffer.dropped.entry(kind.name).or_default();
+            dropped.count += 1;
+            dropped.example = kind.request;
             return;
         }
         let mut line = self.line_start(record.level(), &event);
@@ -182,7 +182,7 @@
     }
 }
 
-fn milliseconds() -> u128 {
+fn unix_time_ms() -> u128 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     now.map_or(0, |since| since.as_millis())
 }
@@ -198,13 +198,13 @@
         } else if let Some(flag) = value.to_bool() {
             let _ = write!(line, "{flag}");
         } else {
-            push_text(line, &value.to_string());
+            push_json_string(line, &value.to_string());
         }
         Ok(())
     }
 }
 
-/// What a line is about, told only where it is left out.
+/// Kind of a log record and the id of its request; determined only for dropped lines.
 #[derive(Debug, Default)]
 struct RecordKind {
     name: String,
@@ -235,7 +235,7 @@
     }
 }
 
-fn push_text(line: &mut String, text: &str) {
+fn push_json_string(line: &mut String, text: &str) {
     match serde_json::to_string(text) {
         Ok(quoted) => line.push_str(&quoted),
         Err(_) => line.push_str("\"\""),
--- a/bin/lh-entry/src/lookup.rs
+++ b/bin/lh-entry/src/lookup.rs
@@ -1,4 +1,4 @@
-//! Answers to callers that ask which entries to use, on both interfaces.
+//! Responses to callers' look-ups of entries, on the platform's and on the product's interface.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::{Duration, Instant};
@@ -10,16 +10,16 @@
 
 use crate::state::InstanceState;
 
-/// How long callers keep an answer: some keep it three times as long, and all
-/// must have left a stopping entry before it refuses requests.
-const LOOKUP_TTL: Duration = Duration::from_millis(1000);
-/// Entries named in an answer on the platform's interface; callers read no more.
-const ENTRIES_MOST: usize = 64;
-/// Path of the question on the own interface.
+/// How long callers may use a response. Some use it three times as long, and all of them must
+/// have left a stopping entry before it refuses requests.
+const DEFAULT_LOOKUP_TTL: Duration = Duration::from_millis(1000);
+/// Maximum number of entries in a response on the platform's interface; callers read no more.
+const MAX_ENTRIES: usize = 64;
+/// Path of a look-up on the product's own interface.
 pub(crate) const ENTRIES_PATH: &str = "/v1/entries";
 
-/// An entry that takes callers.
-struct OpenEntry {
+/// An entry that accepts callers.
+struct AvailableEntry {
     instance: String,
     region: String,
     address: SocketAddr,
@@ -41,37 +41,37 @@
     entries: Vec<EntryAnswer<'a>>,
 }
 
-/// What the own interface answers to a look-up.
+/// Result of a look-up on the product's own interface.
 pub(crate) enum OwnLookup {
-    /// The document.
+    /// The response document.
     Found(String),
     /// There is no such service.
     UnknownService,
-    /// No entry takes callers.
+    /// No entry accepts callers.
     NoEntry,
 }
 
-/// The answer on the platform's interface; `None` where no entry takes callers.
-pub(crate) fn answer_platform(state: &InstanceState, place: &CallerLocation) -> Option<String> {
-    let entries = open_entries(state);
-    let near = home_region_entries(&entries, &place.region, |entry| &entry.region);
-    let addresses: Vec<SocketAddr> = near
+/// Returns the response on the platform's interface; `None` if no entry accepts callers.
+pub(crate) fn answer_platform(state: &InstanceState, location: &CallerLocation) -> Option<String> {
+    let entries = available_entries(state);
+    let home_entries = home_region_entries(&entries, &location.region, |entry| &entry.region);
+    let addresses: Vec<SocketAddr> = home_entries
         .into_iter()
-        .take(ENTRIES_MOST)
+        .take(MAX_ENTRIES)
         .map(|entry| entry.address)
         .collect();
     let ttl = ttl(state);
     (!addresses.is_empty()).then(|| lookup::encode_answer(&addresses, ttl))
 }
 
-/// The answer on the own interface to a caller at `from`.
+/// Returns the response on the product's own interface to a caller at `from`.
 pub(crate) fn answer_own(state: &InstanceState, query: &str, from: IpAddr) -> OwnLookup {
-    let ask = |name: &str| {
+    let parameter = |name: &str| {
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         let found = pairs.find(|(known, _)| *known == name);
         found.map(|(_, value)| value)
     };
-    let service = ask("service").unwrap_or("");
+    let service = parameter("service").unwrap_or("");
     let known = state
         .routes
         .borrow()
@@ -81,8 +81,8 @@
         return OwnLookup::UnknownService;
     }
     let homes = state.homes.borrow();
-    let home = ask("region").or_else(|| homes.find(from));
-    let entries = open_entries(state);
+    let home = parameter("region").or_else(|| homes.find(from));
+    let entries = available_entries(state);
     let nonce = rand::random();
     let chosen = ordered_entries(&entries, home, nonce, |entry| &entry.region);
     if chosen.is_empty() {
@@ -104,19 +104,20 @@
     match serde_json::to_string(&answer) {
         Ok(text) => OwnLookup::Found(text),
         Err(error) => {
-            log::error!(error:%; "no answer to a look-up");
+            log::error!(error:%; "can't encode the response to a look-up");
             OwnLookup::NoEntry
         }
     }
 }
 
 fn ttl(state: &InstanceState) -> Duration {
-    LOOKUP_TTL.min(state.config.lookup_ttl_most)
+    DEFAULT_LOOKUP_TTL.min(state.config.max_lookup_ttl)
 }
 
-/// The entries that callers are told to use, by the lists of their regions; before there
-/// is one, an entry that has met others tells nobody, since abler ones may be found.
-fn open_entries(state: &InstanceState) -> Vec<OpenEntry> {
+/// Returns the entries that callers should use, from the lists of all regions. Without a list,
+/// only an entry that has never heard from others names itself: otherwise an entry with a higher
+/// capacity may turn up.
+fn available_entries(state: &InstanceState) -> Vec<AvailableEntry> {
     let mut entries = Vec::new();
     if state.fleet.is_isolated() && !state.fleet.is_listed() && state.is_ready() {
         return vec![own_entry(state, Instant::now())];
@@ -129,7 +130,7 @@
                 }
                 continue;
             }
-            entries.push(OpenEntry {
+            entries.push(AvailableEntry {
                 instance: entry.node.clone(),
                 region: region.to_owned(),
                 address: entry.caller_address,
@@ -143,8 +144,8 @@
     entries
 }
 
-fn own_entry(state: &InstanceState, now: Instant) -> OpenEntry {
-    OpenEntry {
+fn own_entry(state: &InstanceState, now: Instant) -> AvailableEntry {
+    AvailableEntry {
         instance: state.config.instance.clone(),
         region: state.config.region.clone(),
         address: state.config.caller_address,
--- a/bin/lh-entry/src/rollout.rs
+++ b/bin/lh-entry/src/rollout.rs
@@ -1,5 +1,5 @@
-//! Rollouts: which version a request runs on, what is told of that, and, at entries that
-//! lead, the rows in which it is agreed how far a rollout is.
+//! Rollouts: selects the version that processes a request and exchanges request counts with
+//! other entries. Leads also maintain the rows that hold the agreed phase of each rollout.
 
 use std::cell::{Ref, RefCell};
 use std::net::SocketAddr;
@@ -23,25 +23,26 @@
 use crate::config::EntryConfig;
 use crate::fleet::send;
 use crate::state::InstanceState;
-use crate::watch::PATIENCE;
+use crate::watch::STORE_TIMEOUT;
 
-/// Time between two looks of a lead whether an open rollout goes on.
-const TEND_EVERY: Duration = Duration::from_millis(250);
-/// Time between two looks at the row of one that doesn't: another lead may have written.
-const READ_EVERY: Duration = Duration::from_secs(1);
+/// Interval at which a lead checks whether an unfinished rollout can advance.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval at which the row of an unfinished rollout is read again, since another lead may
+/// have written it.
+const REREAD_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The rollouts as this entry knows them.
+/// State of the known rollouts.
 #[derive(Debug)]
-pub(crate) struct RolloutDesk {
-    book: RefCell<RolloutController>,
-    /// Something changed that the store should say.
+pub(crate) struct RolloutState {
+    controller: RefCell<RolloutController>,
+    /// Notified when a change has to be written to the store.
     wake: Notify,
-    /// A version was found to be bad, and the other entries are to be told.
+    /// Notified when a version is found to be bad and other entries have to be informed.
     pub(crate) verdict: Notify,
 }
 
-impl RolloutDesk {
-    /// The desk of an entry that starts now.
+impl RolloutState {
+    /// Creates the state of an entry that is starting.
     pub(crate) fn new(config: &EntryConfig, incarnation: u64) -> Self {
         let bounds = RolloutConfig {
             exposure_share: config.exposure.share,
@@ -50,43 +51,43 @@
         };
         let schedule = CanarySchedule::new(bounds.exposure_share);
         Self {
-            book: RefCell::new(RolloutController::new(Instant::now(), bounds, schedule)),
+            controller: RefCell::new(RolloutController::new(Instant::now(), bounds, schedule)),
             wake: Notify::new(),
             verdict: Notify::new(),
         }
     }
 
-    /// Looks something up.
-    pub(crate) fn book(&self) -> Ref<'_, RolloutController> {
-        self.book.borrow()
+    /// Borrows the controller for reading.
+    pub(crate) fn controller(&self) -> Ref<'_, RolloutController> {
+        self.controller.borrow()
     }
 
     /// Sets how many entries get requests, and whether this one is among them.
     pub(crate) fn set_entries(&self, entries: usize, is_listed: bool) {
-        self.book.borrow_mut().set_entries(entries, is_listed);
+        self.controller.borrow_mut().set_entries(entries, is_listed);
     }
 
-    /// A server of `service` has `version`; see [`RolloutController::on_server`].
+    /// Records that a server of `service` runs `version`; see [`RolloutController::on_server`].
     pub(crate) fn on_server(&self, service: &str, version: &str, is_first: bool) {
-        let mut book = self.book.borrow_mut();
-        book.on_server(Instant::now(), service, version, is_first);
+        let mut controller = self.controller.borrow_mut();
+        controller.on_server(Instant::now(), service, version, is_first);
     }
 
-    /// The operator ordered a rollout.
+    /// Handles an operator's rollout order.
     pub(crate) fn on_order(&self, order: &RolloutOrder) {
-        self.change(|now, book| book.on_order(now, order));
+        self.change(|now, controller| controller.on_order(now, order));
     }
 
-    /// The operator took the order for `service` back.
+    /// Handles the cancellation of the order for `service`.
     pub(crate) fn on_withdrawn(&self, service: &str) {
-        self.change(|now, book| book.on_withdrawn(now, service));
+        self.change(|now, controller| controller.on_withdrawn(now, service));
     }
 
-    /// The operator's rows hold these orders and no others.
+    /// Handles that `orders` is the complete set of orders: all others were cancelled.
     pub(crate) fn on_all_orders(&self, orders: &[&RolloutOrder]) {
         let known: Vec<String> = {
-            let book = self.book.borrow();
-            let records = book.records();
+            let controller = self.controller.borrow();
+            let records = controller.records();
             records.map(|record| record.order.service.clone()).collect()
         };
         for service in known {
@@ -96,24 +97,24 @@
         }
     }
 
-    /// Another entry told `record`, or the store holds it where `is_stored`; `latest` is the
-    /// time that the store's clock has not passed.
+    /// Handles a record from another entry, or from the store if `is_stored`. `latest` is an
+    /// upper bound on the current time of the store's clock.
     pub(crate) fn on_record(&self, record: &RolloutRecord, latest: StoreTime, is_stored: bool) {
-        self.change(|now, book| {
+        self.change(|now, controller| {
             let age = Duration::from_millis(latest.0.saturating_sub(record.begun));
             let is_known = latest.is_some() && record.begun > 0;
             let begun = is_known.then(|| now.checked_sub(age)).flatten();
-            book.on_record(now, record, begun, is_stored);
+            controller.on_record(now, record, begun, is_stored);
         });
     }
 
-    /// Another entry's counts.
-    pub(crate) fn on_beat(&self, beat: &RolloutMessage) {
-        self.change(|now, book| book.on_report(now, beat.entry, &beat.word));
+    /// Handles another entry's request counts.
+    pub(crate) fn on_peer_counts(&self, message: &RolloutMessage) {
+        self.change(|now, controller| controller.on_report(now, message.entry, &message.word));
     }
 
-    /// A request goes to the server of `placement`; its token, and whether the new version runs
-    /// it, where a rollout of `service` runs.
+    /// Records that a request is sent to the server of `placement`. During a rollout of `service`
+    /// returns a token for the request, and whether it goes to the new version.
     pub(crate) fn on_sent(
         &self,
         now: Instant,
@@ -121,8 +122,8 @@
         service: &str,
         placement: &Placement,
     ) -> Option<(SendToken, bool)> {
-        let mut book = self.book.borrow_mut();
-        if !book.is_active() {
+        let mut controller = self.controller.borrow_mut();
+        if !controller.is_active() {
             return None;
         }
         let send = VersionSend {
@@ -133,10 +134,10 @@
             is_cold: placement.reason.cold,
             expected: Duration::from_secs_f64(placement.reason.expected.max(0.0) / 1000.0),
         };
-        book.on_sent(now, &send)
+        controller.on_sent(now, &send)
     }
 
-    /// Takes in what became of a request.
+    /// Records the outcome of a request.
     pub(crate) fn on_outcome(&self, token: SendToken, outcome: ServerOutcome) {
         let outcome = match outcome {
             ServerOutcome::Answered { good: true } => SendOutcome::Answered,
@@ -148,30 +149,30 @@
             | ServerOutcome::Withdrawn
             | ServerOutcome::Abandoned => SendOutcome::Inconclusive,
         };
-        self.change(|now, book| book.on_outcome(now, token, outcome));
+        self.change(|now, controller| controller.on_outcome(now, token, outcome));
     }
 
     fn change(&self, change: impl FnOnce(Instant, &mut RolloutController)) {
-        let mut book = self.book.borrow_mut();
-        change(Instant::now(), &mut book);
-        let notes = book.take_events();
-        if book.take_verdict() {
+        let mut controller = self.controller.borrow_mut();
+        change(Instant::now(), &mut controller);
+        let events = controller.take_events();
+        if controller.take_verdict() {
             self.verdict.notify_one();
         }
-        drop(book);
-        if !notes.is_empty() {
+        drop(controller);
+        if !events.is_empty() {
             self.wake.notify_one();
         }
-        for note in notes {
-            log_note(&note);
+        for event in events {
+            log_event(&event);
         }
     }
 }
 
-/// Chooses the server of `request`, of a version that may run it.
+/// Chooses a server for `request` among those whose version may process it.
 ///
 /// # Errors
-/// The refusal, where no server should get it.
+/// Returns the refusal if no server should get the request.
 pub(crate) fn place(
     state: &InstanceState,
     now: Instant,
@@ -179,42 +180,48 @@
 ) -> Result<Placement, Refusal> {
     let part = request.route.parts.get(request.part);
     let service = part.map_or("", |part| part.service.as_str());
-    let mut book = state.rollouts.book.borrow_mut();
+    let mut controller = state.rollouts.controller.borrow_mut();
     let is_repeat = !request.tried.is_empty();
-    let choice = book.choose(now, service, is_repeat, operator_age(state));
-    let (rule, fallback) = book.filters(service, choice);
+    let choice = controller.choose(now, service, is_repeat, operator_age(state));
+    let (filter, fallback) = controller.filters(service, choice);
     let mut placer = state.placer.borrow_mut();
-    let placed = placer.place(now, &request.with_versions(rule));
-    let (Err(refusal), Some((rule, is_last_resort))) = (&placed, fallback) else {
+    let placed = placer.place(now, &request.with_versions(filter));
+    let (Err(refusal), Some((filter, is_last_resort))) = (&placed, fallback) else {
         return placed;
     };
     if is_last_resort && refusal.reason != RefusalReason::NoServer {
         return placed;
     }
-    let placed = placer.place(now, &request.with_versions(rule));
+    let placed = placer.place(now, &request.with_versions(filter));
     if choice == VersionChoice::New {
-        book.on_diverted(service);
+        controller.on_diverted(service);
     }
     placed
 }
 
-/// Age of what is known of the operator's rows.
+/// Returns the age of the last information on the operator's rows.
 fn operator_age(state: &InstanceState) -> Option<Duration> {
     let known_at = state.fleet.known().operator_at?;
     Some(known_at.elapsed())
 }
 
-/// Tells the counts in rollouts to `listeners`, and to leads, which aren't among these where
-/// they get no requests.
-pub(crate) async fn speak(state: &InstanceState, socket: &UdpSocket, listeners: &[SocketAddr]) {
-    if !state.rollouts.book().is_active() {
+/// Sends the request counts of rollouts to `recipients` and to all leads. A lead that gets no
+/// requests isn't among `recipients`.
+pub(crate) async fn send_reports(
+    state: &InstanceState,
+    socket: &UdpSocket,
+    recipients: &[SocketAddr],
+) {
+    if !state.rollouts.controller().is_active() {
         return;
     }
-    state.rollouts.change(|now, book| book.check_overdue(now));
-    let Some(word) = state.rollouts.book().report(Instant::now()) else {
+    state
+        .rollouts
+        .change(|now, controller| controller.check_overdue(now));
+    let Some(word) = state.rollouts.controller().report(Instant::now()) else {
         return;
     };
-    let mut targets = listeners.to_vec();
+    let mut targets = recipients.to_vec();
     state.fleet.with_regions(|now, regions| {
         for region in regions.active_regions(now) {
             let leads = regions
@@ -226,37 +233,38 @@
     });
     targets.sort_unstable();
     targets.dedup();
-    targets.retain(|target| *target != state.config.beat_address);
-    let beat = RolloutMessage {
+    targets.retain(|target| *target != state.config.peer_address);
+    let message = RolloutMessage {
         entry: stable_hash(state.config.instance.as_bytes()),
         word,
     };
-    send(socket, &targets, &PeerMessage::Rollout(beat)).await;
+    send(socket, &targets, &PeerMessage::Rollout(message)).await;
 }
 
-/// Keeps the rows of open rollouts up to date while this entry leads, until the process ends.
-pub(crate) async fn tend(state: Rc<InstanceState>) {
-    let mut read_at = Instant::now();
+/// Keeps the rows of unfinished rollouts up to date while this entry is a lead. Runs until the
+/// process ends.
+pub(crate) async fn maintain_rows(state: Rc<InstanceState>) {
+    let mut last_read_at = Instant::now();
     loop {
-        let _ = timeout(TEND_EVERY, state.rollouts.wake.notified()).await;
+        let _ = timeout(UPDATE_INTERVAL, state.rollouts.wake.notified()).await;
         if !state.fleet.leads() {
             continue;
         }
-        let is_due = read_at.elapsed() >= READ_EVERY;
-        if is_due {
-            read_at = Instant::now();
+        let is_reread_due = last_read_at.elapsed() >= REREAD_INTERVAL;
+        if is_reread_due {
+            last_read_at = Instant::now();
         }
-        let services = state.rollouts.book().unfinished_services();
+        let services = state.rollouts.controller().unfinished_services();
         for service in services {
-            if is_due || next_record(&state, &service).is_some() {
-                tend_one(&state, &service).await;
+            if is_reread_due || next_record(&state, &service).is_some() {
+                update_row(&state, &service).await;
             }
         }
     }
 }
 
-async fn tend_one(state: &InstanceState, service: &str) {
-    let client = PlatformClient::new(state.config.store).with_answer_timeout(PATIENCE);
+async fn update_row(state: &InstanceState, service: &str) {
+    let client = PlatformClient::new(state.config.store).with_answer_timeout(STORE_TIMEOUT);
     let Some(row) = read_row(state, &client, service).await else {
         return;
     };
@@ -269,34 +277,33 @@
     }
     let revision = row.map_or(0, |row| row.revision);
     if write_record(state, &client, &record, revision).await {
-        // What this entry acts on is what the store says, and its version tells others that
-        // there is something new.
+        // The entry acts on the stored record only, and the row's version informs other entries
+        // of the change.
         read_row(state, &client, service).await;
     }
 }
 
-/// What the store should say of the rollout of `service`, where it doesn't.
+/// Returns the record to store for the rollout of `service`; `None` if it needs no change.
 fn next_record(state: &InstanceState, service: &str) -> Option<RolloutRecord> {
-    let book = state.rollouts.book();
-    let version = &book.record(service)?.order.version;
-    let mut sight = ServerCounts::default();
+    let controller = state.rollouts.controller();
+    let version = &controller.record(service)?.order.version;
+    let mut counts = ServerCounts::default();
     let placer = state.placer.borrow();
     for (_, server) in placer.catalog.open_servers(service) {
         if server.entry.version == *version {
-            sight.new += 1;
+            counts.new += 1;
         } else {
-            sight.old += 1;
+            counts.old += 1;
         }
     }
     let store_now = state.fleet.latest_store_time();
     if !store_now.is_some() {
         return None;
     }
-    book.next_record(Instant::now(), service, sight, store_now.0)
+    controller.next_record(Instant::now(), service, counts, store_now.0)
 }
 
-/// The row of the rollout of `service`, which this entry takes in; `None` where the store
-/// doesn't answer.
+/// Reads and applies the row of the rollout of `service`; `None` if the store doesn't respond.
 async fn read_row(
     state: &InstanceState,
     client: &PlatformClient,
@@ -309,7 +316,7 @@
     let row = match result {
         Ok(row) => row,
         Err(error) => {
-            log::info!(service, error:%; "row of a rollout not read");
+            log::info!(service, error:%; "can't read the row of a rollout");
             return None;
         }
     };
@@ -320,12 +327,13 @@
         state.rollouts.on_record(&record, latest, true);
         state
             .fleet
-            .on_known(|known| known.operator = known.operator.max(row.revision));
+            .update_known(|known| known.operator = known.operator.max(row.revision));
     }
     Some(row)
 }
 
-/// Writes `record` where its row still has `revision`; whether the store may have done so.
+/// Writes `record` if its row still has the revision `revision`. Returns whether the store may
+/// have done so.
 async fn write_record(
     state: &InstanceState,
     client: &PlatformClient,
@@ -335,7 +343,7 @@
     let text = match serde_json::to_string(record) {
         Ok(text) => text,
         Err(error) => {
-            log::error!(error:%; "rollout not written");
+            log::error!(error:%; "can't encode a rollout");
             return false;
         }
     };
@@ -343,7 +351,7 @@
     let mut writes = vec![RowWrite::new(ENTRY_TABLE, &key, &text).with_expected(revision)];
     match status_write(record) {
         Ok(status) => writes.extend(status),
-        Err(error) => log::error!(error:%; "status of a rollout not written"),
+        Err(error) => log::error!(error:%; "can't encode the status of a rollout"),
     }
     let result = client.commit(&writes).await;
     let error = result.as_ref().err().map(store::Error::kind);
@@ -353,7 +361,7 @@
     match result {
         Ok(CommitOutcome::Done) => log::info!(service, phase; "rollout written"),
         Ok(CommitOutcome::Conflict) => log::info!(service, phase; "another lead wrote the rollout"),
-        Err(error) => log::info!(service, phase, error:%; "rollout may not be written"),
+        Err(error) => log::info!(service, phase, error:%; "rollout may not have been written"),
     }
     true
 }
@@ -362,26 +370,26 @@
     match serde_json::from_str(&row.value) {
         Ok(record) => Some(record),
         Err(error) => {
-            log::warn!(key = row.key.as_str(), error:%; "row of a rollout left out");
+            log::warn!(key = row.key.as_str(), error:%; "ignoring an invalid row of a rollout");
             None
         }
     }
 }
 
-fn log_note(note: &RolloutEvent) {
-    let (service, version) = (note.service.as_str(), note.version.as_str());
-    let phase = note.phase.as_str();
-    let Some(found) = note.verdict else {
+fn log_event(event: &RolloutEvent) {
+    let (service, version) = (event.service.as_str(), event.version.as_str());
+    let phase = event.phase.as_str();
+    let Some(verdict) = event.verdict else {
         log::info!(service, version, phase; "rollout");
         return;
     };
-    let (new, old) = (found.new, found.old);
-    let route = if found.route == ALL_ROUTES {
+    let (new, old) = (verdict.new, verdict.old);
+    let route = if verdict.route == ALL_ROUTES {
         "all".to_owned()
     } else {
-        format!("{:016x}", found.route)
+        format!("{:016x}", verdict.route)
     };
-    let why = if found.fails {
+    let why = if verdict.fails {
         "failures"
     } else {
         "slow answers"
--- a/bin/lh-entry/src/state.rs
+++ b/bin/lh-entry/src/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of the entry share. One thread, so plain cells do.
+//! State shared by all tasks of the entry. They run on one thread, so cells need no locks.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -28,65 +28,65 @@
 use crate::admission;
 use crate::config::EntryConfig;
 use crate::crash::CrashProbes;
-use crate::fleet::FleetDesk;
-use crate::homes::HomeBook;
-use crate::logs::LineLimit;
+use crate::fleet::FleetDriver;
+use crate::homes::HomeRegionTable;
+use crate::load_reports::LoadReporter;
+use crate::logs::LogRateLimiter;
 use crate::metrics::EntryMetrics;
 use crate::pool::ConnectionPool;
-use crate::rollout::RolloutDesk;
+use crate::rollout::RolloutState;
 use crate::stop::StopPhase;
 use crate::suspension::SuspensionDetector;
 use crate::ticket::TicketTable;
 use crate::view::EncodedChanges;
 use crate::watch::Dependency;
-use crate::words::WordDesk;
 
-/// The entry's state.
+/// Shared state of the entry.
 #[derive(Debug)]
 pub(crate) struct InstanceState {
     pub(crate) config: EntryConfig,
-    /// This run of the instance.
+    /// Instance and incarnation of this process.
     pub(crate) node: NodeId,
     pub(crate) tickets: TicketTable,
     pub(crate) placer: RefCell<RequestPlacer>,
     pub(crate) routes: RefCell<Rc<RouteTable>>,
     pub(crate) desired: RefCell<Option<Rc<DesiredState>>>,
     pub(crate) teams: RefCell<Rc<TeamIndex>>,
-    /// Lines of requests that were turned away at the door.
-    pub(crate) denials: LineLimit,
-    /// Teams and routes without a common home, as logged last.
-    apart: RefCell<String>,
+    /// Limits log lines about requests that admission denied.
+    pub(crate) denial_log_limit: LogRateLimiter,
+    /// Last logged list of teams and routes without a common home region.
+    logged_home_conflicts: RefCell<String>,
     pub(crate) limits: Cell<RequestLimits>,
     pub(crate) evacuated: RefCell<HashSet<String>>,
-    /// The registry's changes, as other entries are told.
+    /// Changes of the server registry, for other entries.
     pub(crate) servers: RefCell<RegistryLog>,
-    /// The same, encoded.
+    /// Encoded changes, cached for other entries.
     pub(crate) encoded: RefCell<EncodedChanges>,
-    /// Whole copies of it that were told.
+    /// Schedules full copies of the registry for other entries.
     pub(crate) copies: RefCell<CopyScheduler>,
-    /// Reads the registry; taken while it does.
+    /// Client for reading the registry; `None` while a read is in progress.
     pub(crate) registry: RefCell<Option<StoreClient>>,
     pub(crate) registry_dependency: RefCell<Dependency>,
-    /// The part in the fleet.
-    pub(crate) fleet: FleetDesk,
-    /// Times at which the machine stood still.
+    /// Membership in the fleet of entries.
+    pub(crate) fleet: FleetDriver,
+    /// Detects that the machine was suspended.
     suspensions: RefCell<SuspensionDetector>,
-    /// Which versions of services get requests.
-    pub(crate) rollouts: RolloutDesk,
-    /// What each team asks for.
+    /// Selects the version of a service that gets a request during a rollout.
+    pub(crate) rollouts: RolloutState,
+    /// Enforces teams' request quotas.
     pub(crate) quota: RefCell<QuotaLimiter>,
-    /// Which teams ask for more than their part.
-    pub(crate) shares: RefCell<FairnessRanker>,
-    /// What is said and heard of load.
-    pub(crate) words: WordDesk,
-    /// Counts callers' requests.
-    pub(crate) meter: RefCell<RateMeter>,
-    /// Requests a second that this entry gets, as it told the others last.
-    pub(crate) told_rate: Cell<u32>,
+    /// Ranks teams by how far they exceed their fair share.
+    pub(crate) fairness: RefCell<FairnessRanker>,
+    /// Exchange of load reports with other entries.
+    pub(crate) load_reports: LoadReporter,
+    /// Measures the rate of callers' requests.
+    pub(crate) request_meter: RefCell<RateMeter>,
+    /// Request rate per second that was last advertised to other entries.
+    pub(crate) advertised_rate: Cell<u32>,
     /// Home regions of client addresses.
-    pub(crate) homes: RefCell<HomeBook>,
+    pub(crate) homes: RefCell<HomeRegionTable>,
     pub(crate) pool: ConnectionPool,
-    /// Servers that broke off requests.
+    /// Tracks servers that aborted requests.
     pub(crate) crashes: CrashProbes,
     pub(crate) metrics: EntryMetrics,
     pub(crate) stop: Cell<StopPhase>,
@@ -96,7 +96,7 @@
 }
 
 impl InstanceState {
-    /// The state of an entry that knows nothing yet.
+    /// Creates the state of an entry that has read nothing from the store yet.
     pub(crate) fn new(config: EntryConfig, metrics: EntryMetrics, incarnation: u64) -> Self {
         let own = stable_hash(config.instance.as_bytes());
         let placer = RequestPlacer::new(place::placing::placer::PlacerConfig {
@@ -118,8 +118,8 @@
             routes: RefCell::default(),
             desired: RefCell::default(),
             teams: RefCell::default(),
-            denials: LineLimit::default(),
-            apart: RefCell::default(),
+            denial_log_limit: LogRateLimiter::default(),
+            logged_home_conflicts: RefCell::default(),
             limits: Cell::new(RequestLimits::default()),
             evacuated: RefCell::default(),
             servers: RefCell::default(),
@@ -127,14 +127,14 @@
             copies: RefCell::new(CopyScheduler::new(config.link_megabits)),
             registry: RefCell::default(),
             registry_dependency: RefCell::new(Dependency::new("server registry")),
-            fleet: FleetDesk::new(member_config(&config, incarnation)),
+            fleet: FleetDriver::new(member_config(&config, incarnation)),
             suspensions: RefCell::default(),
-            rollouts: RolloutDesk::new(&config, incarnation),
+            rollouts: RolloutState::new(&config, incarnation),
             quota: RefCell::new(quota_limiter(&config, incarnation)),
-            shares: RefCell::default(),
-            words: WordDesk::default(),
-            meter: RefCell::default(),
-            told_rate: Cell::new(0),
+            fairness: RefCell::default(),
+            load_reports: LoadReporter::default(),
+            request_meter: RefCell::default(),
+            advertised_rate: Cell::new(0),
             homes: RefCell::default(),
             pool: ConnectionPool::new(config.connect),
             crashes: CrashProbes::default(),
@@ -147,77 +147,78 @@
         }
     }
 
-    /// Whether callers should be sent here.
+    /// Returns whether this entry is ready to serve callers.
     pub(crate) fn is_ready(&self) -> bool {
-        self.is_complete() && self.serves_keys()
+        self.has_required_state() && self.serves_keys()
     }
 
-    /// Whether this entry could take callers, but has not heard lately which keys hold.
-    /// Where no other entry has either, callers of public routes still find it.
+    /// Returns whether this entry can serve only public routes, because its information on
+    /// valid keys is too old. If this holds for all entries, look-ups still name this entry
+    /// for callers of public routes.
     pub(crate) fn serves_public_only(&self) -> bool {
-        self.is_complete() && !self.serves_keys()
+        self.has_required_state() && !self.serves_keys()
     }
 
-    /// Whether it knows what it needs to serve callers, and is to.
-    fn is_complete(&self) -> bool {
+    /// Returns whether the desired state and the registry are known and no stop was requested.
+    fn has_required_state(&self) -> bool {
         let known = self.version() > 0 && self.placer.borrow().catalog.read_at().is_some();
         known && self.stop.get() == StopPhase::Serving
     }
 
-    /// Whether this entry has heard lately enough which keys hold.
+    /// Returns whether the information on valid keys is fresh enough to serve teams' requests.
     pub(crate) fn serves_keys(&self) -> bool {
         let access = self.config.access;
-        self.teams.borrow().is_empty() || access.may_serve(self.knowledge_age())
+        self.teams.borrow().is_empty() || access.may_serve(self.proof_age())
     }
 
-    /// Age of what is known of the operator's rows at most; `None` where it can't be told.
-    pub(crate) fn knowledge_age(&self) -> Option<Duration> {
-        self.notice_suspension();
+    /// Returns the maximum age of what is known of the operator's rows; `None` if unknown.
+    pub(crate) fn proof_age(&self) -> Option<Duration> {
+        self.detect_suspension();
         self.fleet.proof_age()
     }
 
-    /// How old that may become while teams' requests are served.
+    /// Returns the age up to which that information allows serving teams' requests.
     pub(crate) fn proof_within(&self) -> Option<Duration> {
         let has_teams = !self.teams.borrow().is_empty();
         self.config.access.revoke.filter(|_| has_teams)
     }
 
-    /// Finds out whether the machine stood still.
-    fn notice_suspension(&self) {
+    /// Detects and handles that the machine was suspended.
+    fn detect_suspension(&self) {
         let Some(span) = self.suspensions.borrow_mut().detect() else {
             return;
         };
-        log::warn!(span_ms = span.as_millis() as u64; "the machine stood still");
+        log::warn!(span_ms = span.as_millis() as u64; "machine was suspended");
         self.fleet.on_event(FleetEvent::Suspended(span));
     }
 
-    /// Whether callers on the own interface are expected.
+    /// Returns whether there are routes for callers on the product's own interface.
     pub(crate) fn has_own_routes(&self) -> bool {
         let routes = self.routes.borrow();
         routes.iter().any(|route| route.host == ANY_HOST)
     }
 
-    /// Version of the desired state in force; 0 before the first.
+    /// Returns the version of the desired state in force; 0 before the first.
     pub(crate) fn version(&self) -> u64 {
         self.routes.borrow().version()
     }
 
-    /// Takes in a change of the operator's; a desired state only if it is newer.
-    pub(crate) fn on_operator(&self, change: &OperatorChange) {
+    /// Applies an operator's change; a desired state only if it is newer.
+    pub(crate) fn on_operator_change(&self, change: &OperatorChange) {
         match change {
-            OperatorChange::Desired(desired) => self.on_desired(desired),
+            OperatorChange::Desired(desired) => self.apply_desired_state(desired),
             OperatorChange::Evacuate(domain) => {
                 let fresh = self.evacuated.borrow_mut().insert(domain.clone());
                 if fresh {
                     log::info!(domain = domain.as_str(); "evacuation in force");
-                    self.apply_evacuations();
+                    self.update_evacuations();
                 }
             }
             OperatorChange::Restore(domain) => {
                 let known = self.evacuated.borrow_mut().remove(domain);
                 if known {
                     log::info!(domain = domain.as_str(); "evacuation taken back");
-                    self.apply_evacuations();
+                    self.update_evacuations();
                 }
             }
             OperatorChange::Rollout(order) => self.rollouts.on_order(order),
@@ -225,57 +226,63 @@
         }
     }
 
-    /// Whether a planned stop has begun.
+    /// Returns whether a planned stop has begun.
     pub(crate) fn is_stopping(&self) -> bool {
         self.stop.get() != StopPhase::Serving
     }
 
-    /// Takes in the evacuations that a lead told with what it knows, `heard`. Where all
-    /// was asked for they count also if they seem older.
-    pub(crate) fn on_told_operator(
+    /// Applies the evacuations from a lead with the given progress. A response to a request
+    /// for everything (`is_whole`) is applied even if it appears older.
+    pub(crate) fn on_peer_operator(
         &self,
-        heard: &StoreProgress,
+        progress: &StoreProgress,
         evacuated: &[String],
         is_whole: bool,
     ) {
-        if heard.operator <= self.fleet.known().operator && !is_whole {
+        if progress.operator <= self.fleet.known().operator && !is_whole {
             return;
         }
         for domain in evacuated {
-            self.on_operator(&OperatorChange::Evacuate(domain.clone()));
+            self.on_operator_change(&OperatorChange::Evacuate(domain.clone()));
         }
-        self.restore_others(evacuated);
-        self.fleet.on_known(|known| known.replace_operator(heard));
+        self.restore_domains_except(evacuated);
+        self.fleet
+            .update_known(|known| known.replace_operator(progress));
     }
 
-    /// Takes in all of the operator's rows: evacuations and rollouts that aren't among them
-    /// have been taken back.
+    /// Applies the complete set of the operator's rows: evacuations and rollouts that are
+    /// missing from it have been cancelled.
     pub(crate) fn on_operator_rows(&self, changes: &[OperatorChange]) {
         let (mut domains, mut orders) = (Vec::new(), Vec::new());
         for change in changes {
-            self.on_operator(change);
+            self.on_operator_change(change);
             match change {
                 OperatorChange::Evacuate(domain) => domains.push(domain.clone()),
                 OperatorChange::Rollout(order) => orders.push(order),
                 _ => {}
             }
         }
-        self.restore_others(&domains);
+        self.restore_domains_except(&domains);
         self.rollouts.on_all_orders(&orders);
     }
 
-    /// Takes the evacuations of all failure domains but `domains` back.
-    fn restore_others(&self, domains: &[String]) {
+    /// Cancels the evacuations of all failure domains except `domains`.
+    fn restore_domains_except(&self, domains: &[String]) {
         let evacuated = self.evacuated.borrow().clone();
         for domain in evacuated {
             if !domains.contains(&domain) {
-                self.on_operator(&OperatorChange::Restore(domain));
+                self.on_operator_change(&OperatorChange::Restore(domain));
             }
         }
     }
 
-    /// Takes in a reading of the registry, unless a newer one is known; whether it was.
-    pub(crate) fn on_servers(&self, snapshot: &CatalogSnapshot, mut scope: ReadScope) -> bool {
+    /// Applies a snapshot of the registry unless a newer one is known. Returns whether it was
+    /// applied.
+    pub(crate) fn on_registry_snapshot(
+        &self,
+        snapshot: &CatalogSnapshot,
+        mut scope: ReadScope,
+    ) -> bool {
         if self.placer.borrow().catalog.is_outdated(snapshot) {
             let (version, known) = (snapshot.version, self.fleet.known().registry_read);
             log::info!(version, known; "reading of the registry left out");
@@ -296,9 +303,9 @@
             by: "store",
             age: snapshot.begun.elapsed(),
         };
-        self.note_versions(&changes, is_first);
+        self.report_versions(&changes, is_first);
         self.on_catalog_changes(&changes, snapshot.foreign.len(), &source);
-        self.fleet.on_known(|known| {
+        self.fleet.update_known(|known| {
             known.registry = changed_at;
             known.content = content;
             known.registry_read = snapshot.version;
@@ -307,17 +314,17 @@
         true
     }
 
-    /// Takes in what a lead told of the registry with what it knows, `heard`, unless it is
-    /// known. Where all was asked for it counts also if it seems older.
-    pub(crate) fn on_told_servers(
+    /// Applies registry changes from a lead with the given progress, unless they are known. A
+    /// response to a request for everything (`is_whole`) is applied even if it appears older.
+    pub(crate) fn on_peer_servers(
         &self,
         lead: SocketAddr,
-        heard: &StoreProgress,
+        progress: &StoreProgress,
         delta: &RegistryDelta,
         is_whole: bool,
     ) {
         let mut servers = self.servers.borrow_mut();
-        let Some(begun) = heard.registry_at else {
+        let Some(begun) = progress.registry_at else {
             return;
         };
         if delta.version <= servers.version() && !is_whole {
@@ -334,43 +341,43 @@
             by: &lead.to_string(),
             age: begun.elapsed(),
         };
-        self.note_versions(&changes, is_first);
+        self.report_versions(&changes, is_first);
         self.on_catalog_changes(&changes, delta.foreign.len(), &source);
-        self.fleet.on_known(|known| {
+        self.fleet.update_known(|known| {
             known.registry = delta.version;
             known.content = content;
-            known.registry_read = heard.registry_read;
+            known.registry_read = progress.registry_read;
             known.registry_at = Some(begun);
         });
-        self.note_settles();
+        self.report_pending_removals();
     }
 
-    /// Takes in which servers have left, as a lead told that has run for longer.
-    pub(crate) fn on_told_ends(&self, lead: SocketAddr, ends: &[Departure]) {
+    /// Applies the departed servers as reported by a lead that has been running longer.
+    pub(crate) fn on_peer_departures(&self, lead: SocketAddr, departures: &[Departure]) {
         let mut servers = self.servers.borrow_mut();
-        servers.on_departures(ends);
+        servers.on_departures(departures);
         let changed_at = servers.version();
         drop(servers);
         let mut placer = self.placer.borrow_mut();
-        let changes = placer.catalog.on_ends(Instant::now(), ends);
+        let changes = placer.catalog.on_ends(Instant::now(), departures);
         drop(placer);
         let by = &lead.to_string();
         for change in &changes {
             let age = Duration::ZERO;
             log_change(change, &ChangeSource { by, age });
         }
-        self.fleet.on_known(|known| known.registry = changed_at);
+        self.fleet.update_known(|known| known.registry = changed_at);
     }
 
-    /// Tells the fleet when servers whose rows vanished are gone.
-    pub(crate) fn note_settles(&self) {
+    /// Informs the fleet when servers whose rows are missing will finally be removed.
+    pub(crate) fn report_pending_removals(&self) {
         let next_removal_at = self.placer.borrow().catalog.next_removal_at();
         self.fleet
             .on_event(FleetEvent::RemovalsFinalAt(next_removal_at));
     }
 
-    /// Tells the rollouts of the versions of servers that joined.
-    fn note_versions(&self, changes: &[CatalogChange], is_first: bool) {
+    /// Reports the versions of servers that joined to the rollout controller.
+    fn report_versions(&self, changes: &[CatalogChange], is_first: bool) {
         let placer = self.placer.borrow();
         for change in changes {
             let id = match change {
@@ -396,15 +403,15 @@
         self.metrics.kept_servers.set(kept as i64);
         for change in changes {
             if let CatalogChange::Restarted(id) = change {
-                // Its connections ended with the former run.
+                // Its connections were closed when the previous process ended.
                 self.pool.close_idle(id);
             }
             log_change(change, source);
         }
     }
 
-    /// Divides shared rates among the entries that get requests. One that isn't listed
-    /// stands by: the others don't count it.
+    /// Divides shared rates among the entries that get requests. An entry that isn't listed is
+    /// on standby: the others don't count it.
     pub(crate) fn refresh_entries(&self) {
         let own = &self.config.instance;
         let (mut hashes, mut near) = (Vec::new(), 0);
@@ -429,8 +436,8 @@
         placer.set_standby(!gets_requests);
     }
 
-    /// Takes in a desired state; one that isn't newer changes nothing.
-    pub(crate) fn on_desired(&self, desired: &DesiredState) {
+    /// Applies a desired state if it is newer than the one in force.
+    pub(crate) fn apply_desired_state(&self, desired: &DesiredState) {
         let known = self.version();
         if desired.version <= known {
             if desired.version < known {
@@ -445,7 +452,8 @@
         *self.desired.borrow_mut() = Some(Rc::new(desired.clone()));
         self.metrics.version.set(desired.version as i64);
         log::info!(version = desired.version, before = known, routes = desired.routes.len(); "desired state in force");
-        self.fleet.on_known(|known| known.desired = desired.version);
+        self.fleet
+            .update_known(|known| known.desired = desired.version);
     }
 
     fn set_teams(&self, desired: &DesiredState) {
@@ -453,15 +461,16 @@
         for key in teams.shared_keys() {
             log::error!(key:%, version = desired.version; "key of two teams; it names neither");
         }
-        let apart = admission::log_region_conflicts(desired, &self.apart.borrow());
-        *self.apart.borrow_mut() = apart;
+        let logged_home_conflicts =
+            admission::log_region_conflicts(desired, &self.logged_home_conflicts.borrow());
+        *self.logged_home_conflicts.borrow_mut() = logged_home_conflicts;
         let mut quota = self.quota.borrow_mut();
         quota.set_teams(Instant::now(), &desired.teams);
-        self.shares.borrow_mut().set_teams(&desired.teams);
+        self.fairness.borrow_mut().set_teams(&desired.teams);
         *self.teams.borrow_mut() = Rc::new(teams);
     }
 
-    fn apply_evacuations(&self) {
+    fn update_evacuations(&self) {
         let domains = self.evacuated.borrow().clone();
         let mut placer = self.placer.borrow_mut();
         let warmup: Duration = placer.longest_warmup();
@@ -486,7 +495,7 @@
         candidate: LeadCandidate {
             node: config.instance.clone(),
             domain: config.domain.clone(),
-            peer_address: config.beat_address,
+            peer_address: config.peer_address,
             view_address: config.view_address,
             capacity: config.capacity,
             has_store_access: true,
@@ -500,7 +509,7 @@
     }
 }
 
-/// Who told of a change in the registry, and how old that word was.
+/// Source of a registry change, and the age of the information.
 #[derive(Debug, Clone, Copy)]
 struct ChangeSource<'a> {
     by: &'a str,
--- a/bin/lh-entry/src/suspect.rs
+++ b/bin/lh-entry/src/suspect.rs
@@ -28,7 +28,7 @@
     pub(crate) fn clear_suspicion(&mut self, body: &JobBody) {
         if self.state.fleet.has_suspects() {
             let fingerprint = self.fingerprint(body);
-            self.state.fleet.on_answered(fingerprint);
+            self.state.fleet.clear_suspect(fingerprint);
         }
     }
 
--- a/bin/lh-entry/src/view.rs
+++ b/bin/lh-entry/src/view.rs
@@ -1,4 +1,4 @@
-//! Tells other entries what this one knows of the store, and asks leads for it.
+//! Serves this entry's knowledge of the store to other entries, and pulls it from leads.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -30,22 +30,22 @@
 
 use crate::state::InstanceState;
 
-/// Path of the question.
+/// Path of the request.
 pub(crate) const VIEW_PATH: &str = "/view";
-/// Longest wait for an answer: several round trips. After it the other lead is asked, so
-/// that one that died costs no freshness.
-const PATIENCE: Duration = Duration::from_millis(300);
-/// The same for an entry that knows nothing: whole copies for a region's entries that all
-/// start at once take their time on the lead's link.
-const FIRST_PATIENCE: Duration = Duration::from_millis(1500);
-/// Largest answer that is read, in bytes.
-const ANSWER_BYTES: usize = 8 << 20;
-/// Encoded changes kept, by the version since which they are: followers differ by a few
-/// versions at most.
-const ENCODED_KEPT: usize = 16;
+/// Timeout of a pull, which covers several round trips. After it the other lead is asked, so
+/// that a failed lead doesn't delay updates.
+const PULL_TIMEOUT: Duration = Duration::from_millis(300);
+/// Timeout of a pull by an entry that has no complete state yet. If all entries of a region
+/// start at once, full copies for all of them take long on the lead's link.
+const INITIAL_PULL_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Maximum size of a response, in bytes.
+const MAX_ANSWER_BYTES: usize = 8 << 20;
+/// Maximum number of cached encodings, one for each starting version. Followers are at most a
+/// few versions apart.
+const MAX_ENCODED: usize = 16;
 
 base::common! {
-    /// What an entry knows and others may know more of.
+    /// Request for newer state: the versions that the requesting entry has.
     struct ViewQuery {
         /// Version of the registry's log.
         registry: u64,
@@ -55,120 +55,121 @@
         desired: u64,
         /// Versions of the lists of entries.
         lists: Vec<(String, ListVersion)>,
-        /// Where the one that asks tells what it knows.
+        /// Address at which the requesting entry serves its own state.
         view: SocketAddr,
-        /// Whether it takes a copy of the registry from nobody else.
-        insists: bool,
-        /// Whether it asks which servers have left.
-        ends: bool,
+        /// Whether it accepts a copy of the registry only from the requested entry.
+        direct_only: bool,
+        /// Whether it requests the list of departed servers.
+        departures: bool,
     }
 
-    /// What the one that asked lacks.
+    /// Response with the state that the requesting entry lacks.
     #[derive(Default)]
     struct ViewAnswer {
         store: StoreProgressMessage,
-        /// An encoded [`RegistryDelta`]; empty where nothing changed.
+        /// An encoded [`RegistryDelta`]; empty if nothing changed.
         registry: Vec<u8>,
-        /// Where that is to be had instead.
-        copy_at: Option<SocketAddr>,
-        /// Whether it can't be told now, since others are.
+        /// Address of another entry that serves a copy of the registry instead.
+        relay: Option<SocketAddr>,
+        /// Whether the registry can't be sent now because copies for others occupy the link.
         is_busy: bool,
-        /// The failure domains to be evacuated, where something changed.
+        /// Evacuated failure domains, if any of the operator's rows changed.
         evacuated: Option<Vec<String>>,
-        /// The rollouts, where something changed.
+        /// Rollouts, if any of the operator's rows changed.
         rollouts: Vec<RolloutRecord>,
-        /// An encoded [`DesiredState`]; empty where the one that asked has it.
+        /// An encoded [`DesiredState`]; empty if the requesting entry has it.
         desired: Vec<u8>,
         lists: Vec<EntryList>,
-        /// Servers that have left, where that was asked for.
-        ends: Vec<Departure>,
-        /// The latest time that the store's clock can show.
-        latest: StoreTime,
+        /// Departed servers, if requested.
+        departures: Vec<Departure>,
+        /// Upper bound on the current time of the store's clock.
+        latest_store_time: StoreTime,
     }
 }
 
 quick_error! {
-    /// Why another entry's word gave nothing.
+    /// Why a pull from another entry failed.
     #[derive(Debug)]
     #[allow(unreachable_pub, reason = "the macro takes no narrower visibility")]
     pub enum ViewError {
-        /// No connection or no whole answer.
+        /// The connection failed, or the response was incomplete.
         Connection(why: String) {
             display("{}", why)
         }
-        /// No answer in time.
+        /// No response in time.
         Timeout {
             display("no answer in time")
         }
-        /// The other entry tells others everything now.
+        /// The other entry is sending copies to others.
         Busy {
             display("busy with copies for others")
         }
-        /// An answer that isn't understood, as of another version.
+        /// The response can't be decoded, for example because it is from another release.
         Format(why: postcard::Error) {
-            display("answer not understood: {}", why)
+            display("can't decode the response: {}", why)
             from()
         }
     }
 }
 
-/// Changes of the registry as encoded for one follower, for others that ask for the same:
-/// whole copies for a region's entries are made once.
+/// Cache of encoded registry changes, shared by followers that request the same ones. A full
+/// copy for all entries of a region is encoded once.
 #[derive(Debug, Default)]
 pub(crate) struct EncodedChanges {
-    /// The log that they are of. Its version alone may stand for other content before.
-    of: (u64, ContentHash),
-    by_mark: HashMap<u64, Rc<Vec<u8>>>,
+    /// Version and content of the log that was encoded. The version alone doesn't suffice: the
+    /// same version may have had other content before.
+    log_state: (u64, ContentHash),
+    by_version: HashMap<u64, Rc<Vec<u8>>>,
 }
 
 impl EncodedChanges {
-    fn since(&mut self, log: &RegistryLog, mark: u64) -> Rc<Vec<u8>> {
-        let of = (log.version(), log.content());
-        if self.of != of || self.by_mark.len() >= ENCODED_KEPT {
-            self.by_mark.clear();
-            self.of = of;
+    fn since(&mut self, log: &RegistryLog, version: u64) -> Rc<Vec<u8>> {
+        let log_state = (log.version(), log.content());
+        if self.log_state != log_state || self.by_version.len() >= MAX_ENCODED {
+            self.by_version.clear();
+            self.log_state = log_state;
         }
-        let encoded = self.by_mark.entry(mark);
-        Rc::clone(encoded.or_insert_with(|| Rc::new(encode(&log.since(mark)))))
+        let encoded = self.by_version.entry(version);
+        Rc::clone(encoded.or_insert_with(|| Rc::new(encode(&log.since(version)))))
     }
 }
 
-/// What this entry knows beyond `query`; `None` where that isn't understood.
+/// Returns the state that is newer than `query`; `None` if the query can't be decoded.
 pub(crate) fn answer_view(state: &InstanceState, query: &str) -> Option<Vec<u8>> {
     let bytes = URL_SAFE_NO_PAD.decode(query).ok()?;
     let query: ViewQuery = postcard::from_bytes(&bytes).ok()?;
     let known = state.fleet.known();
     let mut answer = ViewAnswer {
         store: known.to_message(Instant::now()),
-        latest: state.fleet.latest_store_time(),
+        latest_store_time: state.fleet.latest_store_time(),
         ..ViewAnswer::default()
     };
     if known.registry_at.is_some() && known.registry > query.registry {
         let log = state.servers.borrow();
         let changes = state.encoded.borrow_mut().since(&log, query.registry);
         let mut copies = state.copies.borrow_mut();
-        let asked =
-            copies.on_copy_request(Instant::now(), query.view, changes.len(), query.insists);
-        match asked {
+        let source =
+            copies.on_copy_request(Instant::now(), query.view, changes.len(), query.direct_only);
+        match source {
             CopySource::Direct => {
-                state.metrics.on_told(query.registry == 0);
+                state.metrics.on_copy_sent(query.registry == 0);
                 answer.registry.clone_from(&changes);
             }
-            CopySource::Relay(relay) => answer.copy_at = Some(relay),
+            CopySource::Relay(relay) => answer.relay = Some(relay),
             CopySource::Busy => answer.is_busy = true,
         }
     }
     if known.operator > query.operator {
         answer.evacuated = Some(state.evacuated.borrow().iter().cloned().collect());
-        answer.rollouts = state.rollouts.book().records().cloned().collect();
+        answer.rollouts = state.rollouts.controller().records().cloned().collect();
     }
     if known.desired > query.desired
         && let Some(desired) = state.desired.borrow().as_deref()
     {
         answer.desired = encode(desired);
     }
-    if query.ends {
-        answer.ends = state.servers.borrow().departures();
+    if query.departures {
+        answer.departures = state.servers.borrow().departures();
     }
     answer.lists = state
         .fleet
@@ -176,16 +177,16 @@
     Some(encode(&answer))
 }
 
-/// The bytes of `value`; none where it can't be encoded, which the one that asked tells
-/// from an answer.
+/// Encodes `value`. If that fails the result is empty, which the receiver can tell from a
+/// response.
 fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     postcard::to_allocvec(value).unwrap_or_else(|error| {
-        log::error!(error:%; "nothing told to another entry");
+        log::error!(error:%; "can't encode a message for another entry");
         Vec::new()
     })
 }
 
-/// Asks a lead for what it knows more, and takes that in.
+/// Pulls newer state from a lead and applies it.
 pub(crate) async fn pull(state: Rc<InstanceState>, target: PullTarget) {
     let begun = Instant::now();
     let mut client = state.fleet.client.take();
@@ -193,7 +194,7 @@
     state.fleet.client.replace(client);
     let result = result.and_then(|answers| {
         for answer in &answers {
-            take_in(&state, begun, &target, answer)?;
+            apply_answer(&state, begun, &target, answer)?;
         }
         let is_busy = answers.last().is_some_and(|answer| answer.is_busy);
         if is_busy {
@@ -213,14 +214,15 @@
         .on_event(FleetEvent::PullFinished(target.view_address, done));
 }
 
-/// The lead's answer, and that of the entry which it names for a copy of the registry.
+/// Returns the lead's response, followed by that of the entry to which it refers for a copy of
+/// the registry. Falls back to the lead if that entry has no copy.
 async fn ask(
     state: &InstanceState,
     client: &mut ViewClient,
     target: &PullTarget,
 ) -> Result<Vec<ViewAnswer>, ViewError> {
     let answer = client.ask(state, target, false).await?;
-    let Some(view) = answer.copy_at else {
+    let Some(view) = answer.relay else {
         return Ok(vec![answer]);
     };
     let relay = PullTarget {
@@ -230,55 +232,57 @@
     let copy = ViewClient::default().ask(state, &relay, false).await;
     match copy {
         Ok(copy) if !copy.registry.is_empty() => return Ok(vec![answer, copy]),
-        Ok(_) => log::info!(relay:% = view; "no copy of the registry there"),
-        Err(error) => log::info!(relay:% = view, error:%; "no copy of the registry there"),
+        Ok(_) => log::info!(relay:% = view; "relay has no copy of the registry"),
+        Err(error) => log::info!(relay:% = view, error:%; "relay sent no registry copy"),
     }
     Ok(vec![client.ask(state, target, true).await?])
 }
 
-fn take_in(
+fn apply_answer(
     state: &InstanceState,
     begun: Instant,
     target: &PullTarget,
     answer: &ViewAnswer,
 ) -> Result<(), ViewError> {
-    // The answer was given at some time since the question: taking it for new would hide how
-    // long this process had no turn to read it.
-    let heard = StoreProgress::from_message(begun, &answer.store);
+    // The response was created at some time since `begun`. Dating it to now would hide how long
+    // this process was stalled before reading it.
+    let progress = StoreProgress::from_message(begun, &answer.store);
     if !answer.desired.is_empty() {
         let desired: DesiredState = postcard::from_bytes(&answer.desired)?;
-        state.on_desired(&desired);
+        state.apply_desired_state(&desired);
     }
-    let latest = match state.fleet.latest_store_time() {
+    let latest_store_time = match state.fleet.latest_store_time() {
         known if known.is_some() => known,
-        _ => answer.latest,
+        _ => answer.latest_store_time,
     };
     for record in &answer.rollouts {
-        state.rollouts.on_record(record, latest, false);
+        state.rollouts.on_record(record, latest_store_time, false);
     }
     if let Some(evacuated) = &answer.evacuated {
         let is_whole = target.scope == PullScope::All;
-        state.on_told_operator(&heard, evacuated, is_whole);
+        state.on_peer_operator(&progress, evacuated, is_whole);
     }
     if !answer.registry.is_empty() {
         let delta: RegistryDelta = postcard::from_bytes(&answer.registry)?;
         let is_whole = target.scope.is_whole();
-        state.on_told_servers(target.view_address, &heard, &delta, is_whole);
+        state.on_peer_servers(target.view_address, &progress, &delta, is_whole);
     }
-    if !answer.ends.is_empty() {
-        state.on_told_ends(target.view_address, &answer.ends);
+    if !answer.departures.is_empty() {
+        state.on_peer_departures(target.view_address, &answer.departures);
     }
     state
         .fleet
-        .on_event(FleetEvent::StoreTime(begun, answer.latest));
-    state.fleet.on_known(|known| known.confirm_operator(&heard));
+        .on_event(FleetEvent::StoreTime(begun, answer.latest_store_time));
+    state
+        .fleet
+        .update_known(|known| known.confirm_operator(&progress));
     state
         .fleet
         .on_event(FleetEvent::Lists(answer.lists.clone()));
     Ok(())
 }
 
-/// Asks one lead after the other, over a connection that is kept.
+/// Client for other entries' views; keeps the connection to the last one open.
 #[derive(Debug, Default)]
 pub(crate) struct ViewClient {
     lead: Option<SocketAddr>,
@@ -290,7 +294,7 @@
         &mut self,
         state: &InstanceState,
         target: &PullTarget,
-        insists: bool,
+        direct_only: bool,
     ) -> Result<ViewAnswer, ViewError> {
         if self.lead != Some(target.view_address) {
             self.lead = Some(target.view_address);
@@ -308,16 +312,16 @@
             desired: known.desired,
             lists: state.fleet.with_regions(|_, regions| regions.versions()),
             view: state.config.view_address,
-            insists,
-            ends: target.scope == PullScope::Departures,
+            direct_only,
+            departures: target.scope == PullScope::Departures,
         });
         let path = format!("{VIEW_PATH}?{}", URL_SAFE_NO_PAD.encode(query));
-        let patience = if known.is_complete() {
-            PATIENCE
+        let answer_timeout = if known.is_complete() {
+            PULL_TIMEOUT
         } else {
-            FIRST_PATIENCE
+            INITIAL_PULL_TIMEOUT
         };
-        let fetched = timeout(patience, self.fetch(target.view_address, &path)).await;
+        let fetched = timeout(answer_timeout, self.fetch(target.view_address, &path)).await;
         let fetched = fetched.unwrap_or(Err(ViewError::Timeout));
         if fetched.is_err() {
             self.sender = None;
@@ -326,7 +330,7 @@
     }
 
     async fn fetch(&mut self, lead: SocketAddr, path: &str) -> Result<Bytes, ViewError> {
-        let lost = |error: hyper::Error| ViewError::Connection(error.to_string());
+        let connection_error = |error: hyper::Error| ViewError::Connection(error.to_string());
         let open = self
             .sender
             .as_ref()
@@ -336,10 +340,12 @@
                 .await
                 .map_err(|error| ViewError::Connection(error.to_string()))?;
             let _ = stream.set_nodelay(true);
-            let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(lost)?;
+            let (sender, connection) = handshake(TokioIo::new(stream))
+                .await
+                .map_err(connection_error)?;
             tokio::task::spawn_local(async move {
                 if let Err(error) = connection.await {
-                    log::debug!(error:%; "connection to another entry ended");
+                    log::debug!(error:%; "connection to another entry failed");
                 }
             });
             self.sender = Some(sender);
@@ -347,16 +353,19 @@
         let Some(sender) = self.sender.as_mut() else {
             return Err(ViewError::Timeout);
         };
-        sender.ready().await.map_err(lost)?;
+        sender.ready().await.map_err(connection_error)?;
         let request = Request::get(path)
             .header(hyper::header::HOST, "entry")
             .body(Empty::new())
             .map_err(|error| ViewError::Connection(error.to_string()))?;
-        let answer = sender.send_request(request).await.map_err(lost)?;
+        let answer = sender
+            .send_request(request)
+            .await
+            .map_err(connection_error)?;
         if answer.status() != StatusCode::OK {
             return Err(ViewError::Connection(format!("status {}", answer.status())));
         }
-        let body = Limited::new(answer.into_body(), ANSWER_BYTES)
+        let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES)
             .collect()
             .await;
         let body = body.map_err(|error| ViewError::Connection(error.to_string()))?;
--- a/bin/lh-entry/src/watch.rs
+++ b/bin/lh-entry/src/watch.rs
@@ -1,7 +1,8 @@
-//! Asks the platform's store: the operator's rows through a feed, the servers' registry
-//! by readings, the rows by which leads and callers' regions are found.
+//! Reads the platform's store: watches the operator's rows through a change feed, polls the
+//! server registry, and reads and writes the rows by which leads and callers' home regions are
+//! found.
 //!
-//! When this entry is to ask is decided in `place::fleet`.
+//! `place::fleet` decides when this entry calls the store.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,34 +20,36 @@
 use crate::quarantine;
 use crate::state::InstanceState;
 
-/// Longest wait for an answer of the store. Slow answers of up to a second
-/// have been seen; after that a new connection is better.
-pub(crate) const PATIENCE: Duration = Duration::from_millis(1500);
-/// How long a feed without changes stays open. A connection that went silent
-/// is noticed after this and the patience: within the time in which an entry
-/// must be up to date again after its connections were disturbed.
+/// Timeout of calls to the store. Responses that took up to a second have been observed; after
+/// that a new connection is more likely to succeed.
+pub(crate) const STORE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// How long a feed without changes stays open. A connection that went silent is detected after
+/// this plus [`STORE_TIMEOUT`], which is within the time in which an entry must be up to date
+/// again after its connections were disturbed.
 const FEED_WAIT: Duration = Duration::from_millis(2000);
-/// Parts of the times within which keys must be known and forgotten for which a feed stays
-/// open at most: the rest is for the way to the other entries, and for a second call.
-const LEARN_SHARE: f64 = 0.6;
-const REVOKE_SHARE: f64 = 0.4;
-/// First pause after a failed call, so that a store in trouble isn't pressed.
-const FIRST_PAUSE: Duration = Duration::from_millis(300);
-/// Longest pause: a store that is back is noticed within it.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1200);
-/// Time between two looks at the rows of client blocks, where callers are sorted by them.
-const BLOCKS_EVERY: Duration = Duration::from_secs(15);
+/// Fraction of the time within which new keys must be known for which a feed stays open at
+/// most. The rest is left for propagation to other entries and for a second call.
+const MAX_LEARN_FRACTION: f64 = 0.6;
+/// The same for the time within which revoked keys must be rejected.
+const MAX_REVOKE_FRACTION: f64 = 0.4;
+/// Delay after the first failed call, so that a failing store isn't overloaded.
+const MIN_BACKOFF: Duration = Duration::from_millis(300);
+/// Maximum delay between calls; a recovered store is noticed within it.
+const MAX_BACKOFF: Duration = Duration::from_millis(1200);
+/// Interval at which client block rows are read if callers' home regions depend on them.
+const BLOCKS_INTERVAL: Duration = Duration::from_secs(15);
 
-/// Keeps the operator's rows in force, while this entry is to watch them, until the
-/// process ends.
+/// Watches and applies the operator's rows while the fleet assigns this to the entry. Runs
+/// until the process ends.
 pub(crate) async fn watch_operator(state: Rc<InstanceState>) {
-    let mut client = StoreClient::new(state.config.store, PATIENCE);
+    let mut client = StoreClient::new(state.config.store, STORE_TIMEOUT);
     let mut dependency = Dependency::new("operator feed");
     let mut watching = state.fleet.watching.subscribe();
-    let mut pause = FIRST_PAUSE;
-    // A store that nobody has written to is at version 0, and its rows are none.
+    let mut backoff = MIN_BACKOFF;
+    // A store that was never written to is at version 0 and has no rows, so the version alone
+    // doesn't show whether it has been read.
     let mut has_read = false;
-    let mut tells_time = true;
+    let mut reports_time = true;
     loop {
         if watching.wait_for(|watches| *watches).await.is_err() {
             return;
@@ -54,7 +57,7 @@
         let begun = Instant::now();
         let known = state.fleet.known().operator_read;
         let resume = (known > 0 || has_read).then_some(known);
-        let wait = feed_wait(&state, tells_time);
+        let wait = feed_wait(&state, reports_time);
         let result = match resume {
             None => client.read_operator().await,
             Some(after) => client.watch_operator(after, wait).await,
@@ -64,74 +67,77 @@
             .on_store_call("operator", result.as_ref().err().map(Error::kind));
         match result {
             Ok(rows) => {
-                dependency.regained();
-                pause = FIRST_PAUSE;
+                dependency.on_regained();
+                backoff = MIN_BACKOFF;
                 has_read = true;
-                tells_time = rows.time.is_some();
+                reports_time = rows.time.is_some();
                 state
                     .fleet
                     .on_event(FleetEvent::StoreTime(begun, rows.time));
                 let has_rows = resume.is_none() || rows.has_rows;
                 let as_of = answer_as_of(begun, wait, Instant::now(), has_rows);
-                on_rows(&state, &rows, as_of, resume.is_none());
+                apply_operator_rows(&state, &rows, as_of, resume.is_none());
                 state.fleet.on_event(FleetEvent::WatchFinished(true));
             }
             Err(Error::HistoryGone) => {
                 log::info!("history of the operator's rows is gone; reading all");
                 has_read = false;
-                state.fleet.on_known(|known| known.operator_read = 0);
+                state.fleet.update_known(|known| known.operator_read = 0);
             }
             Err(error) => {
-                dependency.lost(&error);
-                on_store_failed(&state);
+                dependency.on_lost(&error);
+                on_store_unavailable(&state);
                 state.fleet.on_event(FleetEvent::WatchFinished(false));
-                tokio::time::sleep(pause).await;
-                pause = (pause * 2).min(LONGEST_PAUSE);
+                tokio::time::sleep(backoff).await;
+                backoff = (backoff * 2).min(MAX_BACKOFF);
             }
         }
     }
 }
 
-/// How long the store may hold its answer back: its word must not grow too old meanwhile,
-/// where it can be told how old it is.
-fn feed_wait(state: &InstanceState, tells_time: bool) -> Duration {
+/// Returns how long the store may delay its response. If the age of the information is known,
+/// it must not exceed its bounds meanwhile.
+fn feed_wait(state: &InstanceState, reports_time: bool) -> Duration {
     let longest = match state.proof_within() {
         None => FEED_WAIT,
         Some(within) => {
-            let learn = state.config.access.learn.mul_f64(LEARN_SHARE);
-            FEED_WAIT.min(learn).min(within.mul_f64(REVOKE_SHARE))
+            let learn = state.config.access.learn.mul_f64(MAX_LEARN_FRACTION);
+            FEED_WAIT
+                .min(learn)
+                .min(within.mul_f64(MAX_REVOKE_FRACTION))
         }
     };
     match state.fleet.proof_age() {
         Some(age) => longest.saturating_sub(age),
-        None if tells_time => Duration::ZERO,
+        None if reports_time => Duration::ZERO,
         None => longest,
     }
 }
 
-/// Rows that vanish from now on may only have lapsed.
-fn on_store_failed(state: &InstanceState) {
+/// Records that a call to the store failed: rows that disappear from now on may only have
+/// lapsed.
+fn on_store_unavailable(state: &InstanceState) {
     let mut placer = state.placer.borrow_mut();
     placer.catalog.on_read_failed(Instant::now());
 }
 
-/// Takes in the operator's rows as of `as_of`: all of them, or those that changed.
-fn on_rows(state: &InstanceState, rows: &OperatorRows, as_of: Instant, is_whole: bool) {
+/// Applies the operator's rows as of `as_of`: the complete set, or only those that changed.
+fn apply_operator_rows(state: &InstanceState, rows: &OperatorRows, as_of: Instant, is_whole: bool) {
     if rows.version < state.fleet.known().operator {
-        // A lead told what is newer while this answer was on its way.
+        // A lead sent newer rows while this response was in transit.
         return;
     }
     if is_whole {
         state.on_operator_rows(&rows.changes);
     } else {
         for change in &rows.changes {
-            state.on_operator(change);
+            state.on_operator_change(change);
         }
     }
-    let is_news = is_whole || !rows.changes.is_empty();
+    let has_changes = is_whole || !rows.changes.is_empty();
     let version = state.version();
-    state.fleet.on_known(|known| {
-        if is_news {
+    state.fleet.update_known(|known| {
+        if has_changes {
             known.operator = rows.version;
         }
         known.operator_read = known.operator_read.max(rows.version);
@@ -141,12 +147,12 @@
     });
 }
 
-/// Reads the registry once.
+/// Reads the registry once and reports the outcome to the fleet.
 pub(crate) async fn read_registry(state: Rc<InstanceState>, call: RegistryRead) {
     let mut client = state
         .registry
         .take()
-        .unwrap_or_else(|| StoreClient::new(state.config.store, PATIENCE));
+        .unwrap_or_else(|| StoreClient::new(state.config.store, STORE_TIMEOUT));
     resume(&state, &mut client);
     let RegistryRead { wait, whole } = call;
     let is_whole = whole || client.servers_version().is_none();
@@ -163,8 +169,8 @@
         .on_store_call("servers", error.map(Error::kind));
     let mut dependency = state.registry_dependency.borrow_mut();
     match error {
-        None => dependency.regained(),
-        Some(error) => dependency.lost(error),
+        None => dependency.on_regained(),
+        Some(error) => dependency.on_lost(error),
     }
     drop(dependency);
     let outcome = match result {
@@ -182,7 +188,7 @@
                 dropped: rows.dropped,
                 missing: Vec::new(),
             };
-            let is_taken = state.on_servers(&snapshot, scope);
+            let is_taken = state.on_registry_snapshot(&snapshot, scope);
             let is_same = state.servers.borrow().version() == before;
             state.metrics.on_reading(is_taken, is_same);
             if is_same {
@@ -192,16 +198,16 @@
             }
         }
         Err(_) => {
-            on_store_failed(&state);
+            on_store_unavailable(&state);
             ReadOutcome::Failed
         }
     };
-    state.note_settles();
+    state.report_pending_removals();
     state.fleet.on_event(FleetEvent::RegistryRead(outcome));
 }
 
-/// Lets `client` go on from what a lead has told, so that an entry that begins to read
-/// asks for changes only.
+/// Lets `client` resume from the registry as received from a lead, so that an entry that
+/// starts reading requests only changes.
 fn resume(state: &InstanceState, client: &mut StoreClient) {
     let told = state.fleet.known().registry_read;
     if client.servers_version().is_none_or(|read| read < told) && told > 0 {
@@ -211,16 +217,16 @@
     }
 }
 
-/// Looks at the rows by which leads and callers' regions are found.
-pub(crate) async fn read_rows(state: Rc<InstanceState>) {
-    let client = PlatformClient::new(state.config.store).with_answer_timeout(PATIENCE);
+/// Reads the rows by which leads, quarantined requests and callers' home regions are found.
+pub(crate) async fn read_entry_rows(state: Rc<InstanceState>) {
+    let client = PlatformClient::new(state.config.store).with_answer_timeout(STORE_TIMEOUT);
     let rows = match client.list(ENTRY_TABLE).await {
         Ok(rows) => rows,
         Err(error) => {
             state
                 .metrics
                 .on_store_call("entries", Some(store::Error::kind(&error)));
-            log::info!(error:%; "rows of leads not read");
+            log::info!(error:%; "can't read the rows of leads");
             return;
         }
     };
@@ -228,7 +234,7 @@
     let (blocks, others): (Vec<&Row>, Vec<&Row>) = rows
         .iter()
         .partition(|row| row.key.starts_with(BLOCK_PREFIX));
-    state.homes.borrow_mut().on_rows(&blocks);
+    state.homes.borrow_mut().apply_block_rows(&blocks);
     let kept = quarantine::parse_rows(&others);
     state.fleet.on_event(FleetEvent::QuarantineRows(kept));
     let mut leads = Vec::new();
@@ -239,16 +245,16 @@
         for address in row.value.split(',') {
             match address.parse() {
                 Ok(address) => leads.push((region.to_owned(), address)),
-                Err(_) => log::warn!(region; "lead's row left out"),
+                Err(_) => log::warn!(region; "ignoring an invalid address in a lead's row"),
             }
         }
     }
     state.fleet.on_event(FleetEvent::LeadRows(leads));
 }
 
-/// Writes who leads the region, for entries that can't find out otherwise.
-pub(crate) async fn write_row(state: Rc<InstanceState>, leads: Vec<SocketAddr>) {
-    let client = PlatformClient::new(state.config.store).with_answer_timeout(PATIENCE);
+/// Writes the region's leads to the store, for entries that can't discover them otherwise.
+pub(crate) async fn write_lead_row(state: Rc<InstanceState>, leads: Vec<SocketAddr>) {
+    let client = PlatformClient::new(state.config.store).with_answer_timeout(STORE_TIMEOUT);
     let key = format!("{LEAD_PREFIX}{}", state.config.region);
     let addresses: Vec<String> = leads.iter().map(SocketAddr::to_string).collect();
     let write = [RowWrite::new(ENTRY_TABLE, &key, &addresses.join(","))];
@@ -256,22 +262,23 @@
     let error = result.as_ref().err().map(store::Error::kind);
     state.metrics.on_store_call("entries", error);
     if let Err(error) = result {
-        log::info!(error:%; "row of leads not written");
+        log::info!(error:%; "can't write the row of leads");
     }
 }
 
-/// Looks for client blocks now and then where callers of the own interface are sorted by
-/// them, until the process ends. Leads look at these rows anyway.
+/// Periodically reads client blocks if there are routes on the product's own interface, whose
+/// callers' home regions depend on them. Leads read these rows anyway. Runs until the process
+/// ends.
 pub(crate) async fn watch_blocks(state: Rc<InstanceState>) {
     loop {
-        tokio::time::sleep(BLOCKS_EVERY).await;
+        tokio::time::sleep(BLOCKS_INTERVAL).await;
         if state.has_own_routes() && !state.fleet.leads() {
-            read_rows(Rc::clone(&state)).await;
+            read_entry_rows(Rc::clone(&state)).await;
         }
     }
 }
 
-/// Logs when something the entry depends on is lost and regained, once each.
+/// Logs each loss and recovery of a dependency once.
 #[derive(Debug)]
 pub(crate) struct Dependency {
     name: &'static str,
@@ -279,7 +286,7 @@
 }
 
 impl Dependency {
-    /// The dependency `name`, not lost.
+    /// Creates the available dependency `name`.
     pub(crate) fn new(name: &'static str) -> Self {
         Self {
             name,
@@ -287,14 +294,14 @@
         }
     }
 
-    fn lost(&mut self, error: &impl std::fmt::Display) {
+    fn on_lost(&mut self, error: &impl std::fmt::Display) {
         if self.lost_at.is_none() {
             self.lost_at = Some(Instant::now());
             log::warn!(dependency = self.name, error:%; "dependency lost");
         }
     }
 
-    fn regained(&mut self) {
+    fn on_regained(&mut self) {
         if let Some(lost_at) = self.lost_at.take() {
             let after_ms = lost_at.elapsed().as_millis() as u64;
             log::info!(dependency = self.name, after_ms; "dependency regained");
--- a/bin/lh-entry/tests/copies.rs
+++ b/bin/lh-entry/tests/copies.rs
@@ -1,15 +1,15 @@
-//! Entries that need a copy of all servers while their lead's link is busy with others.
+//! Tests of full registry copies for entries while their lead's link is saturated.
 
 mod world;
 
 use platform_standin::{FaultPlan, server_entry};
 use world::{EntryProcess, World, until};
 
-/// Enough rows that a copy takes the slow link of the test most of a second.
+/// Number of servers at which a copy occupies the test's slow link for most of a second.
 const SERVERS: usize = 3000;
 const SLOW_LINK: &str = "link_megabits = 1\n";
 
-async fn told_whole(entry: &EntryProcess) -> f64 {
+async fn full_copies_sent(entry: &EntryProcess) -> f64 {
     let metrics = entry.metrics().await;
     let name = "laurelhill_registry_told_total{copy=\"whole\"}";
     let line = metrics.lines().find(|line| line.starts_with(name));
@@ -18,10 +18,10 @@
     })
 }
 
-/// Promise: entries that start together while their leads' links are slow all get a copy, some
-/// of them from one that got it before, and know the same servers.
+/// Entries that start together while the leads' links are slow must all get a copy, some of them
+/// relayed by an entry that got it before, and must know the same servers.
 #[tokio::test(flavor = "multi_thread")]
-async fn entries_that_have_a_copy_tell_others() {
+async fn entries_relay_copies_to_others() {
     let world = World::new(1).await;
     for number in 0..SERVERS {
         let address = format!("127.0.1.{}:{}", number % 250 + 1, 10_000 + number)
@@ -33,15 +33,17 @@
             .put("servers", &format!("i-many-{number}"), &entry);
     }
     let store = world.store.address();
-    let first = EntryProcess::start_within(store, "n1", SLOW_LINK);
+    let first = EntryProcess::start_with_bounds(store, "n1", SLOW_LINK);
     first.wait_ready().await;
-    // Else those that are able enough read the store.
+    // Otherwise eligible entries would read the store themselves.
     world.store.set_faults(FaultPlan {
         outage: true,
         ..FaultPlan::default()
     });
     let others: Vec<EntryProcess> = (2..=8)
-        .map(|number| EntryProcess::start_beside(&first, store, &format!("n{number}"), SLOW_LINK))
+        .map(|number| {
+            EntryProcess::start_with_peer(&first, store, &format!("n{number}"), SLOW_LINK)
+        })
         .collect();
     for entry in &others {
         entry.wait_ready().await;
@@ -51,9 +53,9 @@
         })
         .await;
     }
-    let mut tellers = 0;
+    let mut senders = 0;
     for entry in [&first].into_iter().chain(&others) {
-        tellers += usize::from(told_whole(entry).await > 0.0);
+        senders += usize::from(full_copies_sent(entry).await > 0.0);
     }
-    assert!(tellers >= 2, "only {tellers} told a copy");
+    assert!(senders >= 2, "only {senders} sent a copy");
 }
--- a/bin/lh-entry/tests/leaving.rs
+++ b/bin/lh-entry/tests/leaving.rs
@@ -53,7 +53,7 @@
     let busy = FullBacklogServer::start().await;
     let entry = |state| server_entry("board", busy.address(), state, 1);
     world.store.put("servers", "i-busy", &entry("ready"));
-    let process = EntryProcess::start_within(world.store.address(), "n1", "connect = 30s\n");
+    let process = EntryProcess::start_with_bounds(world.store.address(), "n1", "connect = 30s\n");
     process.wait_ready().await;
     let mut sender = process.connect().await;
     let sent = tokio::spawn(async move {
--- a/bin/lh-entry/tests/lines.rs
+++ b/bin/lh-entry/tests/lines.rs
@@ -1,14 +1,14 @@
-//! Which lines an entry writes when much happens at once.
+//! Tests of the log line limits under bursts of events.
 
 mod world;
 
 use platform_standin::{FaultPlan, server_entry};
 use world::{EntryProcess, World, until};
 
-/// Promise: hundreds of servers that join at once don't push out the line that another one is
+/// Hundreds of servers that join at once must not displace the log line that another server is
 /// leaving.
 #[tokio::test]
-async fn a_mass_of_lines_of_one_kind_hides_no_other() {
+async fn a_burst_of_one_kind_displaces_no_other_line() {
     const JOINING: u16 = 600;
     let world = World::new(0).await;
     let entry = |state, port| server_entry("board", ([127, 0, 0, 1], port).into(), state, 1);
@@ -26,7 +26,7 @@
     }
     world.store.put("servers", "z", &entry("draining", 9));
     world.store.set_faults(FaultPlan::default());
-    until("the line on the server that leaves is there", async || {
+    until("the line about the leaving server is written", async || {
         process.logged("\"event\":\"server is leaving\"").len() == 1
     })
     .await;
--- a/bin/lh-entry/tests/pipelines.rs
+++ b/bin/lh-entry/tests/pipelines.rs
@@ -7,7 +7,7 @@
 use platform_standin::Behavior;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
-use world::{EntryProcess, PATIENCE, World, until};
+use world::{EntryProcess, WAIT_TIMEOUT, World, until};
 
 /// Maximum memory used for ten thousand pipelined requests, in KiB. Their bytes must stay in the
 /// buffers of the caller and the kernel.
@@ -31,7 +31,7 @@
             responses.push(answer);
             continue;
         }
-        let read = tokio::time::timeout(PATIENCE, stream.read(&mut chunk));
+        let read = tokio::time::timeout(WAIT_TIMEOUT, stream.read(&mut chunk));
         match read.await.expect("a response before the timeout") {
             Ok(0) | Err(_) => break,
             Ok(length) => buffer.extend_from_slice(&chunk[..length]),
--- a/bin/lh-entry/tests/readers.rs
+++ b/bin/lh-entry/tests/readers.rs
@@ -1,4 +1,4 @@
-//! Which entries read the store, and how the others hear what it holds.
+//! Tests of which entries read the store, and of how the others get its content.
 
 mod world;
 
@@ -8,14 +8,14 @@
 use platform_standin::{FakeStore, desired_state, server_entry};
 use world::{BOARD, DESK, EntryProcess, SilentProxy, World, until};
 
-/// Promise: an entry that the store doesn't answer learns servers, desired states and
-/// evacuations from another, also while they change.
+/// An entry without access to the store must get servers, desired states and evacuations from
+/// another entry, including later changes.
 #[tokio::test]
 async fn an_entry_cut_off_from_the_store_follows_another() {
     let world = World::new(1).await;
     let first = EntryProcess::ready(&world, "n1").await;
-    let nowhere = "127.0.0.1:1".parse().unwrap();
-    let second = EntryProcess::start(nowhere, "n2", &[first.ip]);
+    let unreachable_address = "127.0.0.1:1".parse().unwrap();
+    let second = EntryProcess::start(unreachable_address, "n2", &[first.ip]);
     second.wait_ready().await;
     assert_eq!(second.send("GET", "/board/x", "a").await.status, 200);
     world.store.put("op", "config", &desired_state(9, &[DESK]));
@@ -32,14 +32,16 @@
     .await;
 }
 
-/// Promise: where the store answers no entry of a region, they follow one of another
-/// region, also while what it holds changes.
+/// If no entry of a region has access to the store, they must follow an entry of another region,
+/// including later changes.
 #[tokio::test]
 async fn a_region_cut_off_from_the_store_follows_another() {
     let world = World::new(1).await;
     let reader = EntryProcess::ready(&world, "n1").await;
-    let nowhere = "127.0.0.1:1".parse().unwrap();
-    let start = |name| EntryProcess::start_in("zone-b", "south", nowhere, name, &[reader.ip]);
+    let unreachable_address = "127.0.0.1:1".parse().unwrap();
+    let start = |name| {
+        EntryProcess::start_in_domain("zone-b", "south", unreachable_address, name, &[reader.ip])
+    };
     let entries = [start("n2"), start("n3")];
     for entry in &entries {
         entry.wait_ready().await;
@@ -60,13 +62,13 @@
     }
 }
 
-/// Promise: an entry that followed others reads for itself once the store answers it.
+/// An entry that followed others must read the store itself once it has access.
 #[tokio::test]
-async fn a_region_that_is_served_again_reads_for_itself() {
+async fn a_region_that_regains_the_store_reads_it() {
     let world = World::new(1).await;
     let reader = EntryProcess::ready(&world, "n1").await;
     let address = standin::free_address();
-    let south = EntryProcess::start_in("zone-b", "south", address, "n2", &[reader.ip]);
+    let south = EntryProcess::start_in_domain("zone-b", "south", address, "n2", &[reader.ip]);
     south.wait_ready().await;
     let _proxy = SilentProxy::start_at(address, world.store.address()).await;
     until(
@@ -85,10 +87,10 @@
     .await;
 }
 
-/// Promise: a reader whose connections to the store went silent makes nobody late: its
-/// follower has a new desired state before the reader itself has noticed.
+/// A reader whose connections to the store went silent must not delay its follower, which must
+/// get a new desired state before the reader detects the failure.
 #[tokio::test]
-async fn a_silent_reader_makes_no_follower_late() {
+async fn a_silent_reader_does_not_delay_its_follower() {
     let world = World::new(1).await;
     let mut names = ["n1", "n2"];
     names.sort_by_key(|name| stable_hash(name.as_bytes()));
@@ -97,7 +99,7 @@
     reader.wait_ready().await;
     let follower = EntryProcess::start(world.store.address(), names[1], &[reader.ip]);
     follower.wait_ready().await;
-    until("it follows: its readings have stopped", async || {
+    until("it follows: its registry reads have stopped", async || {
         let before = world.store.calls("/rows-get");
         tokio::time::sleep(Duration::from_secs(3)).await;
         world.store.calls("/rows-get") - before <= 5
@@ -112,10 +114,10 @@
     assert!(reader.logged("dependency lost").is_empty());
 }
 
-/// Promise: an entry that two others tell the operator's changes asks the store for none,
-/// and is up to date though one of the two fell silent; it asks again when both are gone.
+/// An entry that gets the operator's changes from two leads must not call the store, must stay
+/// up to date if one of the two loses the store, and must call the store when both are gone.
 #[tokio::test]
-async fn a_third_entry_is_told_by_two() {
+async fn a_third_entry_is_updated_by_two_leads() {
     let world = World::new(1).await;
     let mut names = ["n1", "n2", "n3"];
     names.sort_by_key(|name| stable_hash(name.as_bytes()));
@@ -129,7 +131,7 @@
     .await;
     let third = EntryProcess::start(world.store.address(), names[2], &[reader.ip]);
     third.wait_ready().await;
-    let asked = async || {
+    let operator_calls = async || {
         let metrics = third.metrics().await;
         let calls = "laurelhill_store_calls_total{call=\"operator\"";
         metrics
@@ -138,11 +140,11 @@
             .map(str::to_owned)
             .collect::<Vec<_>>()
     };
-    until("it asks the store no more", async || {
-        let before = asked().await;
-        // Longer than its feed would stay open.
+    until("it makes no more calls to the store", async || {
+        let before = operator_calls().await;
+        // Longer than a feed stays open.
         tokio::time::sleep(Duration::from_secs(8)).await;
-        asked().await == before
+        operator_calls().await == before
     })
     .await;
     proxy.silence();
@@ -161,9 +163,9 @@
     .await;
 }
 
-/// Promise: a store that holds nothing yet is watched, not read again and again.
+/// An empty store must be watched rather than polled in a tight loop.
 #[tokio::test]
-async fn an_empty_store_is_not_pressed() {
+async fn an_empty_store_is_not_polled_in_a_loop() {
     let store = FakeStore::start().await;
     let entry = EntryProcess::start(store.address(), "n1", &[]);
     until("it leads its region", async || {
@@ -173,23 +175,23 @@
     let calls = || store.calls("/rows-get") + store.calls("/rows-feed");
     let before = calls();
     tokio::time::sleep(Duration::from_secs(3)).await;
-    // Two watches a reader's interval apart make six; without a wait they are hundreds.
+    // Watches with a wait make about six calls in this time; without a wait, hundreds.
     assert!(calls() - before <= 30, "{} calls", calls() - before);
     store.put("op", "config", &desired_state(5, &[BOARD]));
     store.put(
         "servers",
         "i-0",
-        &server_entry("board", nowhere(), "ready", 1),
+        &server_entry("board", unreachable_address(), "ready", 1),
     );
     entry.wait_ready().await;
 }
 
-fn nowhere() -> std::net::SocketAddr {
+fn unreachable_address() -> std::net::SocketAddr {
     "127.0.0.1:1".parse().unwrap()
 }
 
-/// Promise: few entries read the store: of three in a region one reads the registry, two
-/// watch the operator's rows, and the third asks for nothing.
+/// Of three entries in a region, exactly one must read the registry, two must watch the
+/// operator's rows, and the third must make no calls to the store.
 #[tokio::test]
 async fn one_entry_of_a_region_reads() {
     let world = World::new(1).await;
@@ -200,10 +202,10 @@
     third.wait_ready().await;
     let entries = [&first, &second, &third];
     until("one reads and two watch", async || {
-        let before = calls_of(&entries).await;
-        // Longer than a watch without changes stays open.
+        let before = store_calls(&entries).await;
+        // Longer than a feed without changes stays open.
         tokio::time::sleep(Duration::from_secs(4)).await;
-        let after = calls_of(&entries).await;
+        let after = store_calls(&entries).await;
         let pairs = || before.iter().zip(&after);
         let reading = pairs().filter(|(before, after)| after.0 > before.0);
         let watching = pairs().filter(|(before, after)| after.1 > before.1);
@@ -212,8 +214,8 @@
     .await;
 }
 
-/// Readings of the registry and watches of the operator's rows so far, by entry.
-async fn calls_of(entries: &[&EntryProcess]) -> Vec<(u64, u64)> {
+/// Returns the number of registry reads and of operator watches of each entry.
+async fn store_calls(entries: &[&EntryProcess]) -> Vec<(u64, u64)> {
     let mut calls = Vec::new();
     for entry in entries {
         let metrics = entry.metrics().await;
--- a/bin/lh-entry/tests/requests.rs
+++ b/bin/lh-entry/tests/requests.rs
@@ -225,7 +225,7 @@
         .await
         .unwrap();
     let mut rest = Vec::new();
-    let ended = tokio::time::timeout(world::PATIENCE, slow.read_to_end(&mut rest)).await;
+    let ended = tokio::time::timeout(world::WAIT_TIMEOUT, slow.read_to_end(&mut rest)).await;
     assert!(
         ended.is_ok(),
         "the connection with incomplete headers was not closed"
--- a/bin/lh-entry/tests/states.rs
+++ b/bin/lh-entry/tests/states.rs
@@ -1,4 +1,4 @@
-//! Desired states, the registry, the store's troubles and stops.
+//! Tests of desired states, the server registry, store failures and shutdown.
 
 mod world;
 
@@ -9,9 +9,9 @@
 };
 use world::{BOARD, DESK, EntryProcess, World, connect, exchange, request, request_for, until};
 
-/// Promise: a new desired state is in force soon, and an older one never again.
+/// A new desired state must come into force, and an older one must be ignored afterwards.
 #[tokio::test]
-async fn a_desired_state_never_goes_back() {
+async fn an_older_desired_state_is_ignored() {
     let world = World::new(1).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     let added = RouteFixture {
@@ -37,7 +37,7 @@
     assert_eq!(entry.send("POST", "/desk/x", "c").await.status, 404);
 }
 
-/// Promise: a desired state that doesn't decode changes nothing, and says so.
+/// A desired state or server entry that can't be decoded must be logged and change nothing.
 #[tokio::test]
 async fn a_broken_desired_state_changes_nothing() {
     let world = World::new(1).await;
@@ -57,9 +57,9 @@
     assert_eq!(entry.send("GET", "/board/x", "a").await.status, 200);
 }
 
-/// Promise: a lost history is no obstacle: everything is read again.
+/// When the store has lost its change history, the entry must read all rows again.
 #[tokio::test]
-async fn a_lost_history_is_read_again() {
+async fn all_rows_are_read_again_after_history_is_lost() {
     let world = World::new(1).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     world.store.discard_history();
@@ -70,9 +70,9 @@
     .await;
 }
 
-/// Promise: a server that is leaving gets no new requests.
+/// A draining server must get no new requests.
 #[tokio::test]
-async fn a_leaving_server_gets_nothing_new() {
+async fn a_draining_server_gets_no_new_requests() {
     let world = World::new(2).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     let leaving = &world.backends[0];
@@ -90,10 +90,9 @@
     assert_eq!(leaving.seen().len(), before);
 }
 
-/// Promise: an address that belongs to another server now runs nothing of the
-/// former one's.
+/// A request for a server whose address now belongs to another one must not run there.
 #[tokio::test]
-async fn an_address_used_again_runs_nothing() {
+async fn a_reused_address_runs_nothing_for_the_former_server() {
     let world = World::new(2).await;
     let former = server_entry("board", world.backends[1].address(), "ready", 1);
     world.store.put("servers", "i-former", &former);
@@ -111,10 +110,10 @@
     assert!(!asked.is_empty(), "the address was never tried");
 }
 
-/// Promise: nothing is sent to an evacuated failure domain, and an entry with no
-/// server left refuses at once.
+/// Nothing may be sent to an evacuated failure domain, and an entry without a remaining server
+/// must refuse immediately.
 #[tokio::test]
-async fn an_evacuated_domain_gets_nothing() {
+async fn an_evacuated_domain_gets_no_requests() {
     let world = World::new(1).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     world
@@ -128,14 +127,14 @@
     assert_eq!(entry.send("GET", "/board/x", "b").await.status, 503);
     assert_eq!(world.backends[0].seen().len(), before);
     world.store.delete_row("op", "evacuate/zone-a");
-    until("it is taken back", async || {
+    until("the evacuation is cancelled", async || {
         entry.send("GET", "/board/x", "c").await.status == 200
     })
     .await;
 }
 
-/// Promise: an entry that knows no desired state is not ready, refuses at once
-/// with a time to come back, and serves once the store answers.
+/// An entry without a desired state must not be ready, must refuse immediately with a
+/// retry-after header, and must serve once the store responds.
 #[tokio::test]
 async fn an_entry_without_a_desired_state_refuses() {
     let world = World::new(1).await;
@@ -154,10 +153,10 @@
     assert_eq!(entry.send("GET", "/board/x", "b").await.status, 200);
 }
 
-/// Promise: the last known state stays in force while the store is away, and the
-/// loss and the return of the store are logged.
+/// The last known state must stay in force during a store outage, and the loss and recovery of
+/// the store must be logged.
 #[tokio::test]
-async fn the_last_known_state_outlives_the_store() {
+async fn the_last_known_state_stays_in_force_during_a_store_outage() {
     let world = World::new(1).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     world.store.set_faults(FaultPlan::outage());
@@ -173,11 +172,10 @@
     .await;
 }
 
-/// Promise: at a stop, what was read is answered, later requests on kept
-/// connections too, connections are closed in order, and the process ends by
-/// itself.
+/// During shutdown all accepted requests must be answered, including later ones on open
+/// connections; connections must be closed cleanly, and the process must exit by itself.
 #[tokio::test]
-async fn a_stop_cuts_nothing_off() {
+async fn shutdown_answers_all_accepted_requests() {
     let world = World::new(1).await;
     let mut entry = EntryProcess::ready(&world, "n1").await;
     world.backends[0].set_behavior(Behavior::Run(Duration::from_millis(1500)));
@@ -206,10 +204,10 @@
     assert!(ended.await.unwrap().success());
 }
 
-/// Promise: entries find each other by a seed, callers are told of both, and of a
-/// dead one no longer.
+/// Entries must find each other through a seed; look-ups must name both, and no longer name one
+/// that has died.
 #[tokio::test]
-async fn callers_are_told_of_live_entries() {
+async fn look_ups_name_live_entries_only() {
     let world = World::new(1).await;
     let first = EntryProcess::ready(&world, "n1").await;
     let mut second = EntryProcess::start(world.store.address(), "n2", &[first.ip]);
@@ -228,9 +226,9 @@
     .await;
 }
 
-/// Promise: an entry that gets SIGHUP with wrong settings goes on with the old.
+/// SIGHUP must have the settings checked again and must not interrupt service.
 #[tokio::test]
-async fn a_hangup_ends_nothing() {
+async fn sighup_does_not_interrupt_service() {
     let world = World::new(1).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     entry.signal("HUP");
@@ -242,10 +240,10 @@
     assert!(connect(entry.callers()).await.is_some());
 }
 
-/// Promise: a server that left and starts again under its id is used again, at once
-/// at its new address, though its counts start anew.
+/// A server that left and restarts under the same id must be used again, at its new address,
+/// although its sequence number starts over.
 #[tokio::test]
-async fn a_server_that_starts_again_under_its_id_is_used() {
+async fn a_server_that_restarts_under_the_same_id_is_used() {
     let world = World::new(1).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     let former = &world.backends[0];
@@ -256,7 +254,7 @@
     };
     let leaving = row(former.address(), "draining", 60, 1_700_000_000_000);
     world.store.put("servers", former.id(), &leaving);
-    until("the former run is left", async || {
+    until("the former process gets no more requests", async || {
         entry.send("GET", "/board/x", "a").await.status == 503
     })
     .await;
@@ -273,10 +271,10 @@
     assert!(!entry.logged("started again under its id").is_empty());
 }
 
-/// Promise: a row of another writer takes the server out while it stands, is logged
-/// once however often it is read, and is counted.
+/// A foreign row must take its server out of use while it exists, must be logged once no matter
+/// how often it is read, and must be counted.
 #[tokio::test]
-async fn a_foreign_row_is_told_once() {
+async fn a_foreign_row_is_logged_once() {
     let world = World::new(2).await;
     let entry = EntryProcess::ready(&world, "n1").await;
     let odd = serde_json::json!({"service": "board", "state": "ready"});
@@ -293,7 +291,7 @@
         assert_eq!(exchange(&mut sender, request).await.unwrap().status, 200);
     }
     assert!(world.backends[0].seen().is_empty());
-    let readings = async || -> usize {
+    let registry_reads = async || -> usize {
         let metrics = entry.metrics().await;
         let line = metrics.lines().find(|line| {
             line.starts_with("laurelhill_store_calls_total{call=\"servers\",result=\"ok\"}")
@@ -301,8 +299,11 @@
         line.and_then(|line| line.split(' ').next_back()?.parse().ok())
             .unwrap_or(0)
     };
-    let before = readings().await;
-    until("it was read again", async || readings().await > before + 2).await;
+    let before = registry_reads().await;
+    until("it was read again", async || {
+        registry_reads().await > before + 2
+    })
+    .await;
     assert_eq!(entry.logged("server entry left out").len(), 1);
     let own = server_entry("board", world.backends[0].address(), "ready", 2);
     world.store.put("servers", "i-0", &own);
--- a/bin/lh-entry/tests/teams.rs
+++ b/bin/lh-entry/tests/teams.rs
@@ -234,7 +234,7 @@
 async fn a_cut_off_entry_stops_accepting_keys() {
     let world = world(1, &[RED, BLUE]).await;
     let settings = "revoke = 2s\nrevoke_cut_off = true\nconfig_apply = 1500ms\n";
-    let entry = EntryProcess::start_within(world.store.address(), "n1", settings);
+    let entry = EntryProcess::start_with_bounds(world.store.address(), "n1", settings);
     entry.wait_ready().await;
     assert_eq!(
         send(&entry, request_with_key("/board/x", "a", RED_KEY))
@@ -286,7 +286,7 @@
 async fn without_a_cut_off_known_keys_remain_valid() {
     let world = world(1, &[RED, BLUE]).await;
     let settings = "revoke = 1s\nrevoke_cut_off = false\nconfig_apply = 1s\n";
-    let entry = EntryProcess::start_within(world.store.address(), "n1", settings);
+    let entry = EntryProcess::start_with_bounds(world.store.address(), "n1", settings);
     entry.wait_ready().await;
     world.store.set_faults(FaultPlan::outage());
     until("unknown keys are no longer denied", async || {
@@ -316,9 +316,9 @@
     };
     let world = world(2, &[slow, BLUE]).await;
     let settings = "quota_slack = 4\nquota_excess = 0\n";
-    let first = EntryProcess::start_within(world.store.address(), "n1", settings);
+    let first = EntryProcess::start_with_bounds(world.store.address(), "n1", settings);
     first.wait_ready().await;
-    let second = EntryProcess::start_beside(&first, world.store.address(), "n2", settings);
+    let second = EntryProcess::start_with_peer(&first, world.store.address(), "n2", settings);
     second.wait_ready().await;
     until("look-ups name both entries", async || {
         first.lookup().await.matches(':').count() >= 4
