--- a/crates/place/src/limits/budget.rs
+++ b/crates/place/src/limits/budget.rs
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub struct RetryBudget {
     bounds: BudgetBounds,
-    instances: usize,
+    entries: usize,
     /// Whether this instance may use a part of the slack.
     has_slack: bool,
     services: HashMap<String, ServiceWindow>,
@@ -40,15 +40,15 @@
     pub fn new(bounds: BudgetBounds) -> Self {
         Self {
             bounds,
-            instances: 1,
+            entries: 1,
             has_slack: true,
             services: HashMap::new(),
         }
     }
 
     /// Sets the number of instances that share the slack.
-    pub fn set_entries(&mut self, instances: usize) {
-        self.instances = instances.max(1);
+    pub fn set_entries(&mut self, entries: usize) {
+        self.entries = entries.max(1);
     }
 
     /// Sets whether this instance may use a part of the slack in addition to the share of its
@@ -77,7 +77,7 @@
         remove_expired(&mut window.requests, now, self.bounds.window);
         remove_expired(&mut window.retries, now, self.bounds.window);
         let slack = if self.has_slack {
-            self.bounds.slack / self.instances as f64
+            self.bounds.slack / self.entries as f64
         } else {
             0.0
         };
--- a/crates/place/src/limits/ramp.rs
+++ b/crates/place/src/limits/ramp.rs
@@ -20,26 +20,19 @@
 }
 
 impl ColdRateLimiter {
-    /// Whether this instance may send `server` a request now. `instances` are the hashes of all
+    /// Whether this instance may send `server` a request now. `entries` are the hashes of all
     /// live instances, including `own`; `rate` is in requests per second.
-    pub fn allows(
-        &self,
-        now: Instant,
-        server: u64,
-        own: u64,
-        instances: &[u64],
-        rate: f64,
-    ) -> bool {
+    pub fn allows(&self, now: Instant, server: u64, own: u64, entries: &[u64], rate: f64) -> bool {
         let interval = MIN_INTERVAL;
-        let allowed_instances = (rate * interval.as_secs_f64()).floor() as usize;
-        if allowed_instances == 0 {
+        let allowed_entries = (rate * interval.as_secs_f64()).floor() as usize;
+        if allowed_entries == 0 {
             return false;
         }
         let weight = pair_weight(server, own);
-        let mut ranked_higher = instances
+        let mut ranked_higher = entries
             .iter()
             .filter(|entry| **entry != own && pair_weight(server, **entry) > weight);
-        if ranked_higher.nth(allowed_instances - 1).is_some() {
+        if ranked_higher.nth(allowed_entries - 1).is_some() {
             return false;
         }
         self.last_sent
--- a/crates/place/src/placing/choice.rs
+++ b/crates/place/src/placing/choice.rs
@@ -72,7 +72,7 @@
     /// preferred server.
     pub is_single_locality: bool,
     /// Number of instances in the region, including this one.
-    pub instances: usize,
+    pub entries: usize,
     /// Latency equivalent of sending bytes to other failure domains and regions.
     pub costs: ByteCosts,
     /// Restricts the regions that may be chosen; `None` allows any.
@@ -186,7 +186,7 @@
         let Some(object) = self.request.object else {
             return;
         };
-        let rate = self.work.demand(self.now, object) * self.context.instances as f64;
+        let rate = self.work.demand(self.now, object) * self.context.entries as f64;
         let busy = rate * self.work.warm.value() / 1000.0;
         let extra_for_shift_cap = usize::from(self.context.limiter.is_some());
         let extra_for_single_locality = usize::from(self.context.is_single_locality);
@@ -270,11 +270,11 @@
     now: Instant,
     request: &PlacementRequest<'_>,
     work: &RouteWork,
-    instances: usize,
+    entries: usize,
     slots: u32,
 ) -> Option<usize> {
     let object = request.object.filter(|_| request.route.sticky)?;
-    let rate = work.demand(now, object) * instances as f64;
+    let rate = work.demand(now, object) * entries as f64;
     let busy = rate * work.warm.value() / 1000.0;
     // The first one, one for a single locality, and one for a restricted region.
     Some(3 + (busy / (f64::from(slots) * MAX_OBJECT_LOAD)).floor() as usize)
--- a/crates/place/src/placing/load.rs
+++ b/crates/place/src/placing/load.rs
@@ -11,13 +11,13 @@
 
 /// Load interval per other instance of the region: each instance sends and receives at most 80
 /// datagrams per second there, however many instances there are.
-const LOAD_INTERVAL_PER_INSTANCE: Duration = Duration::from_millis(12);
+const LOAD_INTERVAL_PER_ENTRY: Duration = Duration::from_millis(12);
 /// Minimum load interval; requests take longer than this.
 const MIN_LOAD_INTERVAL: Duration = Duration::from_millis(80);
 /// Interval of updates to other regions, per instance there: at most 160 datagrams per second.
 /// Small fleets send every update there: with one update in three, callers got 0.533 of their
 /// worth instead of 0.541 where servers are spread unevenly (mean of 15 days with faults).
-const OTHER_REGION_LOAD_INTERVAL_PER_INSTANCE: Duration = Duration::from_millis(6);
+const OTHER_REGION_LOAD_INTERVAL_PER_ENTRY: Duration = Duration::from_millis(6);
 /// Requests of one instance: short ids of servers, with counts.
 pub type LoadList = Vec<(u32, u16)>;
 
@@ -66,13 +66,13 @@
 
 /// Time between load updates of an instance with `in_region` others in its region.
 pub fn load_interval(in_region: u32) -> Duration {
-    (LOAD_INTERVAL_PER_INSTANCE * in_region).max(MIN_LOAD_INTERVAL)
+    (LOAD_INTERVAL_PER_ENTRY * in_region).max(MIN_LOAD_INTERVAL)
 }
 
 /// Whether update number `round` of an instance with `in_region` others in its region is also
 /// sent to the `in_other_regions` instances of other regions.
 pub fn is_sent_to_other_regions(round: u32, in_region: u32, in_other_regions: u32) -> bool {
-    let interval = OTHER_REGION_LOAD_INTERVAL_PER_INSTANCE * in_other_regions;
+    let interval = OTHER_REGION_LOAD_INTERVAL_PER_ENTRY * in_other_regions;
     let updates = interval
         .as_millis()
         .div_ceil(load_interval(in_region).as_millis());
@@ -80,15 +80,15 @@
 }
 
 impl PeerLoads {
-    /// Replaces the list of `instance`.
-    pub fn apply_list(&mut self, now: Instant, instance: u64, list: LoadList) {
+    /// Replaces the list of `entry`.
+    pub fn apply_list(&mut self, now: Instant, entry: u64, list: LoadList) {
         self.add(&list);
         let next_expiry = now + LOAD_TTL;
         self.next_expiry = Some(
             self.next_expiry
                 .map_or(next_expiry, |known| known.min(next_expiry)),
         );
-        if let Some((_, before)) = self.lists.insert(instance, (now, list)) {
+        if let Some((_, before)) = self.lists.insert(entry, (now, list)) {
             self.subtract(&before);
         }
     }
@@ -121,9 +121,9 @@
     /// Removes expired lists.
     fn expire(&mut self, now: Instant) {
         let lists = std::mem::take(&mut self.lists);
-        for (instance, (at, list)) in lists {
+        for (entry, (at, list)) in lists {
             if now.saturating_duration_since(at) < LOAD_TTL {
-                self.lists.insert(instance, (at, list));
+                self.lists.insert(entry, (at, list));
             } else {
                 self.subtract(&list);
             }
--- a/crates/place/src/placing/placer.rs
+++ b/crates/place/src/placing/placer.rs
@@ -79,8 +79,8 @@
     shift_limiter: ShiftLimiter,
     warmth: WarmthMap,
     work: RouteWorkTable,
-    instances: Vec<u64>,
-    region_instances: usize,
+    entries: Vec<u64>,
+    region_entries: usize,
     /// Whether this instance is a standby, which the others don't count when they divide shared
     /// rates.
     standby: bool,
@@ -103,8 +103,8 @@
             shift_limiter: ShiftLimiter::new(config.shift_cap, &regions),
             warmth: WarmthMap::default(),
             work: RouteWorkTable::default(),
-            instances: vec![config.own],
-            region_instances: 1,
+            entries: vec![config.own],
+            region_entries: 1,
             standby: false,
             loads: PeerLoads::default(),
             jitter: RetryAfterJitter::new(config.own),
@@ -130,21 +130,21 @@
 
     /// Sets the hashes of all instances that receive requests, and the number of others in the
     /// own region; this instance is added to both.
-    pub fn set_entries(&mut self, mut instances: Vec<u64>, in_region: usize) {
-        instances.push(self.config.own);
-        instances.sort_unstable();
-        instances.dedup();
-        self.budget.set_entries(instances.len());
-        self.shift_limiter.retain_peers(&instances);
-        self.instances = instances;
-        self.region_instances = in_region + 1;
+    pub fn set_entries(&mut self, mut entries: Vec<u64>, in_region: usize) {
+        entries.push(self.config.own);
+        entries.sort_unstable();
+        entries.dedup();
+        self.budget.set_entries(entries.len());
+        self.shift_limiter.retain_peers(&entries);
+        self.entries = entries;
+        self.region_entries = in_region + 1;
     }
 
-    /// Applies a load update of the instance with the hash `instance`.
-    pub fn on_peer_load(&mut self, now: Instant, instance: u64, update: LoadUpdate) {
-        self.shift_limiter.on_peer_sent(now, instance, &update.sent);
+    /// Applies a load update of the instance with the hash `entry`.
+    pub fn on_peer_load(&mut self, now: Instant, entry: u64, update: LoadUpdate) {
+        self.shift_limiter.on_peer_sent(now, entry, &update.sent);
         self.warmth.on_peer_pairs(now, &update.handled);
-        self.loads.apply_list(now, instance, update.load);
+        self.loads.apply_list(now, entry, update.load);
     }
 
     /// Returns this instance's load update for the others. Call it several times a second.
@@ -244,7 +244,7 @@
         let work = self.work.get(request.route)?;
         let slots = self.catalog.min_slots(service);
         let max_preferred_count =
-            max_preferred_count(now, request, work, self.region_instances, slots)?;
+            max_preferred_count(now, request, work, self.region_entries, slots)?;
         let preferred_ranks = max_preferred_count.max(DISTINCT_RANKS);
         // If any server is likely to have any object cached, none can be ruled out.
         if preferred_ranks >= TOP_SERVERS || work.rates.unseen_likelihood() >= MIN_HOLDER_LIKELIHOOD
@@ -311,7 +311,7 @@
             domain: &self.config.domain,
             region: &self.config.region,
             is_single_locality: ranked.localities == 1,
-            instances: self.region_instances,
+            entries: self.region_entries,
             costs: self.config.costs,
             limiter,
         };
@@ -461,7 +461,7 @@
         let known = self.services.get(service);
         let rate = known.map_or(DEFAULT_COLD_RATE, |service| service.cold_rate);
         self.cold_limiter
-            .allows(now, record.hash, self.config.own, &self.instances, rate)
+            .allows(now, record.hash, self.config.own, &self.entries, rate)
     }
 
     fn warmup(&self, request: &PlacementRequest<'_>) -> Duration {
--- a/crates/place/tests/limits.rs
+++ b/crates/place/tests/limits.rs
@@ -29,17 +29,17 @@
     /// instance tries, if each one knows the number of instances.
     #[test]
     fn repeats_stay_within_the_budget(
-        instances in 1usize..12,
+        entries in 1usize..12,
         rates in prop::collection::vec(1u64..60, 12),
         max_retries in 1usize..4,
     ) {
         let bounds = BudgetBounds { ratio: 0.2, slack: 56.0, window: Duration::from_secs(10) };
         let start = Instant::now();
-        let mut budgets: Vec<RetryBudget> = (0..instances).map(|_| RetryBudget::new(bounds)).collect();
+        let mut budgets: Vec<RetryBudget> = (0..entries).map(|_| RetryBudget::new(bounds)).collect();
         let mut requests = VecDeque::new();
         let mut retries = VecDeque::new();
         for budget in &mut budgets {
-            budget.set_entries(instances);
+            budget.set_entries(entries);
         }
         for step in 0..3000u64 {
             let now = start + ms(10 * step);
@@ -70,14 +70,14 @@
     /// communication and even if some don't know all others.
     #[test]
     fn cold_servers_get_their_rate_from_all_entries_together(
-        instances in 1usize..90,
+        entries in 1usize..90,
         rate in 1.0f64..20.0,
         unknown in 0usize..3,
     ) {
         let start = Instant::now();
-        let hashes: Vec<u64> = (0..instances).map(|n| stable_hash(&n.to_le_bytes())).collect();
+        let hashes: Vec<u64> = (0..entries).map(|n| stable_hash(&n.to_le_bytes())).collect();
         let mut cold_limiters: Vec<ColdRateLimiter> =
-            (0..instances).map(|_| ColdRateLimiter::default()).collect();
+            (0..entries).map(|_| ColdRateLimiter::default()).collect();
         let server = stable_hash(b"server");
         let mut sent: VecDeque<Instant> = VecDeque::new();
         for step in 0..400u64 {
@@ -166,22 +166,22 @@
 #[test]
 fn shift_cap_holds_from_the_first_window_on() {
     const CAP: f64 = 0.15;
-    const INSTANCES: u64 = 30;
+    const ENTRIES: u64 = 30;
     const REQUEST_INTERVAL_MS: u64 = 40;
     const WINDOW_MS: u64 = 2000;
     let start = Instant::now();
     let regions = ["a", "b"].map(str::to_owned);
     let mut windows = [[0_u32; 2]; 4];
-    for instance in 0..INSTANCES {
+    for entry in 0..ENTRIES {
         let mut limiter = ShiftLimiter::new(CAP, &regions);
         // Spread over the first half second.
-        let first = stable_hash(&instance.to_le_bytes()) % 500;
+        let first = stable_hash(&entry.to_le_bytes()) % 500;
         let mut request = 0;
         let mut at = first;
         while at < 4 * WINDOW_MS {
             let now = start + ms(at);
             // Most requests, once the servers are busy filling their caches.
-            let away = at >= 1400 && stable_hash(&[instance as u8, request as u8]) % 100 < 70;
+            let away = at >= 1400 && stable_hash(&[entry as u8, request as u8]) % 100 < 70;
             let wanted = if away { "b" } else { "a" };
             limiter.advance(now);
             let other = if away { "a" } else { "b" };
@@ -211,25 +211,25 @@
 /// returns the share that was sent to the other one. With `is_shared` the instances report
 /// their counts to each other.
 fn diverted_share(is_shared: bool) -> f64 {
-    const INSTANCES: u64 = 6;
+    const ENTRIES: u64 = 6;
     const REQUEST_INTERVAL_MS: u64 = 60;
     const UPDATE_INTERVAL_MS: u64 = 80;
     const SECONDS: u64 = 30;
     let start = Instant::now();
     let regions = ["a", "b"].map(str::to_owned);
-    let mut limiters: Vec<ShiftLimiter> = (0..INSTANCES)
+    let mut limiters: Vec<ShiftLimiter> = (0..ENTRIES)
         .map(|_| ShiftLimiter::new(0.15, &regions))
         .collect();
     let mut windows = vec![[0_u32; 2]; SECONDS as usize / 2];
     let (mut sent, mut diverted) = (0, 0);
     for at in 0..SECONDS * 1000 {
         let now = start + ms(at);
-        for instance in 0..INSTANCES {
-            if (at + 7 * instance) % REQUEST_INTERVAL_MS != 0 {
+        for entry in 0..ENTRIES {
+            if (at + 7 * entry) % REQUEST_INTERVAL_MS != 0 {
                 continue;
             }
-            let limiter = &mut limiters[instance as usize];
-            let hashed = stable_hash(&(at * INSTANCES + instance).to_le_bytes());
+            let limiter = &mut limiters[entry as usize];
+            let hashed = stable_hash(&(at * ENTRIES + entry).to_le_bytes());
             let wanted = (hashed >> 20) as usize % 2;
             limiter.advance(now);
             let is_free = limiter.permits(&regions[wanted]);
@@ -241,11 +241,11 @@
         }
         if is_shared && at % UPDATE_INTERVAL_MS == 0 {
             let updates: Vec<Vec<u32>> = limiters.iter().map(|one| one.sent().to_vec()).collect();
-            for (instance, limiter) in limiters.iter_mut().enumerate() {
+            for (entry, limiter) in limiters.iter_mut().enumerate() {
                 for (peer, update) in updates
                     .iter()
                     .enumerate()
-                    .filter(|(peer, _)| *peer != instance)
+                    .filter(|(peer, _)| *peer != entry)
                 {
                     limiter.on_peer_sent(now, peer as u64, update);
                 }
--- a/crates/place/tests/near.rs
+++ b/crates/place/tests/near.rs
@@ -99,7 +99,7 @@
             domain: "a1",
             region: "a",
             is_single_locality: ranked.localities == 1,
-            instances: 3,
+            entries: 3,
             costs: ByteCosts {
                 domain: 3.0,
                 region: 6.0,
@@ -193,9 +193,9 @@
 
 /// Average number of records read for a request and a load update, with ten servers per
 /// instance.
-fn records_examined(instances: usize) -> u64 {
+fn records_examined(entries: usize) -> u64 {
     let now = Instant::now();
-    let mut placer = large_placer(now, instances * 10);
+    let mut placer = large_placer(now, entries * 10);
     let browse = route("browse", "/");
     let names: Vec<u32> = placer
         .catalog
@@ -228,7 +228,7 @@
 #[test]
 fn a_choice_costs_the_same_at_any_size() {
     let costs: HashMap<usize, u64> = [100, 300, 1000, 2000]
-        .map(|instances| (instances, records_examined(instances)))
+        .map(|entries| (entries, records_examined(entries)))
         .into();
     let least = costs.values().min().unwrap();
     let most = costs.values().max().unwrap();
@@ -241,9 +241,9 @@
 #[test]
 fn a_refusal_costs_the_same_at_any_size() {
     let mut costs = Vec::new();
-    for instances in [100, 300, 1000, 2000] {
+    for entries in [100, 300, 1000, 2000] {
         let now = Instant::now();
-        let mut placer = large_placer(now, instances * 10);
+        let mut placer = large_placer(now, entries * 10);
         let browse = route("browse", "/");
         let wanted = request(&browse, Some(OBJECT));
         let mut placed = 0;
@@ -264,9 +264,9 @@
 #[test]
 fn a_cold_start_costs_the_same_at_any_size() {
     let mut costs = Vec::new();
-    for instances in [100, 300, 1000, 2000] {
+    for entries in [100, 300, 1000, 2000] {
         let now = Instant::now();
-        let servers: Vec<ServerEntry> = (0..instances * 10)
+        let servers: Vec<ServerEntry> = (0..entries * 10)
             .map(|number| {
                 let mut entry = server(&format!("s{number}"), ["a1", "a2", "b1"][number % 3]);
                 entry.cold_remaining = ms(3000);
