--- a/crates/place/src/catalog/change.rs
+++ b/crates/place/src/catalog/change.rs
@@ -5,13 +5,13 @@
 /// A change of the catalog, for the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CatalogChange {
-    /// A server appeared with this entry.
+    /// A server appeared with this server entry.
     Joined(Box<ServerEntry>),
     /// A server is draining.
     Draining(String),
     /// A server was removed.
     Gone(String),
-    /// The first stale entry of a departed server was ignored.
+    /// The first stale server entry of a departed server was ignored.
     Outdated(String),
     /// A server became cold.
     Cold(String),
@@ -21,7 +21,7 @@
     Restarted(String),
     /// A server's row was replaced by a foreign one.
     Overwritten(String),
-    /// A server's own entry replaced the foreign row.
+    /// A server's own registry entry replaced the foreign row.
     Reclaimed(String),
 }
 
--- a/crates/place/src/catalog/mod.rs
+++ b/crates/place/src/catalog/mod.rs
@@ -33,7 +33,7 @@
     table: RecordTable,
     evacuated: HashSet<String>,
     read_at: Option<Instant>,
-    /// The store version of the known state, whichever instance read it.
+    /// The store version of the known state, whichever entry read it.
     version: u64,
     /// When that state was applied.
     applied_at: Option<Instant>,
@@ -59,7 +59,7 @@
         self
     }
 
-    /// Sets the failure domain and region of the instance that uses this catalog.
+    /// Sets the failure domain and region of the entry that uses this catalog.
     #[must_use]
     pub fn with_location(mut self, domain: &str, region: &str) -> Self {
         self.trips = RoundTripEstimator::new(domain, region);
@@ -125,8 +125,8 @@
     }
 
     /// Notes the rows that were dropped since the previous snapshot; call it before applying
-    /// the next one. An entry that is listed again later and isn't newer than the dropped row
-    /// is stale.
+    /// the next one. A server entry that is listed again later and isn't newer than the dropped
+    /// row is stale.
     pub fn on_dropped(&mut self, now: Instant, rows: &[DroppedRow]) {
         for row in rows {
             if row.version <= self.version {
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Applies a delta that another instance sent, as of `begun`, and returns the changes. The
+    /// Applies a delta that another entry sent, as of `begun`, and returns the changes. The
     /// sender has decided whether servers with missing rows are gone.
     pub fn on_told(
         &mut self,
@@ -174,7 +174,7 @@
         changes
     }
 
-    /// Applies departures that another instance reported, and returns the changes.
+    /// Applies departures that another entry reported, and returns the changes.
     pub fn on_ends(&mut self, now: Instant, ends: &[Departure]) -> Vec<CatalogChange> {
         let mut changes = Vec::new();
         for departure in ends {
@@ -187,7 +187,7 @@
         changes
     }
 
-    /// Another instance confirmed the known state as of `begun`.
+    /// Another entry confirmed the known state as of `begun`.
     pub fn confirm(&mut self, begun: Instant) {
         self.read_at = self.read_at.max(Some(begun));
         self.outage.on_peer_snapshot(begun);
@@ -224,7 +224,7 @@
         self.evacuated.contains(domain)
     }
 
-    /// The entry of the server `id`, unless it is gone.
+    /// The server entry of `id`, unless it is gone.
     pub fn entry(&self, id: &str) -> Option<&ServerEntry> {
         Some(&self.table.by_id(id)?.entry)
     }
--- a/crates/place/src/catalog/outage.rs
+++ b/crates/place/src/catalog/outage.rs
@@ -5,14 +5,14 @@
 /// Live servers register again within about 2 s after the registry recovers; this adds a
 /// margin.
 const RELIST_TIME: Duration = Duration::from_millis(2400);
-/// Part of the drain time that is reserved for telling all instances that a server did not
+/// Part of the drain time that is reserved for telling all entries that a server did not
 /// register again.
 const RELIST_MARGIN: Duration = Duration::from_millis(600);
 /// The registry is assumed to have recovered at most this long before its first answer: half
 /// the interval between two attempts.
 const MAX_RETURN_OFFSET: Duration = Duration::from_millis(400);
-/// While another instance's snapshot is no older than this, the registry works although it
-/// doesn't answer this instance. An outage this short makes no row lapse.
+/// While another entry's snapshot is no older than this, the registry works although it
+/// doesn't answer this entry. An outage this short makes no row lapse.
 const PEER_SNAPSHOT_MAX_AGE: Duration = Duration::from_millis(1500);
 
 /// Rows lapse after several heartbeats, so a row that disappears after a shorter time without a
@@ -28,14 +28,14 @@
     pub(super) missing_since: Instant,
 }
 
-/// Registry outages, as seen by this instance and others.
+/// Registry outages, as seen by this entry and others.
 #[derive(Debug)]
 pub(super) struct RegistryOutage {
     /// When the registry last failed to answer, until it answers again.
     failed_at: Option<Instant>,
     /// When all live servers are listed again after the last outage.
     settled_at: Option<Instant>,
-    /// Start of the newest snapshot that another instance reported.
+    /// Start of the newest snapshot that another entry reported.
     peer_read_at: Option<Instant>,
     /// Time after the registry's recovery until all live servers are listed again.
     relist_time: Duration,
@@ -47,7 +47,7 @@
         self.relist_time = RELIST_TIME.min(drain_time.saturating_sub(RELIST_MARGIN));
     }
 
-    /// Records that the registry did not answer a read. If it answers other instances, no row
+    /// Records that the registry did not answer a read. If it answers other entries, no row
     /// has lapsed: a lead that waited for lapsed rows kept a server that had left.
     pub(super) fn on_failed(&mut self, now: Instant) {
         let is_answered = |at| now.saturating_duration_since(at) < PEER_SNAPSHOT_MAX_AGE;
@@ -67,8 +67,8 @@
         self.settled_at.is_none_or(|at| now >= at)
     }
 
-    /// Records that another instance reported a snapshot as of `begun`. This ends an outage
-    /// that only this instance saw: without it, a lead that read again after 12 s kept a server
+    /// Records that another entry reported a snapshot as of `begun`. This ends an outage
+    /// that only this entry saw: without it, a lead that read again after 12 s kept a server
     /// that had left for 3.5 s.
     pub(super) fn on_peer_snapshot(&mut self, begun: Instant) {
         self.peer_read_at = self.peer_read_at.max(Some(begun));
--- a/crates/place/src/catalog/table.rs
+++ b/crates/place/src/catalog/table.rs
@@ -19,7 +19,7 @@
         Self { index, hash }
     }
 
-    /// Hash of the server's run, the same on all instances.
+    /// Hash of the server's run, the same on all entries.
     pub fn run(self) -> u64 {
         self.hash
     }
--- a/crates/place/src/catalog/update.rs
+++ b/crates/place/src/catalog/update.rs
@@ -1,4 +1,4 @@
-//! Applies entries, and missing rows, to the records of servers.
+//! Applies server entries, and missing rows, to the records of servers.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Instant;
@@ -9,8 +9,8 @@
 use crate::server::{EntryState, ServerEntry, ServerRecord};
 
 impl ServerCatalog {
-    /// Applies one entry. The start time tells runs of a server apart, and `seq` orders the
-    /// entries of one run: a late entry of an earlier run changes nothing.
+    /// Applies one server entry. The start time tells runs of a server apart, and `seq` orders
+    /// the server entries of one run: a late one of an earlier run changes nothing.
     pub(super) fn apply_entry(
         &mut self,
         now: Instant,
@@ -45,7 +45,7 @@
             return;
         }
         if record.missing_since.is_some() && entry.seq < record.entry.seq {
-            // A live server whose row lapsed comes back with its last entry or a newer one.
+            // A live server whose row lapsed comes back with its last server entry or a newer one.
             self.remove(now, &entry.id, changes);
             self.on_refused(now, entry, changes);
             return;
@@ -53,8 +53,8 @@
         update_record(begun, record, entry, changes);
     }
 
-    /// Handles an entry from before the server's departure, listed by the registry or sent by
-    /// another instance.
+    /// Handles a server entry from before the server's departure, listed by the registry or sent
+    /// by another entry.
     fn on_refused(&mut self, now: Instant, entry: &ServerEntry, changes: &mut Vec<CatalogChange>) {
         let current = self.table.by_id(&entry.id);
         if current.is_some_and(|record| self.departures.supersedes(now, &record.entry)) {
@@ -175,7 +175,7 @@
     }
 }
 
-/// Applies an entry of the known run.
+/// Applies a server entry of the known run.
 fn update_record(
     begun: Instant,
     record: &mut ServerRecord,
--- a/crates/place/src/limits/budget.rs
+++ b/crates/place/src/limits/budget.rs
@@ -1,10 +1,10 @@
 //! Limits retries at a second server to a share of the requests for a service. The limit
-//! applies to all instances together; each uses a part of it.
+//! applies to all entries together; each uses a part of it.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Share of the budget that is used. The rest covers instances that this one doesn't know of
+/// Share of the budget that is used. The rest covers entries that this one doesn't know of
 /// and retries in progress.
 const USABLE_SHARE: f64 = 0.6;
 
@@ -13,7 +13,7 @@
 pub struct BudgetBounds {
     /// Retries per request.
     pub ratio: f64,
-    /// Additional retries of all instances together per window.
+    /// Additional retries of all entries together per window.
     pub slack: f64,
     /// Length of the sliding window.
     pub window: Duration,
@@ -30,13 +30,13 @@
 pub struct RetryBudget {
     bounds: BudgetBounds,
     entries: usize,
-    /// Whether this instance may use a part of the slack.
+    /// Whether this entry may use a part of the slack.
     has_slack: bool,
     services: HashMap<String, ServiceWindow>,
 }
 
 impl RetryBudget {
-    /// Creates a budget within `bounds` for a single instance.
+    /// Creates a budget within `bounds` for a single entry.
     pub fn new(bounds: BudgetBounds) -> Self {
         Self {
             bounds,
@@ -46,13 +46,13 @@
         }
     }
 
-    /// Sets the number of instances that share the slack.
+    /// Sets the number of entries that share the slack.
     pub fn set_entries(&mut self, entries: usize) {
         self.entries = entries.max(1);
     }
 
-    /// Sets whether this instance may use a part of the slack in addition to the share of its
-    /// own requests. Instances that the others don't count may not.
+    /// Sets whether this entry may use a part of the slack in addition to the share of its
+    /// own requests. Entries that the others don't count may not.
     pub fn set_slack(&mut self, has_slack: bool) {
         self.has_slack = has_slack;
     }
--- a/crates/place/src/limits/mod.rs
+++ b/crates/place/src/limits/mod.rs
@@ -1,4 +1,4 @@
-//! Limits that all instances share: retries, requests to cold servers, shifts between regions,
+//! Limits that all entries share: retries, requests to cold servers, shifts between regions,
 //! the parts of a route, and when a refused caller should retry.
 
 pub mod budget;
--- a/crates/place/src/limits/ramp.rs
+++ b/crates/place/src/limits/ramp.rs
@@ -1,6 +1,6 @@
-//! Keeps all instances together within the rate of a cold server.
+//! Keeps all entries together within the rate of a cold server.
 //!
-//! The rate is divided without communication: as many instances as the rate allows may use a
+//! The rate is divided without communication: as many entries as the rate allows may use a
 //! cold server, chosen by rendezvous hash among the live ones, and each sends it one request
 //! per interval.
 
@@ -9,19 +9,19 @@
 
 use crate::rank::pair_weight;
 
-/// Minimum interval between two requests of one instance to a cold server. It exceeds a second,
+/// Minimum interval between two requests of one entry to a cold server. It exceeds a second,
 /// so that no one-second window contains two of them.
 const MIN_INTERVAL: Duration = Duration::from_millis(1150);
 
-/// The time of this instance's last request to each cold server.
+/// The time of this entry's last request to each cold server.
 #[derive(Debug, Default)]
 pub struct ColdRateLimiter {
     last_sent: HashMap<u64, Instant>,
 }
 
 impl ColdRateLimiter {
-    /// Whether this instance may send `server` a request now. `entries` are the hashes of all
-    /// live instances, including `own`; `rate` is in requests per second.
+    /// Whether this entry may send `server` a request now. `entries` are the hashes of all
+    /// live entries, including `own`; `rate` is in requests per second.
     pub fn allows(&self, now: Instant, server: u64, own: u64, entries: &[u64], rate: f64) -> bool {
         let interval = MIN_INTERVAL;
         let allowed_entries = (rate * interval.as_secs_f64()).floor() as usize;
@@ -40,7 +40,7 @@
             .is_none_or(|at| now.saturating_duration_since(*at) >= interval)
     }
 
-    /// Records that this instance sent a cold server a request.
+    /// Records that this entry sent a cold server a request.
     pub fn on_sent(&mut self, now: Instant, server: u64) {
         self.last_sent.insert(server, now);
         if self.last_sent.len() > 4096 {
--- a/crates/place/src/limits/shift.rs
+++ b/crates/place/src/limits/shift.rs
@@ -1,7 +1,7 @@
 //! Limits how fast the requests of a region's callers shift between regions.
 //!
 //! The limit compares the share of each region in one window with that in the previous window,
-//! over all instances of the callers' region and for windows that begin at any time. Instances
+//! over all entries of the callers' region and for windows that begin at any time. Entries
 //! report their counts to each other, so that each one enforces the limit for all. If some are
 //! not heard, each still enforces it for those that it hears; a limit that holds for parts of
 //! the requests holds for all of them.
@@ -12,7 +12,7 @@
 use tally::{CountReport, PeerTally};
 
 /// Share of the platform's cap that is used. The rest covers requests that end up in another
-/// region than they were sent to, and requests of other instances that were not reported yet
+/// region than they were sent to, and requests of other entries that were not reported yet
 /// and don't match the extrapolation.
 const USABLE_CAP_SHARE: f64 = 0.8;
 /// The same for requests that stay in their own region because no other has capacity: refusing
@@ -20,13 +20,13 @@
 const OWN_REGION_CAP_SHARE: f64 = 0.9;
 /// Length of the window to which the cap applies.
 const WINDOW: Duration = Duration::from_secs(2);
-/// Length of the first window of traffic at an instance. The platform's first window begins
-/// with the first traffic of all, so this one must be shorter to end before it at instances
-/// that start later: with 2 s, a calm day with 83 instances moved 0.24 of a region's requests
+/// Length of the first window of traffic at an entry. The platform's first window begins
+/// with the first traffic of all, so this one must be shorter to end before it at entries
+/// that start later: with 2 s, a calm day with 83 entries moved 0.24 of a region's requests
 /// from the first window to the second, against a cap of 0.15.
 const FIRST_WINDOW: Duration = Duration::from_millis(1500);
 /// For this long after its last update, which covers several updates, a peer is assumed to send
-/// what this instance sends. Without this, three instances that update each other every 100 ms
+/// what this entry sends. Without this, three entries that update each other every 100 ms
 /// moved 0.154 of their requests in a burst, against a cap of 0.15.
 const EXTRAPOLATION_TIME: Duration = Duration::from_millis(500);
 /// Requests within this span are counted together.
@@ -47,7 +47,7 @@
 /// Counts requests per region and decides which regions may get more.
 #[derive(Debug)]
 pub struct ShiftLimiter {
-    /// Sorted by name, so that the order is the same on all instances.
+    /// Sorted by name, so that the order is the same on all entries.
     regions: Vec<String>,
     /// Maximum share of requests that may change their region from one window to the next.
     cap: f64,
@@ -57,7 +57,7 @@
     /// Requests of the current window and of the previous one.
     current: RegionCounts,
     previous: RegionCounts,
-    /// Requests of this instance and those that others reported, by the index of the region.
+    /// Requests of this entry and those that others reported, by the index of the region.
     tally: PeerTally<usize>,
     /// The newest counts of each peer, and how often they restarted.
     peer_counts: HashMap<u64, (RegionCounts, u64)>,
@@ -171,14 +171,14 @@
         self.count(now, &counts);
     }
 
-    /// Requests that this instance sent to each region since its start, for the other instances
+    /// Requests that this entry sent to each region since its start, for the other entries
     /// of its region.
     pub fn sent(&self) -> Vec<u32> {
         let regions = 0..self.regions.len();
         regions.map(|region| self.tally.own_total(region)).collect()
     }
 
-    /// Applies what the instance `peer` of the own region has sent since its start. The first
+    /// Applies what the entry `peer` of the own region has sent since its start. The first
     /// update of a run only sets the baseline.
     pub fn on_peer_sent(&mut self, now: Instant, peer: u64, sent: &[u32]) {
         if sent.len() != self.regions.len() {
@@ -196,7 +196,7 @@
         known.extend_from_slice(sent);
         let word = CountReport {
             run: *run,
-            // Requests sent before the first update belong to none of this instance's windows.
+            // Requests sent before the first update belong to none of this entry's windows.
             age: Duration::MAX,
             counts: sent.iter().copied().enumerate().collect(),
         };
@@ -207,7 +207,7 @@
         self.count(now, &added_counts);
     }
 
-    /// Forgets instances that aren't in `live`.
+    /// Forgets entries that aren't in `live`.
     pub fn retain_peers(&mut self, live: &[u64]) {
         self.peer_counts.retain(|peer, _| live.contains(peer));
         self.tally.retain(|peer, _| live.contains(&peer));
--- a/crates/place/src/placing/choice.rs
+++ b/crates/place/src/placing/choice.rs
@@ -61,17 +61,17 @@
     pub region: f64,
 }
 
-/// Location and state of the instance that makes the choice.
+/// Location and state of the entry that makes the choice.
 #[derive(Debug, Clone, Copy)]
 pub struct ChoiceContext<'a> {
-    /// Failure domain of the instance.
+    /// Failure domain of the entry.
     pub domain: &'a str,
-    /// Region of the instance.
+    /// Region of the entry.
     pub region: &'a str,
     /// Whether all candidates are in one locality, so that an object would have a single
     /// preferred server.
     pub is_single_locality: bool,
-    /// Number of instances in the region, including this one.
+    /// Number of entries in the region, including this one.
     pub entries: usize,
     /// Latency equivalent of sending bytes to other failure domains and regions.
     pub costs: ByteCosts,
--- a/crates/place/src/placing/load.rs
+++ b/crates/place/src/placing/load.rs
@@ -1,4 +1,4 @@
-//! Load updates, in which instances tell each other of their requests at servers.
+//! Load updates, in which entries tell each other of their requests at servers.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -6,28 +6,28 @@
 use crate::catalog::ServerCatalog;
 use crate::placing::warmth::HandledPair;
 
-/// Time for which an instance's update counts; updates are sent several times per second.
+/// Time for which an entry's update counts; updates are sent several times per second.
 const LOAD_TTL: Duration = Duration::from_millis(1500);
 
-/// Load interval per other instance of the region: each instance sends and receives at most 80
-/// datagrams per second there, however many instances there are.
+/// Load interval per other entry of the region: each entry sends and receives at most 80
+/// datagrams per second there, however many entries there are.
 const LOAD_INTERVAL_PER_ENTRY: Duration = Duration::from_millis(12);
 /// Minimum load interval; requests take longer than this.
 const MIN_LOAD_INTERVAL: Duration = Duration::from_millis(80);
-/// Interval of updates to other regions, per instance there: at most 160 datagrams per second.
+/// Interval of updates to other regions, per entry there: at most 160 datagrams per second.
 /// Small fleets send every update there: with one update in three, callers got 0.533 of their
 /// worth instead of 0.541 where servers are spread unevenly (mean of 15 days with faults).
 const OTHER_REGION_LOAD_INTERVAL_PER_ENTRY: Duration = Duration::from_millis(6);
-/// Requests of one instance: short ids of servers, with counts.
+/// Requests of one entry: short ids of servers, with counts.
 pub type LoadList = Vec<(u32, u16)>;
 
 base::common! {
-    /// What an instance tells the others of its requests.
+    /// What an entry tells the others of its requests.
     #[derive(Eq, Default, PartialOrd, Ord)]
     pub struct LoadUpdate {
         /// Short ids of servers, with the number of requests there.
         pub load: LoadList,
-        /// Requests sent to each region since the instance started, in the order of the
+        /// Requests sent to each region since the entry started, in the order of the
         /// regions' names. Sent only within the region.
         pub sent: Vec<u32>,
         /// Objects handled by servers since the last update. Sent only within the region.
@@ -36,7 +36,7 @@
 }
 
 impl LoadUpdate {
-    /// Strips the update for instances of other regions.
+    /// Strips the update for entries of other regions.
     #[must_use]
     pub fn for_other_regions(mut self) -> Self {
         self.sent.clear();
@@ -45,7 +45,7 @@
     }
 }
 
-/// The newest update of each other instance, and their sums per server.
+/// The newest update of each other entry, and their sums per server.
 #[derive(Debug, Default)]
 pub struct PeerLoads {
     lists: HashMap<u64, (Instant, LoadList)>,
@@ -64,13 +64,13 @@
     (hash ^ (hash >> 32)) as u32
 }
 
-/// Time between load updates of an instance with `in_region` others in its region.
+/// Time between load updates of an entry with `in_region` others in its region.
 pub fn load_interval(in_region: u32) -> Duration {
     (LOAD_INTERVAL_PER_ENTRY * in_region).max(MIN_LOAD_INTERVAL)
 }
 
-/// Whether update number `round` of an instance with `in_region` others in its region is also
-/// sent to the `in_other_regions` instances of other regions.
+/// Whether update number `round` of an entry with `in_region` others in its region is also
+/// sent to the `in_other_regions` entries of other regions.
 pub fn is_sent_to_other_regions(round: u32, in_region: u32, in_other_regions: u32) -> bool {
     let interval = OTHER_REGION_LOAD_INTERVAL_PER_ENTRY * in_other_regions;
     let updates = interval
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Sets the load of the other instances at each server of `catalog`. Call it before the
+    /// Sets the load of the other entries at each server of `catalog`. Call it before the
     /// load is used. Only servers with changed sums are visited: visiting all of ten thousand
     /// servers took 5 ms per request, most of it for servers without requests.
     pub fn apply(&mut self, now: Instant, catalog: &mut ServerCatalog) {
@@ -153,7 +153,7 @@
     }
 }
 
-/// This instance's requests at the servers of `catalog`.
+/// This entry's requests at the servers of `catalog`.
 pub fn own_load(catalog: &ServerCatalog) -> LoadList {
     let busy = catalog.iter().filter(|record| record.in_flight > 0);
     busy.map(|record| {
--- a/crates/place/src/placing/placer.rs
+++ b/crates/place/src/placing/placer.rs
@@ -41,12 +41,12 @@
 /// Expected time until capacity is free after servers rejected a request, in seconds.
 const REJECTED_RETRY_AFTER_SECS: f64 = 0.3;
 
-/// Location and limits of the instance that places requests.
+/// Location and limits of the entry that places requests.
 #[derive(Debug, Clone)]
 pub struct PlacerConfig {
-    /// Failure domain of this instance.
+    /// Failure domain of this entry.
     pub domain: String,
-    /// Region of this instance.
+    /// Region of this entry.
     pub region: String,
     /// Maps each failure domain to its region.
     pub domains: HashMap<String, String>,
@@ -58,7 +58,7 @@
     pub costs: ByteCosts,
     /// Time within which a draining server must stop getting requests.
     pub drain: Duration,
-    /// Hash of this instance, used to divide shared rates.
+    /// Hash of this entry, used to divide shared rates.
     pub own: u64,
 }
 
@@ -81,7 +81,7 @@
     work: RouteWorkTable,
     entries: Vec<u64>,
     region_entries: usize,
-    /// Whether this instance is a standby, which the others don't count when they divide shared
+    /// Whether this entry is a standby, which the others don't count when they divide shared
     /// rates.
     standby: bool,
     loads: PeerLoads,
@@ -121,15 +121,15 @@
             .collect();
     }
 
-    /// Sets whether this instance is a standby. A standby takes no part of the rates that all
-    /// instances share, since the others don't count it.
+    /// Sets whether this entry is a standby. A standby takes no part of the rates that all
+    /// entries share, since the others don't count it.
     pub fn set_standby(&mut self, standby: bool) {
         self.standby = standby;
         self.budget.set_slack(!standby);
     }
 
-    /// Sets the hashes of all instances that receive requests, and the number of others in the
-    /// own region; this instance is added to both.
+    /// Sets the hashes of all entries that receive requests, and the number of others in the
+    /// own region; this entry is added to both.
     pub fn set_entries(&mut self, mut entries: Vec<u64>, in_region: usize) {
         entries.push(self.config.own);
         entries.sort_unstable();
@@ -140,14 +140,14 @@
         self.region_entries = in_region + 1;
     }
 
-    /// Applies a load update of the instance with the hash `entry`.
+    /// Applies a load update of the entry with the hash `entry`.
     pub fn on_peer_load(&mut self, now: Instant, entry: u64, update: LoadUpdate) {
         self.shift_limiter.on_peer_sent(now, entry, &update.sent);
         self.warmth.on_peer_pairs(now, &update.handled);
         self.loads.apply_list(now, entry, update.load);
     }
 
-    /// Returns this instance's load update for the others. Call it several times a second.
+    /// Returns this entry's load update for the others. Call it several times a second.
     pub fn own_load(&mut self, now: Instant) -> LoadUpdate {
         self.loads.apply(now, &mut self.catalog);
         LoadUpdate {
--- a/crates/place/src/placing/trip.rs
+++ b/crates/place/src/placing/trip.rs
@@ -23,7 +23,7 @@
 /// Relative change from which on a new estimate is used.
 const MIN_CHANGE: f64 = 0.1;
 
-/// Round trip estimates of one instance, by failure domain.
+/// Round trip estimates of one entry, by failure domain.
 #[derive(Debug, Default)]
 pub struct RoundTripEstimator {
     domain: String,
@@ -39,7 +39,7 @@
 }
 
 impl RoundTripEstimator {
-    /// Creates the estimator of an instance in `domain` of `region`.
+    /// Creates the estimator of an entry in `domain` of `region`.
     pub fn new(domain: &str, region: &str) -> Self {
         Self {
             domain: domain.to_owned(),
--- a/crates/place/src/placing/warmth.rs
+++ b/crates/place/src/placing/warmth.rs
@@ -1,7 +1,7 @@
 //! Estimates which servers have which objects cached.
 //!
 //! Objects that were recently handled are remembered. For the others the rank indicates where
-//! other instances send the object. How reliable either is depends on the servers' cache size
+//! other entries send the object. How reliable either is depends on the servers' cache size
 //! and the number of objects, so it is learned from response times.
 
 use std::collections::HashMap;
@@ -22,7 +22,7 @@
 /// Maximum number of remembered pairs, at 64 bytes each.
 const MAX_PAIRS: usize = 16_384;
 /// Maximum number of pairs in one load update. Pairs beyond it are rare, and without them other
-/// instances only fall back to the rank.
+/// entries only fall back to the rank.
 const MAX_UNSENT_PAIRS: usize = 128;
 /// Initial likelihoods by age class, then by rank. Those by rank are low, since caches are
 /// empty at a start.
@@ -39,7 +39,7 @@
 /// Short ids of a server and of an object that it handled.
 pub type HandledPair = (u32, u32);
 
-/// Objects that servers recently handled, as seen by this instance and reported by the others
+/// Objects that servers recently handled, as seen by this entry and reported by the others
 /// of its region.
 #[derive(Debug, Default)]
 pub struct WarmthMap {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Records pairs that another instance reported.
+    /// Records pairs that another entry reported.
     pub fn on_peer_pairs(&mut self, now: Instant, pairs: &[HandledPair]) {
         for pair in pairs {
             self.remember(now, *pair);
--- a/crates/place/src/placing/work.rs
+++ b/crates/place/src/placing/work.rs
@@ -106,7 +106,7 @@
         *at = now;
     }
 
-    /// Requests per second for `object` at this instance.
+    /// Requests per second for `object` at this entry.
     pub fn demand(&self, now: Instant, object: u64) -> f64 {
         let Some((at, count)) = self.demand.get(&object) else {
             return 0.0;
--- a/crates/place/tests/catalog.rs
+++ b/crates/place/tests/catalog.rs
@@ -84,7 +84,7 @@
     );
 }
 
-/// An outage that only this instance saw ends when another instance reports a snapshot: a
+/// An outage that only this entry saw ends when another entry reports a snapshot: a
 /// server that leaves later is removed at once. Rows that disappeared during the outage are
 /// still kept for two seconds.
 #[test]
@@ -166,7 +166,7 @@
     assert_eq!(open(&catalog), ["x"]);
 }
 
-/// The answer to a long poll counts, although another instance's read began and ended during
+/// The answer to a long poll counts, although another entry's read began and ended during
 /// the poll.
 #[test]
 fn an_answer_that_waited_counts_for_what_it_holds() {
--- a/crates/place/tests/front.rs
+++ b/crates/place/tests/front.rs
@@ -77,7 +77,7 @@
     );
 }
 
-/// The scarcer of CPU and bandwidth determines the capacity of an instance.
+/// The scarcer of CPU and bandwidth determines the capacity of an entry.
 #[test]
 fn the_tighter_resource_decides() {
     assert_eq!(capacity(0.5, 200.0), 1000);
--- a/crates/place/tests/limits.rs
+++ b/crates/place/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Tests of the limits that all instances share: retries, cold rates and shifts between
+//! Tests of the limits that all entries share: retries, cold rates and shifts between
 //! regions.
 
 mod common;
@@ -26,7 +26,7 @@
     })]
 
     /// All retries of a window stay within the platform's ratio and slack, whatever each
-    /// instance tries, if each one knows the number of instances.
+    /// entry tries, if each one knows the number of entries.
     #[test]
     fn repeats_stay_within_the_budget(
         entries in 1usize..12,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// All instances together send a cold server at most its rate in any second, without
+    /// All entries together send a cold server at most its rate in any second, without
     /// communication and even if some don't know all others.
     #[test]
     fn cold_servers_get_their_rate_from_all_entries_together(
@@ -97,7 +97,7 @@
             while sent.front().is_some_and(|at| now - *at >= Duration::from_secs(1)) {
                 sent.pop_front();
             }
-            // The platform's tolerance above the rate covers instances that don't know each
+            // The platform's tolerance above the rate covers entries that don't know each
             // other.
             let most = if unknown == 0 { 1.15 * rate } else { 1.5 * rate + 5.0 };
             prop_assert!(sent.len() as f64 <= most, "{} requests in a second, {rate} allowed", sent.len());
@@ -160,7 +160,7 @@
     }
 }
 
-/// The shift cap holds from the first window to the second over all instances of a region. The
+/// The shift cap holds from the first window to the second over all entries of a region. The
 /// failure: their first requests come at different times, and empty caches send many requests
 /// to other regions before the first window is over.
 #[test]
@@ -207,8 +207,8 @@
     );
 }
 
-/// Simulates instances of one region whose requests choose one of two regions at random, and
-/// returns the share that was sent to the other one. With `is_shared` the instances report
+/// Simulates entries of one region whose requests choose one of two regions at random, and
+/// returns the share that was sent to the other one. With `is_shared` the entries report
 /// their counts to each other.
 fn diverted_share(is_shared: bool) -> f64 {
     const ENTRIES: u64 = 6;
@@ -261,7 +261,7 @@
 }
 
 /// Servers are spread unevenly, so that a part of a region's requests always runs elsewhere.
-/// Instances that know each other's counts allow random variation within the cap; without them,
+/// Entries that know each other's counts allow random variation within the cap; without them,
 /// each diverts a tenth of all requests from the chosen server.
 #[test]
 fn steady_shares_divert_few_requests() {
--- a/crates/place/tests/near.rs
+++ b/crates/place/tests/near.rs
@@ -192,7 +192,7 @@
 }
 
 /// Average number of records read for a request and a load update, with ten servers per
-/// instance.
+/// entry.
 fn records_examined(entries: usize) -> u64 {
     let now = Instant::now();
     let mut placer = large_placer(now, entries * 10);
--- a/crates/place/tests/placer.rs
+++ b/crates/place/tests/placer.rs
@@ -129,11 +129,11 @@
     }
     assert!(
         (5..=10).contains(&sent),
-        "{sent} requests in ten seconds from one instance"
+        "{sent} requests in ten seconds from one entry"
     );
 }
 
-/// An update of an instance of another region.
+/// An update of an entry of another region.
 fn update(load: Vec<(u32, u16)>) -> LoadUpdate {
     LoadUpdate {
         load,
@@ -142,7 +142,7 @@
     }
 }
 
-/// Requests of other instances count towards a server's load like own ones.
+/// Requests of other entries count towards a server's load like own ones.
 #[test]
 fn other_entries_requests_count() {
     let now = Instant::now();
@@ -161,7 +161,7 @@
     assert!(placer.place(now + ms(4), &wanted).is_ok());
 }
 
-/// An instance that died with requests at a server must not block that server: its load
+/// An entry that died with requests at a server must not block that server: its load
 /// expires.
 #[test]
 fn a_dead_entrys_requests_are_forgotten() {
@@ -177,7 +177,7 @@
     assert!(placer.place(now + ms(2001), &wanted).is_ok());
 }
 
-/// The load of dead instances also expires at the last instance, which receives no updates that
+/// The load of dead entries also expires at the last entry, which receives no updates that
 /// could trigger it.
 #[test]
 fn the_last_entry_forgets_the_others_requests() {
@@ -193,7 +193,7 @@
     assert!(placer.place(now + ms(1600), &wanted).is_ok());
 }
 
-/// An update takes effect within 60 ms among updates of 5,900 instances.
+/// An update takes effect within 60 ms among updates of 5,900 entries.
 #[test]
 fn a_word_among_many_counts_soon() {
     let now = Instant::now();
