--- a/bin/lh-entry/src/fleet.rs
+++ b/bin/lh-entry/src/fleet.rs
@@ -241,11 +241,11 @@
         Ok(PeerMessage::Load(beat)) => {
             let now = Instant::now();
             if let Some(quota) = &beat.quota {
-                state.words.on_word(now, from);
+                state.words.on_report(now, from);
                 state.quota.borrow_mut().on_report(now, beat.entry, quota);
             }
             let mut placer = state.placer.borrow_mut();
-            placer.on_peer_load(now, beat.entry, beat.word);
+            placer.on_peer_load(now, beat.entry, beat.report);
         }
         Ok(PeerMessage::Rollout(beat)) => state.rollouts.on_beat(&beat),
         Ok(mut message) => {
--- a/bin/lh-entry/src/rollout.rs
+++ b/bin/lh-entry/src/rollout.rs
@@ -109,7 +109,7 @@
 
     /// Another entry's counts.
     pub(crate) fn on_beat(&self, beat: &RolloutMessage) {
-        self.change(|now, book| book.on_report(now, beat.entry, &beat.word));
+        self.change(|now, book| book.on_report(now, beat.entry, &beat.report));
     }
 
     /// A request goes to the server of `placement`; its token, and whether the new version runs
@@ -211,7 +211,7 @@
         return;
     }
     state.rollouts.change(|now, book| book.check_overdue(now));
-    let Some(word) = state.rollouts.book().report(Instant::now()) else {
+    let Some(report) = state.rollouts.book().report(Instant::now()) else {
         return;
     };
     let mut targets = listeners.to_vec();
@@ -229,7 +229,7 @@
     targets.retain(|target| *target != state.config.beat_address);
     let beat = RolloutMessage {
         entry: stable_hash(state.config.instance.as_bytes()),
-        word,
+        report,
     };
     send(socket, &targets, &PeerMessage::Rollout(beat)).await;
 }
--- a/bin/lh-entry/src/view.rs
+++ b/bin/lh-entry/src/view.rs
@@ -20,7 +20,7 @@
 use place::fleet::list::{EntryList, ListVersion};
 use place::fleet::log::{RegistryDelta, RegistryLog};
 use place::fleet::pull::{PullScope, PullTarget};
-use place::fleet::store_progress::{StoreProgress, StoreProgressMessage};
+use place::fleet::store_progress::{StoreProgress, StoreProgressReport};
 use place::prelude::FleetEvent;
 use quick_error::quick_error;
 use rollout::order::RolloutRecord;
@@ -66,7 +66,7 @@
     /// What the one that asked lacks.
     #[derive(Default)]
     struct ViewAnswer {
-        store: StoreProgressMessage,
+        store: StoreProgressReport,
         /// An encoded [`RegistryDelta`]; empty where nothing changed.
         registry: Vec<u8>,
         /// Where that is to be had instead.
@@ -139,7 +139,7 @@
     let query: ViewQuery = postcard::from_bytes(&bytes).ok()?;
     let known = state.fleet.known();
     let mut answer = ViewAnswer {
-        store: known.to_message(Instant::now()),
+        store: known.to_report(Instant::now()),
         latest: state.fleet.latest_store_time(),
         ..ViewAnswer::default()
     };
@@ -244,7 +244,7 @@
 ) -> Result<(), ViewError> {
     // The answer was given at some time since the question: taking it for new would hide how
     // long this process had no turn to read it.
-    let heard = StoreProgress::from_message(begun, &answer.store);
+    let heard = StoreProgress::from_report(begun, &answer.store);
     if !answer.desired.is_empty() {
         let desired: DesiredState = postcard::from_bytes(&answer.desired)?;
         state.on_desired(&desired);
--- a/bin/lh-entry/src/words.rs
+++ b/bin/lh-entry/src/words.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use place::fleet::message::{LoadReport, PeerMessage};
-use place::placing::load::{LoadUpdate, is_sent_to_other_regions, load_interval};
+use place::fleet::message::{LoadMessage, PeerMessage};
+use place::placing::load::{LoadReport, is_sent_to_other_regions, load_interval};
 use place::rank::stable_hash;
 use team::quota::QuotaReport;
 use tokio::net::UdpSocket;
@@ -24,7 +24,7 @@
 /// Such entries that are spoken to at once.
 const STRANGERS_MOST: usize = 64;
 /// Words by which an entry that stands by again says so: some may get lost.
-const LAST_WORDS: u32 = 3;
+const FINAL_REPORTS: u32 = 3;
 
 /// What this entry says and hears of load.
 #[derive(Debug, Default)]
@@ -32,7 +32,7 @@
     /// Words so far.
     round: RefCell<u32>,
     /// Words that are still to be said after the last request.
-    last_words: RefCell<u32>,
+    final_reports: RefCell<u32>,
     /// Entries that speak without being listed: callers still use them.
     strangers: RefCell<HashMap<SocketAddr, Instant>>,
     /// A request came to an entry that says nothing.
@@ -41,7 +41,7 @@
 
 impl WordDesk {
     /// An entry at `from`, listed or not, spoke.
-    pub(crate) fn on_word(&self, now: Instant, from: SocketAddr) {
+    pub(crate) fn on_report(&self, now: Instant, from: SocketAddr) {
         let mut strangers = self.strangers.borrow_mut();
         strangers.retain(|_, at| now.saturating_duration_since(*at) < STRANGER_FOR);
         if strangers.len() < STRANGERS_MOST {
@@ -57,12 +57,12 @@
     let is_used = state.quota.borrow().has_changes();
     let is_needed = state.quota.borrow().has_quotas();
     if is_listed || is_used {
-        state.words.last_words.replace(LAST_WORDS);
-    } else if !is_needed || state.words.last_words.take() == 0 {
+        state.words.final_reports.replace(FINAL_REPORTS);
+    } else if !is_needed || state.words.final_reports.take() == 0 {
         return IDLE_LOOK;
     }
-    let left = *state.words.last_words.borrow();
-    state.words.last_words.replace(left.saturating_sub(1));
+    let left = *state.words.final_reports.borrow();
+    state.words.final_reports.replace(left.saturating_sub(1));
     let (near, mut far) = listeners(state);
     let round = state
         .words
@@ -77,12 +77,17 @@
         stops: !is_listed && !is_used,
         ..state.quota.borrow_mut().report(now)
     });
-    let word = state.placer.borrow_mut().own_load(now);
-    send(socket, &near, &message(state, word.clone(), quota.clone())).await;
+    let report = state.placer.borrow_mut().own_load(now);
+    send(
+        socket,
+        &near,
+        &message(state, report.clone(), quota.clone()),
+    )
+    .await;
     send(
         socket,
         &far,
-        &message(state, word.for_other_regions(), quota),
+        &message(state, report.for_other_regions(), quota),
     )
     .await;
     rollout::speak(state, socket, &[near, far].concat()).await;
@@ -117,10 +122,10 @@
     (near, far)
 }
 
-fn message(state: &InstanceState, word: LoadUpdate, quota: Option<QuotaReport>) -> PeerMessage {
-    PeerMessage::Load(LoadReport {
+fn message(state: &InstanceState, report: LoadReport, quota: Option<QuotaReport>) -> PeerMessage {
+    PeerMessage::Load(LoadMessage {
         entry: stable_hash(state.config.instance.as_bytes()),
-        word,
+        report,
         quota,
     })
 }
--- a/crates/emulate/benches/slopes.rs
+++ b/crates/emulate/benches/slopes.rs
@@ -16,7 +16,7 @@
 use place::fleet::store_progress::StoreProgress;
 use place::limits::budget::BudgetBounds;
 use place::placing::choice::ByteCosts;
-use place::placing::load::{LoadUpdate, short_id};
+use place::placing::load::{LoadReport, short_id};
 use place::prelude::*;
 use place::rank::stable_hash;
 use place::request::ServerOutcome;
@@ -268,7 +268,7 @@
         let mut at = now;
         let place = median(7, 20, || {
             at += Duration::from_millis(1);
-            let word = LoadUpdate {
+            let word = LoadReport {
                 load: names.iter().map(|name| (*name, 1)).collect(),
                 sent: vec![0; REGIONS],
                 handled: Vec::new(),
@@ -295,9 +295,9 @@
             .iter()
             .map(|server| short_id(stable_hash(server.id.as_bytes())))
             .collect();
-        let list = |entry: usize| -> LoadUpdate {
+        let list = |entry: usize| -> LoadReport {
             let busy = (0..4).map(|turn| (names[(entry * 4 + turn) % count], 1));
-            LoadUpdate {
+            LoadReport {
                 load: busy.collect(),
                 sent: vec![0; REGIONS],
                 handled: Vec::new(),
--- a/crates/emulate/src/policy.rs
+++ b/crates/emulate/src/policy.rs
@@ -4,7 +4,7 @@
 
 use place::catalog::{CatalogSnapshot, ServerHandle};
 use place::desired::{DesiredState, RouteSpec};
-use place::placing::load::LoadUpdate;
+use place::placing::load::LoadReport;
 use place::prelude::*;
 use place::rank::stable_hash;
 use team::fairness::FairnessRanker;
@@ -53,10 +53,10 @@
     );
 
     /// Own requests at servers.
-    fn load(&mut self, now: Instant) -> LoadUpdate;
+    fn load(&mut self, now: Instant) -> LoadReport;
 
     /// Another entry's requests at servers.
-    fn on_load(&mut self, now: Instant, entry: u64, word: LoadUpdate);
+    fn on_load(&mut self, now: Instant, entry: u64, word: LoadReport);
 }
 
 /// The product's way.
@@ -147,11 +147,11 @@
             .on_outcome(now, placement, &request, outcome, report);
     }
 
-    fn load(&mut self, now: Instant) -> LoadUpdate {
+    fn load(&mut self, now: Instant) -> LoadReport {
         self.placer.own_load(now)
     }
 
-    fn on_load(&mut self, now: Instant, entry: u64, word: LoadUpdate) {
+    fn on_load(&mut self, now: Instant, entry: u64, word: LoadReport) {
         self.placer.on_peer_load(now, entry, word);
     }
 }
@@ -213,9 +213,9 @@
         record.in_flight = record.in_flight.saturating_sub(1);
     }
 
-    fn load(&mut self, _: Instant) -> LoadUpdate {
-        LoadUpdate::default()
+    fn load(&mut self, _: Instant) -> LoadReport {
+        LoadReport::default()
     }
 
-    fn on_load(&mut self, _: Instant, _: u64, _: LoadUpdate) {}
+    fn on_load(&mut self, _: Instant, _: u64, _: LoadReport) {}
 }
--- a/crates/emulate/src/timeline.rs
+++ b/crates/emulate/src/timeline.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use place::placing::load::LoadUpdate;
+use place::placing::load::LoadReport;
 
 /// Microseconds from the start.
 pub(crate) type Micros = u64;
@@ -26,7 +26,7 @@
     /// An entry tells its load.
     Load(usize),
     /// An entry hears another's load.
-    Hear(usize, u64, LoadUpdate),
+    Hear(usize, u64, LoadReport),
     /// A fault begins.
     FaultBegins(usize),
     /// A fault ends.
--- a/crates/emulate/tests/patterns.rs
+++ b/crates/emulate/tests/patterns.rs
@@ -7,7 +7,7 @@
     EntryPolicy, Experiment, FaultKind, NaivePolicy, PlacerPolicy, PolicyChoice, PolicyRequest,
     ServerFault, TrialReport, run_trial,
 };
-use place::placing::load::LoadUpdate;
+use place::placing::load::LoadReport;
 use place::request::{Placement, ServerOutcome};
 use place::server::ServerReport;
 
@@ -190,11 +190,11 @@
         self.0.on_outcome(now, placement, object, outcome, report);
     }
 
-    fn load(&mut self, now: Instant) -> LoadUpdate {
+    fn load(&mut self, now: Instant) -> LoadReport {
         self.0.load(now)
     }
 
-    fn on_load(&mut self, now: Instant, entry: u64, mut word: LoadUpdate) {
+    fn on_load(&mut self, now: Instant, entry: u64, mut word: LoadReport) {
         word.handled.clear();
         self.0.on_load(now, entry, word);
     }
--- a/crates/place/src/catalog/mod.rs
+++ b/crates/place/src/catalog/mod.rs
@@ -134,8 +134,8 @@
                 continue;
             }
             let known = self.table.by_id(&row.id).map(|record| &record.entry);
-            for word in known.into_iter().chain(&row.last_entry) {
-                self.departures.record(now, &Departure::of(word));
+            for entry in known.into_iter().chain(&row.last_entry) {
+                self.departures.record(now, &Departure::of(entry));
             }
         }
     }
--- a/crates/place/src/crash/quarantine.rs
+++ b/crates/place/src/crash/quarantine.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use crate::crash::print::RequestFingerprint;
-use crate::crash::word::{ClearedRequest, RequestStatus, RequestStatusMessage};
+use crate::crash::word::{ClearedRequest, RequestStatus, RequestStatusReport};
 use crate::fleet::store_progress::millis;
 
 /// How long a request stays in quarantine: time to fix the service, at the cost of a few
@@ -142,9 +142,9 @@
     }
 
     /// Returns the status of all tracked requests, for other entries.
-    pub fn status_messages(&self, now: Instant) -> Vec<RequestStatusMessage> {
+    pub fn status_reports(&self, now: Instant) -> Vec<RequestStatusReport> {
         let message =
-            |(fingerprint, record): (&RequestFingerprint, &StatusRecord)| RequestStatusMessage {
+            |(fingerprint, record): (&RequestFingerprint, &StatusRecord)| RequestStatusReport {
                 print: *fingerprint,
                 status: record.status,
                 age: millis(now.saturating_duration_since(record.since)),
--- a/crates/place/src/crash/word.rs
+++ b/crates/place/src/crash/word.rs
@@ -36,7 +36,7 @@
 
     /// The status of a request, as sent between entries.
     #[derive(Copy, Eq)]
-    pub struct RequestStatusMessage {
+    pub struct RequestStatusReport {
         /// The request.
         pub print: RequestFingerprint,
         /// The status.
@@ -62,7 +62,7 @@
         /// Requests that were answered successfully since.
         pub cleared: Vec<ClearedRequest>,
         /// The status of all requests known to the sender.
-        pub statuses: Vec<RequestStatusMessage>,
+        pub statuses: Vec<RequestStatusReport>,
     }
 }
 
--- a/crates/place/src/fleet/leads.rs
+++ b/crates/place/src/fleet/leads.rs
@@ -78,7 +78,7 @@
             candidate: digest.candidate.clone(),
             region: digest.region.clone(),
             leaving: digest.leaving || !digest.candidate.leads,
-            known: StoreProgress::from_message(now, &digest.store),
+            known: StoreProgress::from_report(now, &digest.store),
             lists: digest
                 .regions
                 .iter()
--- a/crates/place/src/fleet/member/announce.rs
+++ b/crates/place/src/fleet/member/announce.rs
@@ -145,7 +145,7 @@
             candidate: self.own_candidate(now),
             region: self.config.region.clone(),
             leaving: self.local_state.leaving,
-            store: self.known.to_message(now),
+            store: self.known.to_report(now),
             regions: self.regions.summaries(now, to_leads),
         }))
     }
--- a/crates/place/src/fleet/member/crashes.rs
+++ b/crates/place/src/fleet/member/crashes.rs
@@ -55,28 +55,28 @@
 
     /// Applies a message from another entry. A lead forwards new facts to the other
     /// leads.
-    pub(super) fn on_crash_word(
+    pub(super) fn on_crash_message(
         &mut self,
         now: Instant,
-        word: &CrashMessage,
+        message: &CrashMessage,
         actions: &mut Vec<FleetAction>,
     ) {
         let mut new_facts = CrashMessage::default();
-        for cleared in &word.cleared {
+        for cleared in &message.cleared {
             let at = instant_before(now, cleared.age);
             if self.clear(at, cleared.print, actions) {
                 new_facts.cleared.push(*cleared);
             }
         }
-        for report in &word.reports {
+        for report in &message.reports {
             if self.ledger.on_report(now, *report) {
                 new_facts.reports.push(*report);
             }
         }
-        for word in &word.statuses {
-            let since = instant_before(now, word.age);
-            if self.quarantine.raise(word.print, word.status, since) {
-                self.on_status_raised(now, word.print, word.status, actions);
+        for report in &message.statuses {
+            let since = instant_before(now, report.age);
+            if self.quarantine.raise(report.print, report.status, since) {
+                self.on_status_raised(now, report.print, report.status, actions);
             }
         }
         if self.lead_since.is_some() && !new_facts.is_empty() {
@@ -149,8 +149,8 @@
 
     /// Sends this entry's own reports to the leads.
     fn send_reports(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
-        let word = self.outbox.take_due(now);
-        if word.is_empty() {
+        let message = self.outbox.take_due(now);
+        if message.is_empty() {
             return;
         }
         let leads = if self.lead_since.is_some() {
@@ -159,7 +159,7 @@
             self.own_region_leads(now)
         };
         let leads = self.unique_peers(leads);
-        actions.push(FleetAction::Send(leads, PeerMessage::Crash(word)));
+        actions.push(FleetAction::Send(leads, PeerMessage::Crash(message)));
     }
 
     /// Determines which requests cause crashes. An entry with a lead leaves this to the
@@ -181,18 +181,18 @@
     /// region and to the other leads.
     fn send_statuses(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         self.statuses_due = now + HEARTBEAT_INTERVAL;
-        let word = CrashMessage {
+        let message = CrashMessage {
             reports: Vec::new(),
             cleared: self.quarantine.cleared_requests(now),
-            statuses: self.quarantine.status_messages(now),
+            statuses: self.quarantine.status_reports(now),
         };
-        if word.is_empty() {
+        if message.is_empty() {
             return;
         }
         let mut targets = self.peer_leads(now);
         targets.extend(self.roster.addresses(now, &self.config.region));
         let targets = self.unique_peers(targets);
-        actions.push(FleetAction::Send(targets, PeerMessage::Crash(word)));
+        actions.push(FleetAction::Send(targets, PeerMessage::Crash(message)));
     }
 
     /// Records that the request was answered successfully at `at`; returns whether this
--- a/crates/place/src/fleet/member/receive.rs
+++ b/crates/place/src/fleet/member/receive.rs
@@ -28,7 +28,7 @@
             PeerMessage::Heartbeat(heartbeat) => self.on_heartbeat(now, *heartbeat, actions),
             PeerMessage::Digest(digest) => self.on_digest(now, &digest, actions),
             PeerMessage::Hint(hint) => self.on_hint(now, &hint),
-            PeerMessage::Crash(word) => self.on_crash_word(now, &word, actions),
+            PeerMessage::Crash(message) => self.on_crash_message(now, &message, actions),
             PeerMessage::Load(_) | PeerMessage::Rollout(_) => {}
         }
     }
@@ -111,7 +111,7 @@
             }
             self.regions.on_summary(now, summary);
         }
-        let mut heard = StoreProgress::from_message(now, &digest.store);
+        let mut heard = StoreProgress::from_report(now, &digest.store);
         if self.clock.age(now, heard.proved).is_none() {
             // Either not a time of the store's clock, or the local clock cannot be
             // related to it yet.
--- a/crates/place/src/fleet/message.rs
+++ b/crates/place/src/fleet/message.rs
@@ -9,8 +9,8 @@
 use crate::fleet::advertise::ServingEntry;
 use crate::fleet::candidate::LeadCandidate;
 use crate::fleet::list::ListVersion;
-use crate::fleet::store_progress::StoreProgressMessage;
-use crate::placing::load::LoadUpdate;
+use crate::fleet::store_progress::StoreProgressReport;
+use crate::placing::load::LoadReport;
 
 base::common! {
     /// A datagram between entries.
@@ -24,7 +24,7 @@
         /// Addresses of leads. Sent to an entry that is searching for its leads.
         Hint(LeadHint),
         /// The sender's requests by server. Sent among entries that receive requests.
-        Load(LoadReport),
+        Load(LoadMessage),
         /// Requests that were in progress at servers that crashed. Sent by an entry to
         /// its leads, among leads, and by leads to the entries of their region.
         Crash(CrashMessage),
@@ -35,11 +35,11 @@
 
     /// An entry's requests by server.
     #[derive(Eq)]
-    pub struct LoadReport {
+    pub struct LoadMessage {
         /// Hash of the entry's name.
         pub entry: u64,
         /// Requests the entry has sent.
-        pub word: LoadUpdate,
+        pub report: LoadReport,
         /// Admitted requests of teams with quotas, if there are any such teams.
         pub quota: Option<QuotaReport>,
     }
@@ -50,7 +50,7 @@
         /// Hash of the entry's name.
         pub entry: u64,
         /// The counts.
-        pub word: RolloutReport,
+        pub report: RolloutReport,
     }
 
     /// The state an entry reports about itself.
@@ -89,7 +89,7 @@
         /// Whether its process is shutting down.
         pub leaving: bool,
         /// Its state of the store.
-        pub store: StoreProgressMessage,
+        pub store: StoreProgressReport,
         /// Its state of all regions, including its own.
         pub regions: Vec<RegionSummary>,
     }
--- a/crates/place/src/fleet/store_progress.rs
+++ b/crates/place/src/fleet/store_progress.rs
@@ -10,7 +10,7 @@
     /// How current the sender's knowledge of the store is. Ages are relative to the time of
     /// sending.
     #[derive(Copy, Eq, Default)]
-    pub struct StoreProgressMessage {
+    pub struct StoreProgressReport {
         /// Version of the sender's registry log.
         pub registry: u64,
         /// Hash of the content at that version.
@@ -32,7 +32,7 @@
     }
 }
 
-impl StoreProgressMessage {
+impl StoreProgressReport {
     /// Returns the message with its ages increased by `span`, for a message that was received
     /// that long before it is processed.
     #[must_use]
@@ -70,30 +70,30 @@
 
 impl StoreProgress {
     /// Converts another entry's message to times of this entry's clock.
-    pub fn from_message(now: Instant, message: &StoreProgressMessage) -> Self {
+    pub fn from_report(now: Instant, report: &StoreProgressReport) -> Self {
         let at = |age: u32| {
             let span = Duration::from_millis(u64::from(age));
             (age < u32::MAX).then(|| now.checked_sub(span)).flatten()
         };
         Self {
-            registry: message.registry,
-            content: message.content,
-            registry_read: message.registry_read,
-            registry_at: at(message.registry_age),
-            operator: message.operator,
-            operator_read: message.operator_read,
-            operator_at: at(message.operator_age),
-            proved: message.proved,
-            desired: message.desired,
+            registry: report.registry,
+            content: report.content,
+            registry_read: report.registry_read,
+            registry_at: at(report.registry_age),
+            operator: report.operator,
+            operator_read: report.operator_read,
+            operator_at: at(report.operator_age),
+            proved: report.proved,
+            desired: report.desired,
         }
     }
 
     /// Converts the progress to a message for other entries.
-    pub fn to_message(&self, now: Instant) -> StoreProgressMessage {
+    pub fn to_report(&self, now: Instant) -> StoreProgressReport {
         let age = |at: Option<Instant>| {
             at.map_or(u32::MAX, |at| millis(now.saturating_duration_since(at)))
         };
-        StoreProgressMessage {
+        StoreProgressReport {
             registry: self.registry,
             content: self.content,
             registry_read: self.registry_read,
--- a/crates/place/src/limits/shift.rs
+++ b/crates/place/src/limits/shift.rs
@@ -194,14 +194,14 @@
         }
         known.clear();
         known.extend_from_slice(sent);
-        let word = CountReport {
+        let report = CountReport {
             run: *run,
             // Requests sent before the first update belong to none of this entry's windows.
             age: Duration::MAX,
             counts: sent.iter().copied().enumerate().collect(),
         };
         let mut added_counts = vec![0; self.regions.len()];
-        for (region, added) in self.tally.on_report(now, peer, &word) {
+        for (region, added) in self.tally.on_report(now, peer, &report) {
             added_counts[region] = u32::try_from(added).unwrap_or_default();
         }
         self.count(now, &added_counts);
--- a/crates/place/src/placing/load.rs
+++ b/crates/place/src/placing/load.rs
@@ -24,7 +24,7 @@
 base::common! {
     /// What an entry tells the others of its requests.
     #[derive(Eq, Default, PartialOrd, Ord)]
-    pub struct LoadUpdate {
+    pub struct LoadReport {
         /// Short ids of servers, with the number of requests there.
         pub load: LoadList,
         /// Requests sent to each region since the entry started, in the order of the
@@ -35,7 +35,7 @@
     }
 }
 
-impl LoadUpdate {
+impl LoadReport {
     /// Strips the update for entries of other regions.
     #[must_use]
     pub fn for_other_regions(mut self) -> Self {
--- a/crates/place/src/placing/placer.rs
+++ b/crates/place/src/placing/placer.rs
@@ -21,7 +21,7 @@
 use crate::placing::choice::{
     ByteCosts, ChoiceContext, MIN_HOLDER_LIKELIHOOD, ServerChoice, max_preferred_count, rank_scope,
 };
-use crate::placing::load::{LoadUpdate, PeerLoads, own_load};
+use crate::placing::load::{LoadReport, PeerLoads, own_load};
 use crate::placing::timing::millis;
 use crate::placing::warmth::{DISTINCT_RANKS, WarmthMap};
 use crate::placing::work::RouteWorkTable;
@@ -141,16 +141,16 @@
     }
 
     /// Applies a load update of the entry with the hash `entry`.
-    pub fn on_peer_load(&mut self, now: Instant, entry: u64, update: LoadUpdate) {
-        self.shift_limiter.on_peer_sent(now, entry, &update.sent);
-        self.warmth.on_peer_pairs(now, &update.handled);
-        self.loads.apply_list(now, entry, update.load);
+    pub fn on_peer_load(&mut self, now: Instant, entry: u64, report: LoadReport) {
+        self.shift_limiter.on_peer_sent(now, entry, &report.sent);
+        self.warmth.on_peer_pairs(now, &report.handled);
+        self.loads.apply_list(now, entry, report.load);
     }
 
     /// Returns this entry's load update for the others. Call it several times a second.
-    pub fn own_load(&mut self, now: Instant) -> LoadUpdate {
+    pub fn own_load(&mut self, now: Instant) -> LoadReport {
         self.loads.apply(now, &mut self.catalog);
-        LoadUpdate {
+        LoadReport {
             load: own_load(&self.catalog),
             sent: self.shift_limiter.sent(),
             handled: self.warmth.take_unsent(),
--- a/crates/place/tests/departed.rs
+++ b/crates/place/tests/departed.rs
@@ -398,8 +398,8 @@
         registry_at: Some(now - ms(100)),
         ..StoreProgress::default()
     };
-    let message = known.to_message(now).delayed_by(ms(2500));
-    let received = StoreProgress::from_message(now, &message);
+    let message = known.to_report(now).delayed_by(ms(2500));
+    let received = StoreProgress::from_report(now, &message);
     assert_eq!(received.registry_at, Some(now - ms(2600)));
     assert_eq!(received.operator_at, None);
 }
--- a/crates/place/tests/due.rs
+++ b/crates/place/tests/due.rs
@@ -116,7 +116,7 @@
         },
         region: "a".to_owned(),
         leaving: false,
-        store: StoreProgress::default().to_message(Instant::now()),
+        store: StoreProgress::default().to_report(Instant::now()),
         regions: Vec::new(),
     }))
 }
--- a/crates/place/tests/fleet.rs
+++ b/crates/place/tests/fleet.rs
@@ -7,7 +7,7 @@
 use fleet_world::{DRAIN, FleetWorld, REGIONS, domain_of, ms, region_of};
 use place::fleet::log::log_version;
 use place::fleet::message::{PeerMessage, RegionDigest, RegionSummary};
-use place::fleet::store_progress::StoreProgressMessage;
+use place::fleet::store_progress::StoreProgressReport;
 use place::prelude::*;
 
 /// Time until a placed request reaches a server of another region over a new connection.
@@ -436,7 +436,7 @@
 fn nonsense_changes_nothing() {
     let mut world = settled(60);
     let sender = world.leads(2)[0];
-    let words = vec![
+    let summaries = vec![
         RegionSummary {
             region: "nowhere".to_owned(),
             age_ms: 0,
@@ -463,8 +463,8 @@
         candidate,
         region: "r1".to_owned(),
         leaving: false,
-        store: StoreProgressMessage::default(),
-        regions: words,
+        store: StoreProgressReport::default(),
+        regions: summaries,
     };
     for entry in 0..60 {
         let message = PeerMessage::Digest(Box::new(digest.clone()));
--- a/crates/place/tests/near.rs
+++ b/crates/place/tests/near.rs
@@ -11,7 +11,7 @@
     CandidateQuery, RankScope, RankedServers, ranked_candidates, top_candidates,
 };
 use place::placing::choice::{ByteCosts, ChoiceContext, ServerChoice};
-use place::placing::load::{LoadUpdate, short_id};
+use place::placing::load::{LoadReport, short_id};
 use place::placing::warmth::WarmthMap;
 use place::placing::work::RouteWorkTable;
 use place::prelude::*;
@@ -206,14 +206,14 @@
     for step in 0..400_u64 {
         let at = now + ms(20 * step);
         let object = (step % 50).wrapping_mul(OBJECT);
-        let update = LoadUpdate {
+        let report = LoadReport {
             load: (0..8)
                 .map(|n| (names[(step as usize * 31 + n) % names.len()], 1))
                 .collect(),
-            ..LoadUpdate::default()
+            ..LoadReport::default()
         };
         let before = placer.catalog.records_examined();
-        placer.on_peer_load(at, step % 9, update);
+        placer.on_peer_load(at, step % 9, report);
         let wanted = request(&browse, Some(object));
         placer.on_request(at, &browse, Some(object), Some(ms(1000)));
         let placement = placer.place(at, &wanted).unwrap();
--- a/crates/place/tests/placer.rs
+++ b/crates/place/tests/placer.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use common::{ms, placer, reading, request, route, server};
-use place::placing::load::{LoadUpdate, short_id};
+use place::placing::load::{LoadReport, short_id};
 use place::prelude::*;
 use place::rank::stable_hash;
 use place::server::ServerReport;
@@ -134,8 +134,8 @@
 }
 
 /// An update of an entry of another region.
-fn update(load: Vec<(u32, u16)>) -> LoadUpdate {
-    LoadUpdate {
+fn load_report(load: Vec<(u32, u16)>) -> LoadReport {
+    LoadReport {
         load,
         sent: Vec::new(),
         handled: Vec::new(),
@@ -155,9 +155,9 @@
         placer.on_outcome(now, &placement, &wanted, GOOD, None);
         list.load[0].0
     };
-    placer.on_peer_load(now + ms(1), 5, update(vec![(name, 12)]));
+    placer.on_peer_load(now + ms(1), 5, load_report(vec![(name, 12)]));
     assert!(placer.place(now + ms(2), &wanted).is_err());
-    placer.on_peer_load(now + ms(3), 5, update(Vec::new()));
+    placer.on_peer_load(now + ms(3), 5, load_report(Vec::new()));
     assert!(placer.place(now + ms(4), &wanted).is_ok());
 }
 
@@ -172,8 +172,8 @@
     let placement = placer.place(now, &wanted).unwrap();
     let name = placer.own_load(now).load[0].0;
     placer.on_outcome(now, &placement, &wanted, GOOD, None);
-    placer.on_peer_load(now, 5, update(vec![(name, 12)]));
-    placer.on_peer_load(now + ms(2000), 6, update(Vec::new()));
+    placer.on_peer_load(now, 5, load_report(vec![(name, 12)]));
+    placer.on_peer_load(now + ms(2000), 6, load_report(Vec::new()));
     assert!(placer.place(now + ms(2001), &wanted).is_ok());
 }
 
@@ -188,7 +188,7 @@
     let placement = placer.place(now, &wanted).unwrap();
     let name = placer.own_load(now).load[0].0;
     placer.on_outcome(now, &placement, &wanted, GOOD, None);
-    placer.on_peer_load(now, 5, update(vec![(name, 12)]));
+    placer.on_peer_load(now, 5, load_report(vec![(name, 12)]));
     assert!(placer.place(now + ms(1400), &wanted).is_err());
     assert!(placer.place(now + ms(1600), &wanted).is_ok());
 }
@@ -204,10 +204,10 @@
     let name = placer.own_load(now).load[0].0;
     placer.on_outcome(now, &placement, &wanted, GOOD, None);
     for entry in 0..5900 {
-        placer.on_peer_load(now, entry, update(Vec::new()));
+        placer.on_peer_load(now, entry, load_report(Vec::new()));
     }
     assert!(placer.place(now + ms(1), &wanted).is_ok());
-    placer.on_peer_load(now + ms(2), 5, update(vec![(name, 12)]));
+    placer.on_peer_load(now + ms(2), 5, load_report(vec![(name, 12)]));
     assert!(placer.place(now + ms(61), &wanted).is_err());
 }
 
@@ -233,7 +233,7 @@
             placer.on_outcome(at, &placement, &wanted, GOOD, None);
         }
         placer.own_load(at);
-        placer.on_peer_load(at, 5, update(busy.clone()));
+        placer.on_peer_load(at, 5, load_report(busy.clone()));
         placer.on_request(at, &browse, Some(7), Some(ms(3000)));
         if let Ok(placement) = placer.place(at, &wanted) {
             // In the first turns the load of the other servers is not known yet.
@@ -347,9 +347,9 @@
     let mut at = now;
     for step in 0..40 {
         at = now + ms(100 + 80 * step);
-        let mut update_of_peer = update(vec![(name(&first.id), 10), (name(other), 2)]);
-        update_of_peer.handled = vec![(name(other), short_id(7))];
-        placer.on_peer_load(at, 5, update_of_peer);
+        let mut peer_report = load_report(vec![(name(&first.id), 10), (name(other), 2)]);
+        peer_report.handled = vec![(name(other), short_id(7))];
+        placer.on_peer_load(at, 5, peer_report);
         placer.own_load(at);
     }
     assert_eq!(placer.place(at + ms(1), &wanted).unwrap().id, other);
@@ -368,7 +368,7 @@
     let wanted = request(&browse, Some(7));
     let first = placer.place(now, &wanted).unwrap();
     let name = short_id(stable_hash(first.id.as_bytes()));
-    placer.on_peer_load(now + ms(1), 5, update(vec![(name, 11)]));
+    placer.on_peer_load(now + ms(1), 5, load_report(vec![(name, 11)]));
     let second = placer.place(now + ms(2), &wanted).unwrap();
     assert_ne!(second.id, first.id);
 }
--- a/crates/place/tests/proofs.rs
+++ b/crates/place/tests/proofs.rs
@@ -9,7 +9,7 @@
 use place::fleet::candidate::LeadCandidate;
 use place::fleet::clock::{StoreClock, StoreTime};
 use place::fleet::message::{PeerMessage, RegionDigest};
-use place::fleet::store_progress::{StoreProgress, StoreProgressMessage};
+use place::fleet::store_progress::{StoreProgress, StoreProgressReport};
 use place::prelude::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -209,9 +209,9 @@
             },
             region: "r0".to_owned(),
             leaving: false,
-            store: StoreProgressMessage {
+            store: StoreProgressReport {
                 proved,
-                ..known.to_message(world.now)
+                ..known.to_report(world.now)
             },
             regions: Vec::new(),
         }))
