--- a/crates/place/src/fleet/store_progress.rs
+++ b/crates/place/src/fleet/store_progress.rs
@@ -33,7 +33,7 @@
 }
 
 impl StoreProgressReport {
-    /// Returns the message with its ages increased by `span`, for a message that was received
+    /// Returns the report with its ages increased by `span`, for a report that was received
     /// that long before it is processed.
     #[must_use]
     pub fn delayed_by(mut self, span: Duration) -> Self {
@@ -69,7 +69,7 @@
 }
 
 impl StoreProgress {
-    /// Converts another entry's message to times of this entry's clock.
+    /// Converts another entry's report to times of this entry's clock.
     pub fn from_report(now: Instant, report: &StoreProgressReport) -> Self {
         let at = |age: u32| {
             let span = Duration::from_millis(u64::from(age));
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Converts the progress to a message for other entries.
+    /// Converts the progress to a report for other entries.
     pub fn to_report(&self, now: Instant) -> StoreProgressReport {
         let age = |at: Option<Instant>| {
             at.map_or(u32::MAX, |at| millis(now.saturating_duration_since(at)))
@@ -181,7 +181,7 @@
     }
 }
 
-/// Converts to whole milliseconds that fit into a message.
+/// Converts to whole milliseconds that fit into a report.
 pub(crate) fn millis(span: Duration) -> u32 {
     u32::try_from(span.as_millis()).unwrap_or(u32::MAX - 1)
 }
--- a/crates/place/src/limits/shift.rs
+++ b/crates/place/src/limits/shift.rs
@@ -25,8 +25,8 @@
 /// that start later: with 2 s, a calm day with 83 entries moved 0.24 of a region's requests
 /// from the first window to the second, against a cap of 0.15.
 const FIRST_WINDOW: Duration = Duration::from_millis(1500);
-/// For this long after its last update, which covers several updates, a peer is assumed to send
-/// what this entry sends. Without this, three entries that update each other every 100 ms
+/// For this long after its last report, which covers several reports, a peer is assumed to send
+/// what this entry sends. Without this, three entries that report to each other every 100 ms
 /// moved 0.154 of their requests in a burst, against a cap of 0.15.
 const EXTRAPOLATION_TIME: Duration = Duration::from_millis(500);
 /// Requests within this span are counted together.
@@ -61,7 +61,7 @@
     tally: PeerTally<usize>,
     /// The newest counts of each peer, and how often they restarted.
     peer_counts: HashMap<u64, (RegionCounts, u64)>,
-    /// Estimated requests of the peers since their last updates.
+    /// Estimated requests of the peers since their last reports.
     unheard: RegionCounts,
 }
 
@@ -179,7 +179,7 @@
     }
 
     /// Applies what the entry `peer` of the own region has sent since its start. The first
-    /// update of a run only sets the baseline.
+    /// report of a run only sets the baseline.
     pub fn on_peer_sent(&mut self, now: Instant, peer: u64, sent: &[u32]) {
         if sent.len() != self.regions.len() {
             return;
@@ -196,7 +196,7 @@
         known.extend_from_slice(sent);
         let report = CountReport {
             run: *run,
-            // Requests sent before the first update belong to none of this entry's windows.
+            // Requests sent before the first report belong to none of this entry's windows.
             age: Duration::MAX,
             counts: sent.iter().copied().enumerate().collect(),
         };
--- a/crates/place/src/placing/load.rs
+++ b/crates/place/src/placing/load.rs
@@ -1,4 +1,4 @@
-//! Load updates, in which entries tell each other of their requests at servers.
+//! Load reports, in which entries tell each other of their requests at servers.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -6,7 +6,7 @@
 use crate::catalog::ServerCatalog;
 use crate::placing::warmth::HandledPair;
 
-/// Time for which an entry's update counts; updates are sent several times per second.
+/// Time for which an entry's report counts; reports are sent several times per second.
 const LOAD_TTL: Duration = Duration::from_millis(1500);
 
 /// Load interval per other entry of the region: each entry sends and receives at most 80
@@ -14,8 +14,8 @@
 const LOAD_INTERVAL_PER_ENTRY: Duration = Duration::from_millis(12);
 /// Minimum load interval; requests take longer than this.
 const MIN_LOAD_INTERVAL: Duration = Duration::from_millis(80);
-/// Interval of updates to other regions, per entry there: at most 160 datagrams per second.
-/// Small fleets send every update there: with one update in three, callers got 0.533 of their
+/// Interval of reports to other regions, per entry there: at most 160 datagrams per second.
+/// Small fleets send every report there: with one report in three, callers got 0.533 of their
 /// worth instead of 0.541 where servers are spread unevenly (mean of 15 days with faults).
 const OTHER_REGION_LOAD_INTERVAL_PER_ENTRY: Duration = Duration::from_millis(6);
 /// Requests of one entry: short ids of servers, with counts.
@@ -30,13 +30,13 @@
         /// Requests sent to each region since the entry started, in the order of the
         /// regions' names. Sent only within the region.
         pub sent: Vec<u32>,
-        /// Objects handled by servers since the last update. Sent only within the region.
+        /// Objects handled by servers since the last report. Sent only within the region.
         pub handled: Vec<HandledPair>,
     }
 }
 
 impl LoadReport {
-    /// Strips the update for entries of other regions.
+    /// Strips the report for entries of other regions.
     #[must_use]
     pub fn for_other_regions(mut self) -> Self {
         self.sent.clear();
@@ -45,14 +45,14 @@
     }
 }
 
-/// The newest update of each other entry, and their sums per server.
+/// The newest report of each other entry, and their sums per server.
 #[derive(Debug, Default)]
 pub struct PeerLoads {
     lists: HashMap<u64, (Instant, LoadList)>,
     sums: HashMap<u32, u32>,
     /// Servers whose sum has changed since it was last set in the catalog.
     changed: HashSet<u32>,
-    /// When the oldest update expires.
+    /// When the oldest report expires.
     next_expiry: Option<Instant>,
     /// Number of servers that had joined when the sums were last set.
     join_count: u64,
@@ -64,19 +64,19 @@
     (hash ^ (hash >> 32)) as u32
 }
 
-/// Time between load updates of an entry with `in_region` others in its region.
+/// Time between load reports of an entry with `in_region` others in its region.
 pub fn load_interval(in_region: u32) -> Duration {
     (LOAD_INTERVAL_PER_ENTRY * in_region).max(MIN_LOAD_INTERVAL)
 }
 
-/// Whether update number `round` of an entry with `in_region` others in its region is also
+/// Whether report number `round` of an entry with `in_region` others in its region is also
 /// sent to the `in_other_regions` entries of other regions.
 pub fn is_sent_to_other_regions(round: u32, in_region: u32, in_other_regions: u32) -> bool {
     let interval = OTHER_REGION_LOAD_INTERVAL_PER_ENTRY * in_other_regions;
-    let updates = interval
+    let reports = interval
         .as_millis()
         .div_ceil(load_interval(in_region).as_millis());
-    u128::from(round).is_multiple_of(updates.max(1))
+    u128::from(round).is_multiple_of(reports.max(1))
 }
 
 impl PeerLoads {
--- a/crates/place/src/placing/placer.rs
+++ b/crates/place/src/placing/placer.rs
@@ -140,14 +140,14 @@
         self.region_entries = in_region + 1;
     }
 
-    /// Applies a load update of the entry with the hash `entry`.
+    /// Applies a load report of the entry with the hash `entry`.
     pub fn on_peer_load(&mut self, now: Instant, entry: u64, report: LoadReport) {
         self.shift_limiter.on_peer_sent(now, entry, &report.sent);
         self.warmth.on_peer_pairs(now, &report.handled);
         self.loads.apply_list(now, entry, report.load);
     }
 
-    /// Returns this entry's load update for the others. Call it several times a second.
+    /// Returns this entry's load report for the others. Call it several times a second.
     pub fn own_load(&mut self, now: Instant) -> LoadReport {
         self.loads.apply(now, &mut self.catalog);
         LoadReport {
--- a/crates/place/src/placing/warmth.rs
+++ b/crates/place/src/placing/warmth.rs
@@ -21,7 +21,7 @@
 pub const DISTINCT_RANKS: usize = 4;
 /// Maximum number of remembered pairs, at 64 bytes each.
 const MAX_PAIRS: usize = 16_384;
-/// Maximum number of pairs in one load update. Pairs beyond it are rare, and without them other
+/// Maximum number of pairs in one load report. Pairs beyond it are rare, and without them other
 /// entries only fall back to the rank.
 const MAX_UNSENT_PAIRS: usize = 128;
 /// Initial likelihoods by age class, then by rank. Those by rank are low, since caches are
--- a/crates/place/tests/load.rs
+++ b/crates/place/tests/load.rs
@@ -1,12 +1,12 @@
-//! Tests of the intervals between load updates.
+//! Tests of the intervals between load reports.
 
 use std::time::Duration;
 
 use place::placing::load::{is_sent_to_other_regions, load_interval};
 
 /// In a region of up to 28 entries each gets the load of the others three times per second.
-/// Up to 110 entries of other regions get it once per second, and with every update in a
-/// fleet of nine. No entry sends more than 85 updates per second within its region and 170
+/// Up to 110 entries of other regions get it once per second, and with every report in a
+/// fleet of nine. No entry sends more than 85 reports per second within its region and 170
 /// to others.
 #[test]
 fn words_on_load_are_fresh_where_they_count() {
--- a/crates/place/tests/near.rs
+++ b/crates/place/tests/near.rs
@@ -191,7 +191,7 @@
     placer
 }
 
-/// Average number of records read for a request and a load update, with ten servers per
+/// Average number of records read for a request and a load report, with ten servers per
 /// entry.
 fn records_examined(entries: usize) -> u64 {
     let now = Instant::now();
--- a/crates/place/tests/placer.rs
+++ b/crates/place/tests/placer.rs
@@ -133,7 +133,7 @@
     );
 }
 
-/// An update of an entry of another region.
+/// A report of an entry of another region.
 fn load_report(load: Vec<(u32, u16)>) -> LoadReport {
     LoadReport {
         load,
@@ -177,7 +177,7 @@
     assert!(placer.place(now + ms(2001), &wanted).is_ok());
 }
 
-/// The load of dead entries also expires at the last entry, which receives no updates that
+/// The load of dead entries also expires at the last entry, which receives no reports that
 /// could trigger it.
 #[test]
 fn the_last_entry_forgets_the_others_requests() {
@@ -193,7 +193,7 @@
     assert!(placer.place(now + ms(1600), &wanted).is_ok());
 }
 
-/// An update takes effect within 60 ms among updates of 5,900 entries.
+/// A report takes effect within 60 ms among reports of 5,900 entries.
 #[test]
 fn a_word_among_many_counts_soon() {
     let now = Instant::now();
