--- a/bin/lh-entry/src/job.rs
+++ b/bin/lh-entry/src/job.rs
@@ -193,7 +193,7 @@
         let request = PlacementRequest {
             priority: self.policy.priority,
             homes: &self.policy.home_regions,
-            returning: self.record.returning,
+            resubmitted: self.record.returning,
             body_bytes: body.size(),
             tried: &self.progress.tried,
             ..PlacementRequest::new(route, self.part)
--- a/crates/emulate/src/policy.rs
+++ b/crates/emulate/src/policy.rs
@@ -117,7 +117,7 @@
         let steps = shares.map_or(0, |shares| shares.on_request(now, asked.team));
         let request = PlacementRequest {
             priority: self.route.priority + steps,
-            returning: !asked.fresh,
+            resubmitted: !asked.fresh,
             ..PlacementRequest::new(&self.route, 0)
                 .with_object(Some(object))
                 .with_remaining(left.min(self.route.timeout.unwrap_or(left)))
--- a/crates/place/src/placing/choice.rs
+++ b/crates/place/src/placing/choice.rs
@@ -222,7 +222,7 @@
     }
 
     fn max_load_factor(&self) -> f64 {
-        if self.request.returning || self.context.limiter.is_some() {
+        if self.request.resubmitted || self.context.limiter.is_some() {
             return RESUBMIT_LOAD_FACTOR;
         }
         let priority = self.request.priority.min(LOWEST_PRIORITY);
@@ -332,7 +332,7 @@
         // as long as a resubmitted request.
         return remaining * long_wait;
     }
-    if request.returning {
+    if request.resubmitted {
         return remaining * (long_wait + (short_wait - long_wait) * resubmit_level);
     }
     let step = OBJECTIVE_PRIORITY_STEP * f64::from(request.priority.min(LOWEST_PRIORITY));
--- a/crates/place/src/placing/placer.rs
+++ b/crates/place/src/placing/placer.rs
@@ -180,8 +180,8 @@
         if let Some(object) = object {
             work.on_request(now, object);
         }
-        let returning = deadline.is_some_and(|deadline| work.is_resubmitted(deadline));
-        (part, returning)
+        let resubmitted = deadline.is_some_and(|deadline| work.is_resubmitted(deadline));
+        (part, resubmitted)
     }
 
     /// Takes one retry from the service's budget; `false` if none is left.
--- a/crates/place/src/request.rs
+++ b/crates/place/src/request.rs
@@ -24,8 +24,8 @@
     pub object: Option<u64>,
     /// Remaining time in which an answer is useful.
     pub remaining: Duration,
-    /// Whether the caller returns with a request that was refused before.
-    pub returning: bool,
+    /// Whether the caller resubmits a request that was refused before.
+    pub resubmitted: bool,
     /// Size of the body, in bytes.
     pub body_bytes: usize,
     /// Servers that the request was sent to before.
@@ -45,7 +45,7 @@
             part,
             object: None,
             remaining: Duration::ZERO,
-            returning: false,
+            resubmitted: false,
             body_bytes: 0,
             tried: &[],
             versions: VersionFilter::Any,
