--- a/crates/place/src/limits/mod.rs
+++ b/crates/place/src/limits/mod.rs
@@ -1,5 +1,5 @@
 //! Limits that all entries share: retries, requests to cold servers, shifts between regions,
-//! the parts of a route, and when a refused caller should retry.
+//! the parts of a route, and when a refused caller should resubmit.
 
 pub mod budget;
 pub mod ramp;
--- a/crates/place/src/limits/refusal.rs
+++ b/crates/place/src/limits/refusal.rs
@@ -1,16 +1,16 @@
-//! Computes when a refused caller should retry.
+//! Computes when a refused caller should resubmit its request.
 
 use std::time::Duration;
 
 use crate::request::{Refusal, RefusalReason};
 
-/// Minimum and maximum retry delay, in seconds. Callers wait a third of their deadline at most,
+/// Minimum and maximum delay before that, in seconds. Callers wait a third of their deadline at most,
 /// usually about a second.
 const RETRY_AFTER_RANGE: (f64, f64) = (0.15, 0.9);
-/// Retry delay if it isn't known when capacity is expected, in seconds.
+/// Delay if it isn't known when capacity is expected, in seconds.
 const DEFAULT_WAIT: f64 = 0.4;
 
-/// Adds jitter to retry delays, so that callers refused at the same time don't retry together.
+/// Adds jitter to the delays, so that callers refused at the same time don't resubmit together.
 #[derive(Debug)]
 pub struct RetryAfterJitter {
     state: u64,
--- a/crates/place/src/request.rs
+++ b/crates/place/src/request.rs
@@ -163,7 +163,7 @@
 pub struct Refusal {
     /// Why the request was refused.
     pub reason: RefusalReason,
-    /// When the caller should retry.
+    /// When the caller should resubmit the request.
     pub retry_after: Duration,
 }
 
