--- a/bin/lh-entry/src/state.rs
+++ b/bin/lh-entry/src/state.rs
@@ -232,7 +232,7 @@
 
     /// Takes in the evacuations that a lead told with what it knows, `heard`. Where all
     /// was asked for they count also if they seem older.
-    pub(crate) fn on_told_operator(
+    pub(crate) fn apply_operator_report(
         &self,
         heard: &StoreProgress,
         evacuated: &[String],
@@ -284,17 +284,17 @@
         let mut placer = self.placer.borrow_mut();
         let is_first = placer.catalog.read_at().is_none();
         let now = Instant::now();
-        placer.catalog.on_dropped(now, &scope.dropped);
-        let changes = placer.catalog.on_read(now, snapshot);
+        placer.catalog.note_dropped_rows(now, &scope.dropped);
+        let changes = placer.catalog.apply_snapshot(now, snapshot);
         scope.missing = placer.catalog.missing().map(str::to_owned).collect();
         drop(placer);
         let mut servers = self.servers.borrow_mut();
-        servers.on_read(snapshot, scope);
+        servers.apply_snapshot(snapshot, scope);
         let (changed_at, content) = (servers.version(), servers.content());
         drop(servers);
         let source = ChangeSource {
             by: "store",
-            age: snapshot.begun.elapsed(),
+            age: snapshot.started_at.elapsed(),
         };
         self.note_versions(&changes, is_first);
         self.on_catalog_changes(&changes, snapshot.foreign.len(), &source);
@@ -302,14 +302,14 @@
             known.registry = changed_at;
             known.content = content;
             known.registry_read = snapshot.version;
-            known.registry_at = known.registry_at.max(Some(snapshot.begun));
+            known.registry_at = known.registry_at.max(Some(snapshot.started_at));
         });
         true
     }
 
     /// Takes in what a lead told of the registry with what it knows, `heard`, unless it is
     /// known. Where all was asked for it counts also if it seems older.
-    pub(crate) fn on_told_servers(
+    pub(crate) fn apply_registry_delta(
         &self,
         lead: SocketAddr,
         heard: &StoreProgress,
@@ -323,12 +323,12 @@
         if delta.version <= servers.version() && !is_whole {
             return;
         }
-        servers.on_told(delta);
+        servers.apply_delta(delta);
         let content = servers.content();
         drop(servers);
         let mut placer = self.placer.borrow_mut();
         let is_first = placer.catalog.read_at().is_none();
-        let changes = placer.catalog.on_told(Instant::now(), begun, delta);
+        let changes = placer.catalog.apply_delta(Instant::now(), begun, delta);
         drop(placer);
         let source = ChangeSource {
             by: &lead.to_string(),
@@ -342,17 +342,17 @@
             known.registry_read = heard.registry_read;
             known.registry_at = Some(begun);
         });
-        self.note_settles();
+        self.report_next_removal();
     }
 
     /// Takes in which servers have left, as a lead told that has run for longer.
-    pub(crate) fn on_told_ends(&self, lead: SocketAddr, ends: &[Departure]) {
+    pub(crate) fn apply_departures(&self, lead: SocketAddr, ends: &[Departure]) {
         let mut servers = self.servers.borrow_mut();
-        servers.on_departures(ends);
+        servers.apply_departures(ends);
         let changed_at = servers.version();
         drop(servers);
         let mut placer = self.placer.borrow_mut();
-        let changes = placer.catalog.on_ends(Instant::now(), ends);
+        let changes = placer.catalog.apply_departures(Instant::now(), ends);
         drop(placer);
         let by = &lead.to_string();
         for change in &changes {
@@ -363,10 +363,10 @@
     }
 
     /// Tells the fleet when servers whose rows vanished are gone.
-    pub(crate) fn note_settles(&self) {
+    pub(crate) fn report_next_removal(&self) {
         let next_removal_at = self.placer.borrow().catalog.next_removal_at();
         self.fleet
-            .on_event(FleetEvent::RemovalsFinalAt(next_removal_at));
+            .on_event(FleetEvent::NextRemovalAt(next_removal_at));
     }
 
     /// Tells the rollouts of the versions of servers that joined.
--- a/bin/lh-entry/src/view.rs
+++ b/bin/lh-entry/src/view.rs
@@ -258,15 +258,15 @@
     }
     if let Some(evacuated) = &answer.evacuated {
         let is_whole = target.scope == PullScope::All;
-        state.on_told_operator(&heard, evacuated, is_whole);
+        state.apply_operator_report(&heard, evacuated, is_whole);
     }
     if !answer.registry.is_empty() {
         let delta: RegistryDelta = postcard::from_bytes(&answer.registry)?;
         let is_whole = target.scope.is_whole();
-        state.on_told_servers(target.view_address, &heard, &delta, is_whole);
+        state.apply_registry_delta(target.view_address, &heard, &delta, is_whole);
     }
     if !answer.ends.is_empty() {
-        state.on_told_ends(target.view_address, &answer.ends);
+        state.apply_departures(target.view_address, &answer.ends);
     }
     state
         .fleet
--- a/bin/lh-entry/src/watch.rs
+++ b/bin/lh-entry/src/watch.rs
@@ -173,7 +173,7 @@
             let snapshot = CatalogSnapshot {
                 entries: rows.entries,
                 foreign: rows.foreign,
-                begun: answer_as_of(begun, wait, Instant::now(), has_rows),
+                started_at: answer_as_of(begun, wait, Instant::now(), has_rows),
                 version: rows.version,
             };
             let before = state.servers.borrow().version();
@@ -196,7 +196,7 @@
             ReadOutcome::Failed
         }
     };
-    state.note_settles();
+    state.report_next_removal();
     state.fleet.on_event(FleetEvent::RegistryRead(outcome));
 }
 
--- a/crates/emulate/benches/slopes.rs
+++ b/crates/emulate/benches/slopes.rs
@@ -148,10 +148,10 @@
     let reading = CatalogSnapshot {
         entries: servers.to_vec(),
         foreign: Vec::new(),
-        begun: now,
+        started_at: now,
         version: 1,
     };
-    placer.catalog.on_read(now, &reading);
+    placer.catalog.apply_snapshot(now, &reading);
     placer
 }
 
@@ -190,10 +190,10 @@
             let reading = CatalogSnapshot {
                 entries: servers.clone(),
                 foreign: Vec::new(),
-                begun: now,
+                started_at: now,
                 version: 1,
             };
-            drop(black_box(placer.catalog.on_read(now, &reading)));
+            drop(black_box(placer.catalog.apply_snapshot(now, &reading)));
         });
         println!(
             "{count:>20} {:>17.1?} {:>20.1?} {reading:>19.1?}",
@@ -221,27 +221,31 @@
         let mut snapshot = CatalogSnapshot {
             entries: servers.clone(),
             foreign: Vec::new(),
-            begun: now,
+            started_at: now,
             version: 1,
         };
-        log.on_read(&snapshot, ReadScope::default());
+        log.apply_snapshot(&snapshot, ReadScope::default());
         let next = |snapshot: &mut CatalogSnapshot| {
             snapshot.version += 1;
-            snapshot.begun += Duration::from_millis(600);
+            snapshot.started_at += Duration::from_millis(600);
             for entry in snapshot.entries.iter_mut().step_by(10) {
                 entry.seq += 1;
             }
         };
         let reading = median(5, 1, || {
             next(&mut snapshot);
-            drop(black_box(placer.catalog.on_read(snapshot.begun, &snapshot)));
+            drop(black_box(
+                placer
+                    .catalog
+                    .apply_snapshot(snapshot.started_at, &snapshot),
+            ));
         });
         let logged = median(5, 1, || {
             next(&mut snapshot);
-            log.on_read(&snapshot, ReadScope::default());
+            log.apply_snapshot(&snapshot, ReadScope::default());
         });
         let mut follower = RegistryLog::default();
-        follower.on_told(&log.since(0));
+        follower.apply_delta(&log.since(0));
         let mut delta = RegistryDelta {
             version: log.version(),
             ..RegistryDelta::default()
@@ -249,7 +253,7 @@
         let told = median(5, 10, || {
             delta.version += 1;
             delta.entries = vec![servers[3].clone()];
-            follower.on_told(&delta);
+            follower.apply_delta(&delta);
         });
         let board = route();
         let request = PlacementRequest::new(&board, 0)
@@ -413,10 +417,10 @@
         let snapshot = CatalogSnapshot {
             entries: servers,
             foreign: Vec::new(),
-            begun: Instant::now(),
+            started_at: Instant::now(),
             version: 1,
         };
-        log.on_read(&snapshot, ReadScope::default());
+        log.apply_snapshot(&snapshot, ReadScope::default());
         let follow = median(7, 20, || drop(black_box(log.since(1))));
         println!("{count:>13} {answer:>18.1?} {follow:>22.1?}");
     }
--- a/crates/emulate/src/policy.rs
+++ b/crates/emulate/src/policy.rs
@@ -89,7 +89,7 @@
         let mut placer = RequestPlacer::new(config);
         placer.set_desired(desired);
         placer.set_entries(entries.to_vec(), in_region);
-        placer.catalog.on_read(servers.begun, servers);
+        placer.catalog.apply_snapshot(servers.started_at, servers);
         Self {
             placer,
             route: desired.routes[0].clone(),
@@ -160,7 +160,7 @@
     /// The policy of an entry that knows `servers`.
     pub fn new(config: &PlacerConfig, desired: &DesiredState, servers: &CatalogSnapshot) -> Self {
         let mut catalog = ServerCatalog::new(config.domains.clone());
-        catalog.on_read(servers.begun, servers);
+        catalog.apply_snapshot(servers.started_at, servers);
         Self {
             catalog,
             service: desired.services[0].name.clone(),
--- a/crates/emulate/src/run.rs
+++ b/crates/emulate/src/run.rs
@@ -71,7 +71,7 @@
     let snapshot = CatalogSnapshot {
         entries: server_entries(experiment),
         foreign: Vec::new(),
-        begun: origin,
+        started_at: origin,
         version: 1,
     };
     let count = experiment.regions * experiment.entries;
--- a/crates/place/src/catalog/mod.rs
+++ b/crates/place/src/catalog/mod.rs
@@ -97,19 +97,23 @@
     /// version in a snapshot that began after the known state was applied shows that the known
     /// version never was the store's, so such a snapshot counts.
     pub fn is_outdated(&self, snapshot: &CatalogSnapshot) -> bool {
-        let is_later = self.applied_at.is_none_or(|at| snapshot.begun >= at);
+        let is_later = self.applied_at.is_none_or(|at| snapshot.started_at >= at);
         snapshot.version < self.version && !is_later
     }
 
     /// Applies a complete snapshot of the registry and returns the changes.
-    pub fn on_read(&mut self, now: Instant, snapshot: &CatalogSnapshot) -> Vec<CatalogChange> {
+    pub fn apply_snapshot(
+        &mut self,
+        now: Instant,
+        snapshot: &CatalogSnapshot,
+    ) -> Vec<CatalogChange> {
         if self.is_outdated(snapshot) {
             return Vec::new();
         }
         let settled = self.outage.on_answered(now);
         let mut changes = Vec::new();
         for entry in &snapshot.entries {
-            self.apply_entry(now, snapshot.begun, entry, &mut changes);
+            self.apply_entry(now, snapshot.started_at, entry, &mut changes);
         }
         for id in &snapshot.foreign {
             self.mark_overwritten(id, &mut changes);
@@ -118,7 +122,7 @@
         let foreign = snapshot.foreign.iter().map(String::as_str);
         let listed: HashSet<&str> = own.chain(foreign).collect();
         self.remove_missing(now, &listed, settled, &mut changes);
-        self.read_at = self.read_at.max(Some(snapshot.begun));
+        self.read_at = self.read_at.max(Some(snapshot.started_at));
         self.version = snapshot.version;
         self.applied_at = Some(now);
         changes
@@ -127,7 +131,7 @@
     /// Notes the rows that were dropped since the previous snapshot; call it before applying
     /// the next one. A server entry that is listed again later and isn't newer than the dropped
     /// row is stale.
-    pub fn on_dropped(&mut self, now: Instant, rows: &[DroppedRow]) {
+    pub fn note_dropped_rows(&mut self, now: Instant, rows: &[DroppedRow]) {
         for row in rows {
             if row.version <= self.version {
                 // The known state is newer.
@@ -140,18 +144,18 @@
         }
     }
 
-    /// Applies a delta that another entry sent, as of `begun`, and returns the changes. The
+    /// Applies a delta that another entry sent, as of `started_at`, and returns the changes. The
     /// sender has decided whether servers with missing rows are gone.
-    pub fn on_told(
+    pub fn apply_delta(
         &mut self,
         now: Instant,
-        begun: Instant,
+        started_at: Instant,
         delta: &RegistryDelta,
     ) -> Vec<CatalogChange> {
         let mut changes = Vec::new();
-        self.apply_departures(now, delta, &mut changes);
+        self.apply_delta_departures(now, delta, &mut changes);
         for entry in &delta.entries {
-            self.apply_entry(now, begun, entry, &mut changes);
+            self.apply_entry(now, started_at, entry, &mut changes);
         }
         for id in &delta.foreign {
             self.mark_overwritten(id, &mut changes);
@@ -170,12 +174,12 @@
         }
         self.version = store_version(delta.version);
         self.applied_at = Some(now);
-        self.confirm(begun);
+        self.confirm(started_at);
         changes
     }
 
     /// Applies departures that another entry reported, and returns the changes.
-    pub fn on_ends(&mut self, now: Instant, ends: &[Departure]) -> Vec<CatalogChange> {
+    pub fn apply_departures(&mut self, now: Instant, ends: &[Departure]) -> Vec<CatalogChange> {
         let mut changes = Vec::new();
         for departure in ends {
             self.departures.record(now, departure);
@@ -187,10 +191,10 @@
         changes
     }
 
-    /// Another entry confirmed the known state as of `begun`.
-    pub fn confirm(&mut self, begun: Instant) {
-        self.read_at = self.read_at.max(Some(begun));
-        self.outage.on_peer_snapshot(begun);
+    /// Another entry confirmed the known state as of `started_at`.
+    pub fn confirm(&mut self, started_at: Instant) {
+        self.read_at = self.read_at.max(Some(started_at));
+        self.outage.on_peer_snapshot(started_at);
     }
 
     /// When the next server with a missing row is due for removal, if any is missing.
--- a/crates/place/src/catalog/outage.rs
+++ b/crates/place/src/catalog/outage.rs
@@ -67,14 +67,14 @@
         self.settled_at.is_none_or(|at| now >= at)
     }
 
-    /// Records that another entry reported a snapshot as of `begun`. This ends an outage
+    /// Records that another entry reported a snapshot as of `started_at`. This ends an outage
     /// that only this entry saw: without it, a lead that read again after 12 s kept a server
     /// that had left for 3.5 s.
-    pub(super) fn on_peer_snapshot(&mut self, begun: Instant) {
-        self.peer_read_at = self.peer_read_at.max(Some(begun));
-        if let Some(failed_at) = self.failed_at.filter(|failed_at| *failed_at <= begun) {
+    pub(super) fn on_peer_snapshot(&mut self, started_at: Instant) {
+        self.peer_read_at = self.peer_read_at.max(Some(started_at));
+        if let Some(failed_at) = self.failed_at.filter(|failed_at| *failed_at <= started_at) {
             self.failed_at = None;
-            self.settled_at = Some(self.settle_time(failed_at, begun));
+            self.settled_at = Some(self.settle_time(failed_at, started_at));
         }
     }
 
--- a/crates/place/src/catalog/update.rs
+++ b/crates/place/src/catalog/update.rs
@@ -14,7 +14,7 @@
     pub(super) fn apply_entry(
         &mut self,
         now: Instant,
-        begun: Instant,
+        started_at: Instant,
         entry: &ServerEntry,
         changes: &mut Vec<CatalogChange>,
     ) {
@@ -27,7 +27,7 @@
             return;
         }
         let Some(record) = self.table.by_id_mut(&entry.id) else {
-            self.insert(begun, entry);
+            self.insert(started_at, entry);
             changes.push(CatalogChange::Joined(Box::new(entry.clone())));
             return;
         };
@@ -36,7 +36,7 @@
         }
         if record.entry.is_of_earlier_run(entry) {
             self.table.remove(&entry.id);
-            self.insert(begun, entry);
+            self.insert(started_at, entry);
             changes.push(CatalogChange::Restarted(entry.id.clone()));
             return;
         }
@@ -50,7 +50,7 @@
             self.on_refused(now, entry, changes);
             return;
         }
-        update_record(begun, record, entry, changes);
+        update_record(started_at, record, entry, changes);
     }
 
     /// Handles a server entry from before the server's departure, listed by the registry or sent
@@ -77,12 +77,12 @@
         }
     }
 
-    fn insert(&mut self, begun: Instant, entry: &ServerEntry) {
+    fn insert(&mut self, started_at: Instant, entry: &ServerEntry) {
         let region = self.domains.get(&entry.domain).map_or("", String::as_str);
         let mut record = ServerRecord::new(entry.clone(), region);
         record.trip = self.trips.trip(&entry.domain, region);
         if !entry.cold_remaining.is_zero() {
-            record.mark_cold(begun, entry.cold_remaining);
+            record.mark_cold(started_at, entry.cold_remaining);
         }
         self.table.insert(record);
     }
@@ -120,7 +120,7 @@
 
     /// Applies the departures of a delta. A server that the same delta lists again is the same
     /// run, so its record is kept.
-    pub(super) fn apply_departures(
+    pub(super) fn apply_delta_departures(
         &mut self,
         now: Instant,
         delta: &RegistryDelta,
@@ -177,7 +177,7 @@
 
 /// Applies a server entry of the known run.
 fn update_record(
-    begun: Instant,
+    started_at: Instant,
     record: &mut ServerRecord,
     entry: &ServerEntry,
     changes: &mut Vec<CatalogChange>,
@@ -199,9 +199,9 @@
     record.entry.seq = entry.seq;
     record.entry.cold_remaining = entry.cold_remaining;
     if !entry.cold_remaining.is_zero() {
-        if !record.is_cold(begun) {
+        if !record.is_cold(started_at) {
             changes.push(CatalogChange::Cold(entry.id.clone()));
         }
-        record.mark_cold(begun, entry.cold_remaining);
+        record.mark_cold(started_at, entry.cold_remaining);
     }
 }
--- a/crates/place/src/fleet/log.rs
+++ b/crates/place/src/fleet/log.rs
@@ -101,7 +101,7 @@
     }
 
     /// Applies a read of the registry.
-    pub fn on_read(&mut self, snapshot: &CatalogSnapshot, scope: ReadScope) {
+    pub fn apply_snapshot(&mut self, snapshot: &CatalogSnapshot, scope: ReadScope) {
         if self.version >= log_version(snapshot.version.saturating_add(1)) {
             // No read produced this version; a corrupted message may have.
             *self = Self::default();
@@ -191,7 +191,7 @@
 
     /// Records servers that left, as known to another entry. Entries listed by an obsolete
     /// registration get a new version, so that followers receive the departure too.
-    pub fn on_departures(&mut self, departures: &[Departure]) {
+    pub fn apply_departures(&mut self, departures: &[Departure]) {
         for departure in departures {
             let mut known = self.departures.iter().map(|(_, known)| known);
             if known.any(|known| known == departure) {
@@ -207,7 +207,7 @@
     }
 
     /// Applies changes received from another entry.
-    pub fn on_told(&mut self, delta: &RegistryDelta) {
+    pub fn apply_delta(&mut self, delta: &RegistryDelta) {
         let mut before = BTreeMap::new();
         if delta.whole {
             before = std::mem::take(&mut self.entries);
--- a/crates/place/src/fleet/member/mod.rs
+++ b/crates/place/src/fleet/member/mod.rs
@@ -96,7 +96,7 @@
     RegistryRead(ReadOutcome),
     /// Time at which servers missing from the registry become final removals, if there
     /// are any.
-    RemovalsFinalAt(Option<Instant>),
+    NextRemovalAt(Option<Instant>),
     /// A watch of the operator's rows ended; whether the store answered.
     WatchFinished(bool),
     /// Lists of entries were pulled.
@@ -254,16 +254,16 @@
             FleetEvent::Message(message) => self.on_message(now, message, actions),
             FleetEvent::LocalState(own) => self.on_local_state(now, own),
             FleetEvent::Known(known) => self.on_known(now, known),
-            FleetEvent::StoreTime(begun, time) => self.on_store_time(now, begun, time),
+            FleetEvent::StoreTime(started_at, time) => self.on_store_time(now, started_at, time),
             FleetEvent::Suspended(span) => {
                 self.clock.on_suspended(now, span);
                 self.known.on_suspended(span);
             }
             FleetEvent::RegistryRead(outcome) => {
                 self.store_reachable = outcome != ReadOutcome::Failed;
-                self.readings.on_read(now, outcome);
+                self.readings.on_read_finished(now, outcome);
             }
-            FleetEvent::RemovalsFinalAt(at) => self.readings.set_settles(at),
+            FleetEvent::NextRemovalAt(at) => self.readings.set_next_removal(at),
             FleetEvent::WatchFinished(done) => self.store_reachable = done,
             FleetEvent::Lists(lists) => {
                 let newer = lists
@@ -363,8 +363,8 @@
         }
     }
 
-    fn on_store_time(&mut self, now: Instant, begun: Instant, time: StoreTime) {
-        self.clock.on_answer(begun, time);
+    fn on_store_time(&mut self, now: Instant, started_at: Instant, time: StoreTime) {
+        self.clock.on_answer(started_at, time);
         if self.proof_age(now).is_none() {
             // The store's clock was reset.
             self.known.proved = StoreTime::default();
--- a/crates/place/src/fleet/reading.rs
+++ b/crates/place/src/fleet/reading.rs
@@ -92,7 +92,7 @@
     backoff: Duration,
     retry_at: Option<Instant>,
     /// When servers that are missing from the registry will count as gone.
-    settles_at: Option<Instant>,
+    next_removal_at: Option<Instant>,
 }
 
 impl ReadScheduler {
@@ -109,7 +109,7 @@
             is_reading: false,
             backoff: INITIAL_BACKOFF,
             retry_at: None,
-            settles_at: None,
+            next_removal_at: None,
         }
     }
 
@@ -117,12 +117,12 @@
     /// are. The entry then reads whatever its role: an entry that started the grace period
     /// itself and then followed a lead kept such servers in use, because the lead had no change
     /// to send.
-    pub fn set_settles(&mut self, at: Option<Instant>) {
-        self.settles_at = at;
+    pub fn set_next_removal(&mut self, at: Option<Instant>) {
+        self.next_removal_at = at;
     }
 
     /// Handles the end of the current read.
-    pub fn on_read(&mut self, now: Instant, outcome: ReadOutcome) {
+    pub fn on_read_finished(&mut self, now: Instant, outcome: ReadOutcome) {
         self.is_reading = false;
         if outcome == ReadOutcome::Failed {
             self.retry_at = Some(now + self.backoff);
@@ -161,7 +161,7 @@
         let whole = whole && self.started_at.is_none_or(is_paced);
         let age = known_at.map(|at| now.saturating_duration_since(at));
         let is_due = match role {
-            _ if self.settles_now(now) => true,
+            _ if self.is_removal_due(now) => true,
             ReadRole::Reader => self.next.is_none_or(|next| now >= next),
             ReadRole::Deputy => age.is_none_or(|age| age >= self.intervals.deputy),
             // The missing knowledge may not be the registry's, so this is no more frequent than
@@ -207,8 +207,8 @@
     }
 
     /// Returns whether missing servers count as gone by now, but no read has confirmed it yet.
-    fn settles_now(&self, now: Instant) -> bool {
-        let at = self.settles_at.filter(|at| now >= *at);
+    fn is_removal_due(&self, now: Instant) -> bool {
+        let at = self.next_removal_at.filter(|at| now >= *at);
         at.is_some_and(|at| {
             self.last_answered_start
                 .is_none_or(|started_at| started_at < at)
@@ -219,9 +219,11 @@
     /// check whether missing servers are gone: longer waits kept such servers in use beyond the
     /// time within which a leaving server must get no more requests.
     fn reader_wait(&self, now: Instant) -> Duration {
-        let settles_in = self.settles_at.map(|at| at.saturating_duration_since(now));
-        match settles_in {
-            Some(Duration::ZERO) if self.settles_now(now) => Duration::ZERO,
+        let removal_in = self
+            .next_removal_at
+            .map(|at| at.saturating_duration_since(now));
+        match removal_in {
+            Some(Duration::ZERO) if self.is_removal_due(now) => Duration::ZERO,
             Some(span) if !span.is_zero() => span.min(self.intervals.reader),
             _ => self.intervals.reader,
         }
--- a/crates/place/src/limits/refusal.rs
+++ b/crates/place/src/limits/refusal.rs
@@ -4,8 +4,8 @@
 
 use crate::request::{Refusal, RefusalReason};
 
-/// Minimum and maximum delay before that, in seconds. Callers wait a third of their deadline at most,
-/// usually about a second.
+/// Minimum and maximum delay before that, in seconds. Callers wait a third of their deadline at
+/// most, usually about a second.
 const RETRY_AFTER_RANGE: (f64, f64) = (0.15, 0.9);
 /// Delay if it isn't known when capacity is expected, in seconds.
 const DEFAULT_WAIT: f64 = 0.4;
--- a/crates/place/src/snapshot.rs
+++ b/crates/place/src/snapshot.rs
@@ -34,7 +34,7 @@
     /// Keys of rows that weren't written by their server, and therefore aren't used.
     pub foreign: Vec<String>,
     /// When the read began: all data is at least as recent.
-    pub begun: Instant,
+    pub started_at: Instant,
     /// The store's version at the read.
     pub version: u64,
 }
--- a/crates/place/tests/catalog.rs
+++ b/crates/place/tests/catalog.rs
@@ -23,7 +23,7 @@
 fn draining_and_removed_servers_get_no_requests() {
     let now = Instant::now();
     let mut catalog = ServerCatalog::new(domains());
-    catalog.on_read(
+    catalog.apply_snapshot(
         now,
         &reading(
             now,
@@ -34,7 +34,7 @@
     leaving.state = EntryState::Draining;
     leaving.seq = 2;
     let later = now + ms(1000);
-    catalog.on_read(later, &reading(later, &[server("x", "a1"), leaving]));
+    catalog.apply_snapshot(later, &reading(later, &[server("x", "a1"), leaving]));
     assert_eq!(open(&catalog), ["x"]);
 }
 
@@ -47,12 +47,12 @@
     let mut leaving = server("x", "a1");
     leaving.state = EntryState::Draining;
     leaving.seq = 5;
-    catalog.on_read(now, &reading(now, &[leaving]));
+    catalog.apply_snapshot(now, &reading(now, &[leaving]));
     for seq in [4, 6] {
         let mut ready = server("x", "a1");
         ready.seq = seq;
         let later = now + ms(500 * seq);
-        catalog.on_read(later, &reading(later, &[ready]));
+        catalog.apply_snapshot(later, &reading(later, &[ready]));
         assert!(open(&catalog).is_empty(), "seq {seq}");
     }
 }
@@ -63,20 +63,20 @@
 fn lapsed_entries_are_kept_until_the_registry_has_heard_from_all() {
     let now = Instant::now();
     let mut catalog = ServerCatalog::new(domains());
-    catalog.on_read(now, &reading(now, &[server("x", "a1"), server("y", "a1")]));
+    catalog.apply_snapshot(now, &reading(now, &[server("x", "a1"), server("y", "a1")]));
     catalog.on_read_failed(now + ms(100));
     let back = now + Duration::from_secs(5);
-    catalog.on_read(back, &reading(back, &[]));
+    catalog.apply_snapshot(back, &reading(back, &[]));
     assert_eq!(
         open(&catalog),
         ["x", "y"],
         "servers with lapsed rows must be kept"
     );
     let soon = back + ms(1500);
-    catalog.on_read(soon, &reading(soon, &[server("x", "a1")]));
+    catalog.apply_snapshot(soon, &reading(soon, &[server("x", "a1")]));
     assert_eq!(open(&catalog), ["x", "y"]);
     let settled = back + ms(2300);
-    catalog.on_read(settled, &reading(settled, &[server("x", "a1")]));
+    catalog.apply_snapshot(settled, &reading(settled, &[server("x", "a1")]));
     assert_eq!(
         open(&catalog),
         ["x"],
@@ -93,11 +93,11 @@
     let both = [server("x", "a1"), server("y", "a1")];
     for (after, expected) in [(500, &["x", "y"][..]), (9000, &["x"])] {
         let mut catalog = ServerCatalog::new(domains());
-        catalog.on_read(now, &reading(now, &both));
+        catalog.apply_snapshot(now, &reading(now, &both));
         catalog.on_read_failed(now + ms(1000));
         catalog.confirm(now + ms(1200));
         let later = now + ms(1200 + after);
-        catalog.on_read(later, &reading(later, &both[..1]));
+        catalog.apply_snapshot(later, &reading(later, &both[..1]));
         assert_eq!(open(&catalog), expected, "{after} ms after");
     }
 }
@@ -107,8 +107,8 @@
 fn an_older_snapshot_is_ignored() {
     let now = Instant::now();
     let mut catalog = ServerCatalog::new(domains());
-    catalog.on_read(now + ms(10), &reading(now + ms(10), &[server("x", "a1")]));
-    catalog.on_read(now + ms(20), &reading(now, &[]));
+    catalog.apply_snapshot(now + ms(10), &reading(now + ms(10), &[server("x", "a1")]));
+    catalog.apply_snapshot(now + ms(20), &reading(now, &[]));
     assert_eq!(open(&catalog), ["x"]);
 }
 
@@ -136,11 +136,11 @@
     ];
     for (what, snapshot, stands) in cases {
         let mut catalog = ServerCatalog::new(domains());
-        catalog.on_read(now, &reading(now, std::slice::from_ref(&ready)));
+        catalog.apply_snapshot(now, &reading(now, std::slice::from_ref(&ready)));
         let (handle, _) = catalog.open_servers("board").next().unwrap();
         catalog.get_mut(handle).unwrap().on_unreachable(now);
         assert!(catalog.may_send(handle), "{what}");
-        catalog.on_read(later, &snapshot);
+        catalog.apply_snapshot(later, &snapshot);
         assert_eq!(catalog.may_send(handle), stands, "{what}");
         catalog.set_evacuated(later, HashSet::from(["a1".to_owned()]), ms(3000));
         assert!(!catalog.may_send(handle), "{what}, evacuated");
@@ -161,8 +161,8 @@
         entries: both.to_vec(),
         ..RegistryDelta::default()
     };
-    catalog.on_told(now + ms(10), now, &told);
-    catalog.on_read(now + ms(30), &reading(now + ms(20), &both[..1]));
+    catalog.apply_delta(now + ms(10), now, &told);
+    catalog.apply_snapshot(now + ms(30), &reading(now + ms(20), &both[..1]));
     assert_eq!(open(&catalog), ["x"]);
 }
 
@@ -173,13 +173,13 @@
     let now = Instant::now();
     let mut catalog = ServerCatalog::new(domains());
     let both = [server("x", "a1"), server("y", "a1")];
-    catalog.on_read(now, &reading(now, &both));
-    let begun = now + ms(100);
+    catalog.apply_snapshot(now, &reading(now, &both));
+    let started_at = now + ms(100);
     catalog.confirm(now + ms(400));
     let mut leaving = both.clone();
     leaving[1].state = EntryState::Draining;
     leaving[1].seq = 2;
-    catalog.on_read(now + ms(600), &reading(begun, &leaving));
+    catalog.apply_snapshot(now + ms(600), &reading(started_at, &leaving));
     assert_eq!(open(&catalog), ["x"]);
 }
 
@@ -189,7 +189,7 @@
 fn an_evacuated_domain_gets_nothing_and_returns_cold() {
     let now = Instant::now();
     let mut catalog = ServerCatalog::new(domains());
-    catalog.on_read(now, &reading(now, &[server("x", "a1"), server("y", "a2")]));
+    catalog.apply_snapshot(now, &reading(now, &[server("x", "a1"), server("y", "a2")]));
     catalog.set_evacuated(now, HashSet::from(["a1".to_owned()]), ms(3000));
     assert_eq!(open(&catalog), ["y"]);
     let back = now + Duration::from_secs(9);
@@ -213,9 +213,9 @@
 fn a_handle_is_invalid_after_its_server_is_gone() {
     let now = Instant::now();
     let mut catalog = ServerCatalog::new(domains());
-    catalog.on_read(now, &reading(now, &[server("x", "a1")]));
+    catalog.apply_snapshot(now, &reading(now, &[server("x", "a1")]));
     let (handle, _) = catalog.open_servers("board").next().unwrap();
     let later = now + ms(1000);
-    catalog.on_read(later, &reading(later, &[server("y", "a1")]));
+    catalog.apply_snapshot(later, &reading(later, &[server("y", "a1")]));
     assert!(catalog.get(handle).is_none());
 }
--- a/crates/place/tests/common/mod.rs
+++ b/crates/place/tests/common/mod.rs
@@ -37,14 +37,14 @@
 static STORE_START: LazyLock<Instant> =
     LazyLock::new(|| Instant::now() - Duration::from_secs(3600));
 
-/// A read of the registry that began at `begun`; the store's version increases every
+/// A read of the registry that began at `started_at`; the store's version increases every
 /// millisecond.
-pub fn reading(begun: Instant, entries: &[ServerEntry]) -> CatalogSnapshot {
+pub fn reading(started_at: Instant, entries: &[ServerEntry]) -> CatalogSnapshot {
     CatalogSnapshot {
         entries: entries.to_vec(),
         foreign: Vec::new(),
-        begun,
-        version: (begun - *STORE_START).as_millis() as u64,
+        started_at,
+        version: (started_at - *STORE_START).as_millis() as u64,
     }
 }
 
@@ -123,7 +123,7 @@
 pub fn placer(now: Instant, entries: &[ServerEntry]) -> RequestPlacer {
     let mut placer = RequestPlacer::new(placer_config());
     placer.set_desired(&desired(1, vec![route("browse", "/")]));
-    placer.catalog.on_read(now, &reading(now, entries));
+    placer.catalog.apply_snapshot(now, &reading(now, entries));
     placer
 }
 
--- a/crates/place/tests/departed.rs
+++ b/crates/place/tests/departed.rs
@@ -43,7 +43,7 @@
 
 /// Applies a read of `rows` at `at`.
 fn read(catalog: &mut ServerCatalog, at: Instant, rows: &[ServerEntry]) {
-    catalog.on_read(at, &reading(at, rows));
+    catalog.apply_snapshot(at, &reading(at, rows));
 }
 
 /// A registration that is no newer than the last one of a departed server must not bring it
@@ -124,11 +124,11 @@
             whole: true,
             ..changes()
         };
-        behind.on_read(&reading(start, &[ready("x", 10), other.clone()]), scope);
+        behind.apply_snapshot(&reading(start, &[ready("x", 10), other.clone()]), scope);
         let mut catalog = catalog();
         read(&mut catalog, start + ms(1000), &[last, other.clone()]);
         read(&mut catalog, start + ms(2000), &[other]);
-        catalog.on_told(start + ms(2100), start, &behind.since(0));
+        catalog.apply_delta(start + ms(2100), start, &behind.since(0));
         assert!(!is_open(&catalog, "x"));
         assert!(is_open(&catalog, "y"));
     }
@@ -141,10 +141,10 @@
     let start = Instant::now();
     let both = [ready("x", 10), ready("y", 3)];
     let mut behind = RegistryLog::default();
-    behind.on_read(&reading(start, &both[1..]), changes());
+    behind.apply_snapshot(&reading(start, &both[1..]), changes());
     let mut catalog = catalog();
     read(&mut catalog, start + ms(1000), &both);
-    catalog.on_told(start + ms(1100), start, &behind.since(0));
+    catalog.apply_delta(start + ms(1100), start, &behind.since(0));
     assert!(!is_open(&catalog, "x"));
     read(&mut catalog, start + ms(2000), &both);
     assert!(is_open(&catalog, "x"));
@@ -160,14 +160,14 @@
         told.entries.iter().map(|entry| entry.state).collect()
     };
     let mut log = RegistryLog::default();
-    log.on_read(&reading(start, &[ready("x", 10)]), changes());
+    log.apply_snapshot(&reading(start, &[ready("x", 10)]), changes());
     let before = log.since(0);
     let later = start + ms(1000);
-    log.on_read(&reading(later, &[leaving("x", 11)]), changes());
+    log.apply_snapshot(&reading(later, &[leaving("x", 11)]), changes());
     let late = start + ms(2000);
-    log.on_read(&reading(late, &[ready("x", 10)]), changes());
+    log.apply_snapshot(&reading(late, &[ready("x", 10)]), changes());
     assert_eq!(all(&log), [EntryState::Draining]);
-    log.on_told(&before);
+    log.apply_delta(&before);
     assert_eq!(all(&log), [EntryState::Draining]);
 }
 
@@ -184,10 +184,10 @@
         vec![other.clone()],
     ];
     for (at, rows) in (0..).step_by(1000).zip(&rows) {
-        lead.on_read(&reading(start + ms(at), rows), changes());
+        lead.apply_snapshot(&reading(start + ms(at), rows), changes());
     }
     let mut catalog = catalog();
-    catalog.on_told(start + ms(2100), start + ms(2000), &lead.since(0));
+    catalog.apply_delta(start + ms(2100), start + ms(2000), &lead.since(0));
     let late = [ready("x", 10), ready("z", 8), other];
     read(&mut catalog, start + ms(3000), &late);
     assert!(!is_open(&catalog, "x") && !is_open(&catalog, "z"));
@@ -287,8 +287,8 @@
     };
     assert!(scheduler.begin_read(start, alone, None, false).is_some());
     let at = start + ms(2000);
-    scheduler.set_settles(Some(at));
-    scheduler.on_read(start + ms(10), ReadOutcome::Changed);
+    scheduler.set_next_removal(Some(at));
+    scheduler.on_read_finished(start + ms(10), ReadOutcome::Changed);
     let before = at - ms(100);
     assert_eq!(
         scheduler.begin_read(before, follower, Some(before), false),
@@ -299,14 +299,14 @@
             .begin_read(at, follower, Some(at), false)
             .is_some()
     );
-    scheduler.on_read(at + ms(10), ReadOutcome::Failed);
+    scheduler.on_read_finished(at + ms(10), ReadOutcome::Failed);
     let again = at + ms(500);
     assert!(
         scheduler
             .begin_read(again, follower, Some(again), false)
             .is_some()
     );
-    scheduler.on_read(again + ms(10), ReadOutcome::Unchanged);
+    scheduler.on_read_finished(again + ms(10), ReadOutcome::Unchanged);
     let later = at + ms(1500);
     assert_eq!(
         scheduler.begin_read(later, follower, Some(later), false),
@@ -320,18 +320,18 @@
 fn a_server_that_is_back_in_the_same_change_is_not_forgotten() {
     let start = Instant::now();
     let mut lead = RegistryLog::default();
-    lead.on_read(&reading(start, &[ready("x", 1)]), changes());
+    lead.apply_snapshot(&reading(start, &[ready("x", 1)]), changes());
     let mut catalog = catalog();
     let first = lead.since(0);
-    catalog.on_told(start, start, &first);
+    catalog.apply_delta(start, start, &first);
     let later = start + ms(1000);
     let scope = ReadScope {
         dropped: vec![DroppedRow::new("x", reading(later, &[]).version)],
         ..changes()
     };
-    lead.on_read(&reading(later, &[ready("x", 4)]), scope);
+    lead.apply_snapshot(&reading(later, &[ready("x", 4)]), scope);
     let told: RegistryDelta = lead.since(first.version);
-    let changed = catalog.on_told(later, later, &told);
+    let changed = catalog.apply_delta(later, later, &told);
     assert!(is_open(&catalog, "x"));
     assert_eq!(changed, []);
 }
@@ -350,9 +350,9 @@
         let start = Instant::now();
         let (mut lead, mut catalog, mut follower) = (RegistryLog::default(), catalog(), catalog());
         let first = reading(start, &[ready("x", known)]);
-        lead.on_read(&first, changes());
-        catalog.on_read(start, &first);
-        follower.on_told(start, start, &lead.since(0));
+        lead.apply_snapshot(&first, changes());
+        catalog.apply_snapshot(start, &first);
+        follower.apply_delta(start, start, &lead.since(0));
         let before = lead.version();
         let later = start + ms(1000);
         let second = reading(later, &[ready("x", listed)]);
@@ -364,10 +364,10 @@
             dropped: vec![row],
             ..changes()
         };
-        catalog.on_dropped(later, &scope.dropped);
-        catalog.on_read(later, &second);
-        lead.on_read(&second, scope);
-        follower.on_told(later, later, &lead.since(before));
+        catalog.note_dropped_rows(later, &scope.dropped);
+        catalog.apply_snapshot(later, &second);
+        lead.apply_snapshot(&second, scope);
+        follower.apply_delta(later, later, &lead.since(before));
         let what = format!("{known}, {dropped:?}, {listed}");
         assert_eq!(is_open(&catalog, "x"), is_live, "{what}");
         assert_eq!(is_open(&follower, "x"), is_live, "follower: {what}");
@@ -381,10 +381,10 @@
     let start = Instant::now();
     let mut catalog = catalog();
     let mut lead = RegistryLog::default();
-    lead.on_read(&reading(start, &[ready("x", 4)]), changes());
-    catalog.on_told(start, start, &lead.since(0));
+    lead.apply_snapshot(&reading(start, &[ready("x", 4)]), changes());
+    catalog.apply_delta(start, start, &lead.since(0));
     let known = reading(start, &[]).version;
-    catalog.on_dropped(start + ms(50), &[DroppedRow::new("x", known - 1)]);
+    catalog.note_dropped_rows(start + ms(50), &[DroppedRow::new("x", known - 1)]);
     read(&mut catalog, start + ms(100), &[ready("x", 4)]);
     assert!(is_open(&catalog, "x"));
 }
@@ -413,10 +413,10 @@
         let both = [ready("x", 10), ready("y", 3)];
         let mut lead = RegistryLog::default();
         let later = start + ms(1000);
-        lead.on_read(&reading(later, &both[1..]), changes());
+        lead.apply_snapshot(&reading(later, &both[1..]), changes());
         let mut catalog = catalog();
         read(&mut catalog, start, &both);
-        catalog.on_told(later, later, &lead.since(0));
+        catalog.apply_delta(later, later, &lead.since(0));
         assert!(!is_open(&catalog, "x"));
         let late = [ready("x", seq), ready("y", 3)];
         read(&mut catalog, start + ms(2000), &late);
@@ -456,7 +456,7 @@
         let mut log = RegistryLog::default();
         for step in seen {
             let at = start + ms(1000 * *step as u64);
-            log.on_read(&reading(at, &steps[*step]), changes());
+            log.apply_snapshot(&reading(at, &steps[*step]), changes());
         }
         log.content()
     };
@@ -472,22 +472,22 @@
     for (last, knows_end_first) in told.iter().flat_map(|last| [(last, false), (last, true)]) {
         let ends = [Departure::of(last)];
         let mut lead = RegistryLog::default();
-        lead.on_read(&reading(start, &[ready("y", 3)]), changes());
+        lead.apply_snapshot(&reading(start, &[ready("y", 3)]), changes());
         let mut follower = catalog();
-        follower.on_told(start, start, &lead.since(0));
+        follower.apply_delta(start, start, &lead.since(0));
         let mut known = lead.version();
         let late = reading(start + ms(1000), &[ready("x", 10), ready("y", 3)]);
         if knows_end_first {
-            lead.on_departures(&ends);
+            lead.apply_departures(&ends);
         } else {
-            lead.on_read(&late, changes());
-            follower.on_told(start, start, &lead.since(known));
+            lead.apply_snapshot(&late, changes());
+            follower.apply_delta(start, start, &lead.since(known));
             known = lead.version();
-            lead.on_departures(&ends);
+            lead.apply_departures(&ends);
             assert!(lead.version() > known, "the followers must be told");
         }
-        lead.on_read(&late, changes());
-        follower.on_told(start, start, &lead.since(known));
+        lead.apply_snapshot(&late, changes());
+        follower.apply_delta(start, start, &lead.since(known));
         assert!(
             !is_open(&follower, "x"),
             "knows the end first: {knows_end_first}"
@@ -503,42 +503,42 @@
     let start = Instant::now();
     let other = ready("y", 3);
     let mut lead = RegistryLog::default();
-    lead.on_read(&reading(start, &[ready("x", 3), other.clone()]), changes());
+    lead.apply_snapshot(&reading(start, &[ready("x", 3), other.clone()]), changes());
     let told = RegistryDelta {
         version: lead.version() + 5000,
         departures: vec![Departure::of(&ready("x", 2))],
         ..RegistryDelta::default()
     };
-    lead.on_told(&told);
+    lead.apply_delta(&told);
     let mut follower = catalog();
-    follower.on_told(start, start, &lead.since(0));
+    follower.apply_delta(start, start, &lead.since(0));
     read(&mut follower, start + ms(9000), &[ready("x", 3), other]);
     assert!(!is_open(&follower, "x"));
     // The same if a full copy, as new as the local knowledge, lacks the server.
     let mut lead = RegistryLog::default();
-    lead.on_read(&reading(start, &[ready("x", 3), ready("y", 3)]), changes());
+    lead.apply_snapshot(&reading(start, &[ready("x", 3), ready("y", 3)]), changes());
     let copy = RegistryDelta {
         whole: true,
         entries: vec![ready("y", 3)],
         ..told.clone()
     };
-    lead.on_told(&copy);
+    lead.apply_delta(&copy);
     let mut follower = catalog();
-    follower.on_told(start, start, &lead.since(0));
+    follower.apply_delta(start, start, &lead.since(0));
     let late = [ready("x", 3), ready("y", 3)];
     read(&mut follower, start + ms(9000), &late);
     assert!(!is_open(&follower, "x"), "a whole copy");
     // A server reported as departed and listed again is known by the registration that was
     // sent.
     let mut lead = RegistryLog::default();
-    lead.on_read(&reading(start, &[ready("x", 3)]), changes());
+    lead.apply_snapshot(&reading(start, &[ready("x", 3)]), changes());
     let back = RegistryDelta {
         entries: vec![ready("x", 3)],
         ..told
     };
-    lead.on_told(&back);
+    lead.apply_delta(&back);
     let mut follower = catalog();
-    follower.on_told(start, start, &lead.since(0));
+    follower.apply_delta(start, start, &lead.since(0));
     assert!(is_open(&follower, "x"));
 }
 
@@ -553,11 +553,11 @@
         let ids: Vec<String> = (0..count).map(|number| format!("x{number:05}")).collect();
         let all: Vec<ServerEntry> = ids.iter().map(|id| ready(id, 10)).collect();
         let mut lead = RegistryLog::default();
-        lead.on_read(
+        lead.apply_snapshot(
             &reading(start, &[all.clone(), vec![other.clone()]].concat()),
             changes(),
         );
-        lead.on_read(
+        lead.apply_snapshot(
             &reading(start + ms(1000), std::slice::from_ref(&other)),
             changes(),
         );
@@ -568,7 +568,7 @@
             told.departures.len()
         );
         let mut follower = catalog();
-        follower.on_told(start + ms(1000), start, &told);
+        follower.apply_delta(start + ms(1000), start, &told);
         read(
             &mut follower,
             start + ms(2000),
@@ -613,7 +613,7 @@
     let start = Instant::now();
     let other = ready("y", 3);
     let mut lead = RegistryLog::default();
-    lead.on_read(&reading(start, &[ready("x", 1), other.clone()]), changes());
+    lead.apply_snapshot(&reading(start, &[ready("x", 1), other.clone()]), changes());
     let at = |millis| reading(start + ms(millis), std::slice::from_ref(&other));
     let lapsed = at(1000);
     let row = DroppedRow {
@@ -625,15 +625,15 @@
         missing: vec!["x".to_owned()],
         ..changes()
     };
-    lead.on_read(&lapsed, scope);
-    lead.on_read(&at(3500), changes());
+    lead.apply_snapshot(&lapsed, scope);
+    lead.apply_snapshot(&at(3500), changes());
     let known = lead.version();
     let mut follower = catalog();
-    follower.on_told(start + ms(3500), start, &lead.since(0));
-    lead.on_read(
+    follower.apply_delta(start + ms(3500), start, &lead.since(0));
+    lead.apply_snapshot(
         &reading(start + ms(4000), &[ready("x", 2), other.clone()]),
         changes(),
     );
-    follower.on_told(start + ms(4000), start, &lead.since(known));
+    follower.apply_delta(start + ms(4000), start, &lead.since(known));
     assert!(!is_open(&follower, "x"));
 }
--- a/crates/place/tests/fleet.rs
+++ b/crates/place/tests/fleet.rs
@@ -174,10 +174,10 @@
             for wait in [300, 700, 1300] {
                 world.run(ms(wait));
                 world.change();
-                let begun = world.now;
+                let started_at = world.now;
                 while world.behind().iter().any(|entry| !leads.contains(entry)) {
                     world.run(ms(10));
-                    let took = world.now - begun;
+                    let took = world.now - started_at;
                     assert!(took <= DRAIN, "{count} entries, apart {is_apart}: {took:?}");
                 }
             }
@@ -505,11 +505,11 @@
             for entry in missing {
                 world.skip_changes(entry);
             }
-            let begun = world.now;
-            while !world.missing_changes().is_empty() && world.now < begun + ms(9000) {
+            let started_at = world.now;
+            while !world.missing_changes().is_empty() && world.now < started_at + ms(9000) {
                 world.run(ms(10));
             }
-            let took = world.now - begun;
+            let took = world.now - started_at;
             assert!(took <= DRAIN - FAR_SEND, "{count} entries, {who}: {took:?}");
         }
     }
@@ -528,17 +528,17 @@
             let calm = world.calls_in(ms(3000));
             world.claim_version(ahead.unwrap(), world.version + 6);
             world.change();
-            let begun = world.now;
+            let started_at = world.now;
             let calls = world.calls;
-            while !world.missing_changes().is_empty() && world.now < begun + ms(9000) {
+            while !world.missing_changes().is_empty() && world.now < started_at + ms(9000) {
                 world.run(ms(10));
             }
-            let took = world.now - begun;
+            let took = world.now - started_at;
             assert!(
                 took <= DRAIN - FAR_SEND,
                 "{count} entries, {leads}: {took:?}"
             );
-            world.run(begun + ms(3000) - world.now);
+            world.run(started_at + ms(3000) - world.now);
             let more = world.calls - calls;
             assert!(
                 more <= calm + 6,
--- a/crates/place/tests/fleet_world/mod.rs
+++ b/crates/place/tests/fleet_world/mod.rs
@@ -48,13 +48,13 @@
     Datagram(PeerMessage),
     Timer,
     ReadFinished {
-        begun: Instant,
+        started_at: Instant,
         call: RegistryRead,
     },
     PullAnswered {
         from: usize,
         scope: PullScope,
-        begun: Instant,
+        started_at: Instant,
     },
     WatchAnswered,
     /// A watch answer that was queued while the process stood still: the version of the
@@ -329,8 +329,12 @@
                 self.entries[to].clock = None;
                 self.deliver_event(to, FleetEvent::Tick);
             }
-            Delivery::ReadFinished { begun, call } => self.end_read(to, begun, call),
-            Delivery::PullAnswered { from, scope, begun } => self.end_pull(to, from, scope, begun),
+            Delivery::ReadFinished { started_at, call } => self.end_read(to, started_at, call),
+            Delivery::PullAnswered {
+                from,
+                scope,
+                started_at,
+            } => self.end_pull(to, from, scope, started_at),
             Delivery::Resume { span, suspended } => {
                 if suspended {
                     self.entries[to].behind += span;
@@ -403,14 +407,18 @@
             }) => {
                 let from = entry_at(view_address);
                 let delay = 2 * self.delay(entry, from);
-                let begun = self.local_time(entry, self.now);
-                let ends = Delivery::PullAnswered { from, scope, begun };
+                let started_at = self.local_time(entry, self.now);
+                let ends = Delivery::PullAnswered {
+                    from,
+                    scope,
+                    started_at,
+                };
                 self.push(self.now + delay, entry, ends);
             }
             FleetAction::ReadRegistry(call) => {
                 self.calls += 1;
                 let wait = call.wait;
-                let begun = self.local_time(entry, self.now);
+                let started_at = self.local_time(entry, self.now);
                 let span = if self.is_served(entry) {
                     wait
                 } else if self.entries[entry].store_times_out {
@@ -421,7 +429,7 @@
                 self.push(
                     self.now + span + STORE_LATENCY,
                     entry,
-                    Delivery::ReadFinished { begun, call },
+                    Delivery::ReadFinished { started_at, call },
                 );
             }
             FleetAction::WatchOperator(watches) => {
@@ -499,7 +507,7 @@
             && !self.entries[entry].store_times_out
     }
 
-    fn end_read(&mut self, entry: usize, begun: Instant, call: RegistryRead) {
+    fn end_read(&mut self, entry: usize, started_at: Instant, call: RegistryRead) {
         if !self.is_served(entry) {
             self.deliver_event(entry, FleetEvent::RegistryRead(ReadOutcome::Failed));
             return;
@@ -528,7 +536,7 @@
             known.registry = stamp;
         }
         known.registry_read = self.version;
-        known.registry_at = Some(begun + call.wait);
+        known.registry_at = Some(started_at + call.wait);
         self.deliver_event(entry, FleetEvent::Known(known));
         let outcome = if is_news {
             ReadOutcome::Changed
@@ -538,7 +546,7 @@
         self.deliver_event(entry, FleetEvent::RegistryRead(outcome));
     }
 
-    fn end_pull(&mut self, entry: usize, from: usize, scope: PullScope, begun: Instant) {
+    fn end_pull(&mut self, entry: usize, from: usize, scope: PullScope, started_at: Instant) {
         if !self.reaches(entry, from) || self.entries[entry].pulls_fail {
             self.deliver_event(entry, FleetEvent::PullFinished(address(from), false));
             return;
@@ -546,7 +554,7 @@
         let told = *self.entries[from].member.known();
         let answered = self.local_time(from, self.now) - self.delay(entry, from);
         let latest = self.entries[from].member.latest_store_time(answered);
-        self.deliver_event(entry, FleetEvent::StoreTime(begun, latest));
+        self.deliver_event(entry, FleetEvent::StoreTime(started_at, latest));
         let mut known = *self.entries[entry].member.known();
         let whole = scope.is_whole();
         if whole || known.is_behind_registry(&told) {
@@ -600,8 +608,8 @@
     }
 
     fn learn_operator(&mut self, entry: usize, operator: u64, time: StoreTime) {
-        let begun = self.entries[entry].watch_begun;
-        self.deliver_event(entry, FleetEvent::StoreTime(begun, time));
+        let started_at = self.entries[entry].watch_begun;
+        self.deliver_event(entry, FleetEvent::StoreTime(started_at, time));
         let mut known = *self.entries[entry].member.known();
         known.operator = known.operator.max(operator);
         known.operator_read = self.version;
@@ -757,11 +765,11 @@
 
     /// Runs until no entry is behind, for at most `most`; returns the time that took.
     pub fn until_known(&mut self, most: Duration) -> Duration {
-        let begun = self.now;
-        while !self.behind().is_empty() && self.now < begun + most {
+        let started_at = self.now;
+        while !self.behind().is_empty() && self.now < started_at + most {
             self.run(ms(10));
         }
-        self.now - begun
+        self.now - started_at
     }
 
     /// Returns the number of store calls made while running for `span`.
--- a/crates/place/tests/log.rs
+++ b/crates/place/tests/log.rs
@@ -24,13 +24,13 @@
     let mut log = RegistryLog::default();
     let mut cold = server("x", "a1");
     cold.cold_remaining = ms(3000);
-    log.on_read(&reading(now, &[cold.clone()]).with_version(1), changes());
+    log.apply_snapshot(&reading(now, &[cold.clone()]).with_version(1), changes());
     cold.seq = 9;
     cold.cold_remaining = ms(1500);
-    log.on_read(&reading(now, &[cold.clone()]).with_version(2), changes());
+    log.apply_snapshot(&reading(now, &[cold.clone()]).with_version(2), changes());
     assert_eq!(log.version(), log_version(1));
     cold.cold_remaining = ms(0);
-    log.on_read(&reading(now, &[cold]).with_version(3), changes());
+    log.apply_snapshot(&reading(now, &[cold]).with_version(3), changes());
     assert_eq!(log.since(log_version(1)).entries.len(), 1);
 }
 
@@ -42,22 +42,22 @@
     let (mut reader, mut follower) = (RegistryLog::default(), RegistryLog::default());
     let mut catalog = ServerCatalog::new(domains());
     let both = [server("x", "a1"), server("y", "a1")];
-    reader.on_read(&reading(now, &both).with_version(1), changes());
+    reader.apply_snapshot(&reading(now, &both).with_version(1), changes());
     let kept = ReadScope {
         dropped: vec![DroppedRow::new("y", 2)],
         missing: vec!["y".to_owned()],
         ..changes()
     };
-    reader.on_read(&reading(now, &both[..1]).with_version(2), kept);
+    reader.apply_snapshot(&reading(now, &both[..1]).with_version(2), kept);
     let delta = reader.since(0);
-    follower.on_told(&delta);
-    catalog.on_told(now, now, &delta);
+    follower.apply_delta(&delta);
+    catalog.apply_delta(now, now, &delta);
     assert_eq!(catalog.iter().count(), 2);
     // A read of its own would start from these entries, without the row of the missing server.
     assert_eq!(follower.entries().count(), 1);
-    reader.on_read(&reading(now, &both[..1]).with_version(3), changes());
+    reader.apply_snapshot(&reading(now, &both[..1]).with_version(3), changes());
     let delta = reader.since(follower.version());
-    catalog.on_told(now, now, &delta);
+    catalog.apply_delta(now, now, &delta);
     assert_eq!(catalog.iter().count(), 1);
 }
 
@@ -66,11 +66,11 @@
 fn a_log_ahead_of_the_store_is_made_anew() {
     let now = Instant::now();
     let mut log = RegistryLog::default();
-    log.on_read(
+    log.apply_snapshot(
         &reading(now, &[server("x", "a1")]).with_version(u64::MAX - 3),
         changes(),
     );
-    log.on_read(
+    log.apply_snapshot(
         &reading(now, &[server("y", "a1")]).with_version(40),
         changes(),
     );
@@ -132,18 +132,18 @@
                 dropped: since.unwrap_or_default(),
                 ..changes()
             };
-            reader.on_read(&reading(now, &entries).with_version(version), scope);
+            reader.apply_snapshot(&reading(now, &entries).with_version(version), scope);
             let source = match source_choice {
                 0 => continue,
                 1 => {
-                    relay.on_told(&reader.since(relay.version()));
+                    relay.apply_delta(&reader.since(relay.version()));
                     &relay
                 }
                 _ => &*reader,
             };
             let delta = source.since(follower.version());
-            follower.on_told(&delta);
-            catalog.on_told(now, now, &delta);
+            follower.apply_delta(&delta);
+            catalog.apply_delta(now, now, &delta);
             let known: BTreeSet<String> = follower.entries().map(|entry| entry.id.clone()).collect();
             let expected: BTreeSet<String> = entries.iter().map(|entry| entry.id.clone()).collect();
             prop_assert_eq!(&known, &expected);
@@ -175,8 +175,8 @@
         missing: vec!["y".to_owned()],
         ..changes()
     };
-    here.on_read(&reading(now, &both[..1]).with_version(100), kept.clone());
-    there.on_read(&reading(now, &both[..1]).with_version(100), kept);
+    here.apply_snapshot(&reading(now, &both[..1]).with_version(100), kept.clone());
+    there.apply_snapshot(&reading(now, &both[..1]).with_version(100), kept);
     // Here a row of another writer appears; there a missing server is given up.
     let mut with_foreign_row = reading(now, &both[..1]);
     with_foreign_row.foreign.push("z".to_owned());
@@ -184,8 +184,8 @@
         missing: vec!["y".to_owned()],
         ..changes()
     };
-    here.on_read(&with_foreign_row.with_version(100), kept);
-    there.on_read(&reading(now, &both[..1]).with_version(100), changes());
+    here.apply_snapshot(&with_foreign_row.with_version(100), kept);
+    there.apply_snapshot(&reading(now, &both[..1]).with_version(100), changes());
     let mut known = known_of(&here, 100, now);
     let received = known_of(&there, 100, now + ms(20));
     assert!(
@@ -201,12 +201,12 @@
     let now = Instant::now();
     let (mut here, mut there) = (RegistryLog::default(), RegistryLog::default());
     let both = [server("x", "a1"), server("y", "a1")];
-    here.on_read(&reading(now, &both).with_version(100), changes());
-    there.on_read(&reading(now, &both).with_version(100), changes());
+    here.apply_snapshot(&reading(now, &both).with_version(100), changes());
+    there.apply_snapshot(&reading(now, &both).with_version(100), changes());
     // A row of another writer appears only here; the store's version is the same.
     let mut with_foreign_row = reading(now, &both);
     with_foreign_row.foreign.push("z".to_owned());
-    here.on_read(&with_foreign_row.with_version(100), changes());
+    here.apply_snapshot(&with_foreign_row.with_version(100), changes());
     let mut known = StoreProgress {
         registry: here.version(),
         registry_read: 100,
@@ -216,11 +216,11 @@
     // The other entry reads that a server is leaving.
     let mut leaving = both.clone();
     leaving[0].state = EntryState::Draining;
-    there.on_read(
+    there.apply_snapshot(
         &reading(now + ms(10), &leaving).with_version(101),
         changes(),
     );
-    there.on_read(
+    there.apply_snapshot(
         &reading(now + ms(20), &leaving).with_version(102),
         changes(),
     );
--- a/crates/place/tests/near.rs
+++ b/crates/place/tests/near.rs
@@ -70,7 +70,7 @@
             servers.push(entry);
         }
         let mut catalog = ServerCatalog::new(common::domains()).with_location("a1", "a");
-        catalog.on_read(now, &reading(now, &servers));
+        catalog.apply_snapshot(now, &reading(now, &servers));
         let mut warmth = WarmthMap::default();
         for (record, server_setup) in by_number(&mut catalog, setups) {
             match server_setup {
@@ -187,7 +187,7 @@
         .collect();
     let mut placer = RequestPlacer::new(placer_config());
     placer.set_desired(&desired(1, vec![route("browse", "/")]));
-    placer.catalog.on_read(now, &reading(now, &servers));
+    placer.catalog.apply_snapshot(now, &reading(now, &servers));
     placer
 }
 
@@ -275,7 +275,7 @@
             .collect();
         let mut placer = RequestPlacer::new(placer_config());
         placer.set_desired(&desired(1, vec![route("browse", "/")]));
-        placer.catalog.on_read(now, &reading(now, &servers));
+        placer.catalog.apply_snapshot(now, &reading(now, &servers));
         let browse = route("browse", "/");
         let before = placer.catalog.records_examined();
         for object in 0..100_u64 {
--- a/crates/place/tests/placer.rs
+++ b/crates/place/tests/placer.rs
@@ -268,7 +268,9 @@
     let mut replaced = servers.clone();
     replaced[3] = server("new", "a1");
     let later = now + Duration::from_secs(60);
-    placer.catalog.on_read(later, &reading(later, &replaced));
+    placer
+        .catalog
+        .apply_snapshot(later, &reading(later, &replaced));
     let after = place_all(&mut placer, later + ms(1));
     let moved = before
         .iter()
--- a/crates/place/tests/reading.rs
+++ b/crates/place/tests/reading.rs
@@ -23,7 +23,7 @@
         now += Duration::from_millis(10);
         if scheduler.begin_read(now, role, Some(start), true).is_some() {
             calls += 1;
-            scheduler.on_read(now, ReadOutcome::Unchanged);
+            scheduler.on_read_finished(now, ReadOutcome::Unchanged);
         }
     }
     let max_calls = span.as_millis() / intervals.reader.as_millis() + 1;
@@ -35,11 +35,14 @@
 /// end of the wait.
 #[test]
 fn a_late_answer_with_news_counts_from_its_question() {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let wait = Duration::from_millis(1080);
-    let late = begun + Duration::from_millis(2500);
-    assert_eq!(answer_as_of(begun, wait, late, true), begun);
-    assert_eq!(answer_as_of(begun, wait, late, false), begun + wait);
-    let early = begun + Duration::from_millis(300);
-    assert_eq!(answer_as_of(begun, wait, early, false), begun);
+    let late = started_at + Duration::from_millis(2500);
+    assert_eq!(answer_as_of(started_at, wait, late, true), started_at);
+    assert_eq!(
+        answer_as_of(started_at, wait, late, false),
+        started_at + wait
+    );
+    let early = started_at + Duration::from_millis(300);
+    assert_eq!(answer_as_of(started_at, wait, early, false), started_at);
 }
--- a/crates/place/tests/relisting.rs
+++ b/crates/place/tests/relisting.rs
@@ -26,7 +26,7 @@
         let mut catalog = ServerCatalog::new(placer_config().domains).with_drain(DRAIN);
         let mut scheduler = ReadScheduler::new(start, ReadIntervals::new(DRAIN), 1);
         let both = [server("x", "a1"), server("y", "a1")];
-        catalog.on_read(start, &reading(start, &both));
+        catalog.apply_snapshot(start, &reading(start, &both));
         let back = start + ms(4000 + 55 * offset);
         let dropped = back + ms(200);
         let mut now = start;
@@ -36,32 +36,32 @@
                 "offset {offset}: used for too long"
             );
             now += ms(10);
-            scheduler.set_settles(catalog.next_removal_at());
+            scheduler.set_next_removal(catalog.next_removal_at());
             let call = scheduler.begin_read(now, ReadRole::Reader, catalog.read_at(), false);
             let Some(RegistryRead { wait, .. }) = call else {
                 continue;
             };
             if now < back {
                 catalog.on_read_failed(now);
-                scheduler.on_read(now, ReadOutcome::Failed);
+                scheduler.on_read_finished(now, ReadOutcome::Failed);
                 continue;
             }
-            let begun = now;
+            let started_at = now;
             // The store answers immediately if there is a change, otherwise after the wait.
-            let is_news = catalog.missing().next().is_none() && dropped < begun + wait;
+            let is_news = catalog.missing().next().is_none() && dropped < started_at + wait;
             now = if is_news {
-                dropped.max(begun)
+                dropped.max(started_at)
             } else {
-                begun + wait
+                started_at + wait
             } + ANSWER;
             let rows = if now > dropped { &both[..1] } else { &both[..] };
-            catalog.on_read(now, &reading(begun, rows));
+            catalog.apply_snapshot(now, &reading(started_at, rows));
             let outcome = if is_news {
                 ReadOutcome::Changed
             } else {
                 ReadOutcome::Unchanged
             };
-            scheduler.on_read(now, outcome);
+            scheduler.on_read_finished(now, outcome);
         }
         assert!(
             now >= back + ms(2000),
@@ -77,20 +77,20 @@
     let start = Instant::now();
     let mut catalog = ServerCatalog::new(placer_config().domains);
     let both = [server("x", "a1"), server("y", "a1")];
-    catalog.on_read(start, &reading(start, &both));
+    catalog.apply_snapshot(start, &reading(start, &both));
     for turn in 1..=20 {
         let now = start + ms(300 * turn);
         catalog.confirm(now - ms(40));
         catalog.on_read_failed(now);
     }
     let now = start + ms(6200);
-    catalog.on_read(now, &reading(now, &both[..1]));
+    catalog.apply_snapshot(now, &reading(now, &both[..1]));
     assert_eq!(catalog.iter().count(), 1);
     // The store answered nobody, so the row may merely have expired.
     for turn in 1..=20 {
         catalog.on_read_failed(now + ms(300 * turn));
     }
     let now = now + ms(6200);
-    catalog.on_read(now, &reading(now, &[]));
+    catalog.apply_snapshot(now, &reading(now, &[]));
     assert_eq!(catalog.iter().count(), 1);
 }
--- a/crates/place/tests/runs.rs
+++ b/crates/place/tests/runs.rs
@@ -39,20 +39,20 @@
     let mut catalog = ServerCatalog::new(domains());
     let mut leaving = run("x", 1000, 40);
     leaving.state = EntryState::Draining;
-    catalog.on_read(now, &reading(now, &[leaving]));
+    catalog.apply_snapshot(now, &reading(now, &[leaving]));
     assert!(open(&catalog).is_empty());
     let later = now + ms(1000);
     let mut fresh = run("x", 2000, 1);
     fresh.address = "127.0.0.1:10".parse().unwrap();
     fresh.slots = 6;
-    let changes = catalog.on_read(later, &reading(later, std::slice::from_ref(&fresh)));
+    let changes = catalog.apply_snapshot(later, &reading(later, std::slice::from_ref(&fresh)));
     assert_eq!(changes, [CatalogChange::Restarted("x".to_owned())]);
     let (_, record) = catalog.open_servers("board").next().unwrap();
     assert_eq!(record.entry, fresh);
     let last = later + ms(1000);
     let mut moved = run("x", 3000, 1);
     moved.service = "desk".to_owned();
-    catalog.on_read(last, &reading(last, &[moved]));
+    catalog.apply_snapshot(last, &reading(last, &[moved]));
     assert!(open(&catalog).is_empty());
     assert_eq!(catalog.open_servers("desk").count(), 1);
 }
@@ -62,10 +62,10 @@
 fn a_late_registration_of_an_earlier_run_changes_nothing() {
     let now = Instant::now();
     let mut catalog = ServerCatalog::new(domains());
-    catalog.on_read(now, &reading(now, &[run("x", 2000, 1)]));
+    catalog.apply_snapshot(now, &reading(now, &[run("x", 2000, 1)]));
     let mut late = run("x", 1000, 99);
     late.state = EntryState::Draining;
-    let changes = catalog.on_read(now + ms(10), &reading(now + ms(10), &[late]));
+    let changes = catalog.apply_snapshot(now + ms(10), &reading(now + ms(10), &[late]));
     assert!(changes.is_empty());
     assert_eq!(open(&catalog), ["x"]);
 }
@@ -84,7 +84,7 @@
     fresh.cold_remaining = ms(3000);
     placer
         .catalog
-        .on_read(now + ms(5), &reading(now + ms(5), &[fresh]));
+        .apply_snapshot(now + ms(5), &reading(now + ms(5), &[fresh]));
     let later = now + ms(10);
     // Another entry's load report, and an answer, both of the earlier run.
     placer.on_peer_load(later, 5, told);
@@ -125,13 +125,13 @@
     fresh.cold_remaining = ms(3000);
     for (step, entry) in [run("x", 1000, 9), fresh].into_iter().enumerate() {
         let at = now + ms(1000 * (step as u64 + 1));
-        log.on_read(
+        log.apply_snapshot(
             &reading(at, &[entry]).with_version(step as u64 + 1),
             changes(),
         );
         let delta = log.since(known);
         known = delta.version;
-        placer.catalog.on_told(at + ms(300), at, &delta);
+        placer.catalog.apply_delta(at + ms(300), at, &delta);
     }
     let board = route("browse", "/");
     let at = now + ms(2400);
@@ -161,14 +161,14 @@
         let snapshot = CatalogSnapshot {
             entries,
             foreign,
-            begun: at,
+            started_at: at,
             version: step as u64 + 1,
         };
-        own.on_read(at, &snapshot);
-        log.on_read(&snapshot, changes());
+        own.apply_snapshot(at, &snapshot);
+        log.apply_snapshot(&snapshot, changes());
         let delta = log.since(known);
         known = delta.version;
-        follower.on_told(at, at, &delta);
+        follower.apply_delta(at, at, &delta);
         assert_eq!(open(&own), expected, "step {step}");
         assert_eq!(open(&follower), expected, "step {step}, follower");
     }
@@ -190,11 +190,11 @@
     moved[2].domain = "nowhere".to_owned();
     for entry in moved {
         let mut catalog = ServerCatalog::new(domains());
-        catalog.on_read(now, &reading(now, &[run("x", 1000, 5)]));
-        catalog.on_read(now + ms(1), &reading(now + ms(1), &[entry]));
+        catalog.apply_snapshot(now, &reading(now, &[run("x", 1000, 5)]));
+        catalog.apply_snapshot(now + ms(1), &reading(now + ms(1), &[entry]));
         assert!(open(&catalog).is_empty());
         assert_eq!(catalog.open_servers("desk").count(), 0);
-        catalog.on_read(now + ms(2), &reading(now + ms(2), &[run("x", 1000, 6)]));
+        catalog.apply_snapshot(now + ms(2), &reading(now + ms(2), &[run("x", 1000, 6)]));
         assert_eq!(open(&catalog), ["x"]);
     }
 }
@@ -205,10 +205,10 @@
 fn leaving_is_accepted_whatever_the_sequence_number() {
     let now = Instant::now();
     let mut catalog = ServerCatalog::new(domains());
-    catalog.on_read(now, &reading(now, &[run("x", 1000, 900)]));
+    catalog.apply_snapshot(now, &reading(now, &[run("x", 1000, 900)]));
     let mut leaving = run("x", 1000, 6);
     leaving.state = EntryState::Draining;
-    catalog.on_read(now + ms(1), &reading(now + ms(1), &[leaving]));
+    catalog.apply_snapshot(now + ms(1), &reading(now + ms(1), &[leaving]));
     assert!(open(&catalog).is_empty());
 }
 
@@ -270,7 +270,7 @@
                     snapshot.entries.push(record.entry.clone());
                 }
             }
-            catalog.on_read(snapshot.begun, &snapshot);
+            catalog.apply_snapshot(snapshot.started_at, &snapshot);
             if !row.foreign {
                 let best = newest.entry(id.clone()).or_insert(row.started);
                 *best = (*best).max(row.started);
--- a/crates/place/tests/trip.rs
+++ b/crates/place/tests/trip.rs
@@ -63,7 +63,7 @@
     let both = [server("x", "b1"), server("y", "b1")];
     placer
         .catalog
-        .on_read(later, &common::reading(later, &both));
+        .apply_snapshot(later, &common::reading(later, &both));
     let trips: Vec<f64> = placer.catalog.iter().map(|record| record.trip).collect();
     assert_eq!(trips[0], trips[1]);
 }
