--- a/bin/lh-entry/src/crash.rs
+++ b/bin/lh-entry/src/crash.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use place::crash::print::RequestFingerprint;
+use place::crash::fingerprint::RequestFingerprint;
 use place::crash::word::CrashReport;
 use place::prelude::FleetEvent;
 use place::request::Placement;
--- a/bin/lh-entry/src/fingerprint.rs
+++ b/bin/lh-entry/src/fingerprint.rs
@@ -3,7 +3,7 @@
 
 use hyper::header::{self, HeaderName};
 use hyper::{HeaderMap, Method, Uri};
-use place::crash::print::RequestFingerprint;
+use place::crash::fingerprint::RequestFingerprint;
 use platform::headers;
 use sha2::{Digest, Sha256};
 
--- a/bin/lh-entry/src/fleet.rs
+++ b/bin/lh-entry/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use place::crash::print::RequestFingerprint;
+use place::crash::fingerprint::RequestFingerprint;
 use place::fleet::clock::StoreTime;
 use place::fleet::member::{HEARTBEAT_INTERVAL, MemberConfig};
 use place::fleet::message::PeerMessage;
--- a/bin/lh-entry/src/job.rs
+++ b/bin/lh-entry/src/job.rs
@@ -9,7 +9,7 @@
 use hyper::header;
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use place::catalog::ServerHandle;
-use place::crash::print::RequestFingerprint;
+use place::crash::fingerprint::RequestFingerprint;
 use place::desired::RouteSpec;
 use place::placing::timing::millis;
 use place::request::{Placement, PlacementRequest, Refusal, RefusalReason, ServerOutcome};
--- a/bin/lh-entry/src/quarantine.rs
+++ b/bin/lh-entry/src/quarantine.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use place::crash::print::RequestFingerprint;
+use place::crash::fingerprint::RequestFingerprint;
 use place::crash::word::StoredQuarantine;
 use platform::tables::PlatformClient;
 use store::{QuarantineRow, Row, RowWrite, TableService};
--- a/bin/lh-entry/src/record.rs
+++ b/bin/lh-entry/src/record.rs
@@ -6,7 +6,7 @@
 
 use base::prelude::Outcome;
 use hyper::StatusCode;
-use place::crash::print::RequestFingerprint;
+use place::crash::fingerprint::RequestFingerprint;
 use place::desired::RouteSpec;
 use place::request::{Placement, Refusal};
 use place::server::ServerReport;
--- a/bin/lh-entry/src/suspect.rs
+++ b/bin/lh-entry/src/suspect.rs
@@ -1,6 +1,6 @@
 //! Quarantine of requests that crash servers, as seen by the job of a request.
 
-use place::crash::print::RequestFingerprint;
+use place::crash::fingerprint::RequestFingerprint;
 use place::prelude::*;
 
 use crate::body_reader::JobBody;
--- a/crates/place/src/crash/ledger.rs
+++ b/crates/place/src/crash/ledger.rs
@@ -5,7 +5,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use crate::crash::print::RequestFingerprint;
+use crate::crash::fingerprint::RequestFingerprint;
 use crate::crash::quarantine::QuarantineTable;
 use crate::crash::word::{CrashReport, RequestStatus};
 
--- a/crates/place/src/crash/mod.rs
+++ b/crates/place/src/crash/mod.rs
@@ -10,8 +10,8 @@
 //! The traffic of an entry for this doesn't grow with the fleet: it reports its own broken
 //! requests to its two leads and receives the list of quarantined requests from them.
 
+pub mod fingerprint;
 pub mod ledger;
 pub mod outbox;
-pub mod print;
 pub mod quarantine;
 pub mod word;
--- a/crates/place/src/crash/quarantine.rs
+++ b/crates/place/src/crash/quarantine.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use crate::crash::print::RequestFingerprint;
+use crate::crash::fingerprint::RequestFingerprint;
 use crate::crash::word::{ClearedRequest, RequestStatus, RequestStatusReport};
 use crate::fleet::store_progress::millis;
 
--- a/crates/place/src/crash/word.rs
+++ b/crates/place/src/crash/word.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::crash::print::RequestFingerprint;
+use crate::crash::fingerprint::RequestFingerprint;
 
 /// The quarantine of a request as stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/place/src/fleet/member/mod.rs
+++ b/crates/place/src/fleet/member/mod.rs
@@ -13,9 +13,9 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
+use crate::crash::fingerprint::RequestFingerprint;
 use crate::crash::ledger::CrashLedger;
 use crate::crash::outbox::CrashOutbox;
-use crate::crash::print::RequestFingerprint;
 use crate::crash::quarantine::QuarantineTable;
 use crate::crash::word::{CrashReport, StoredQuarantine};
 use crate::fleet::candidate::LeadCandidate;
--- a/crates/place/tests/crash_load.rs
+++ b/crates/place/tests/crash_load.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use fleet_world::{FleetWorld, ms};
-use place::crash::print::RequestFingerprint;
+use place::crash::fingerprint::RequestFingerprint;
 use place::crash::word::CrashReport;
 use place::prelude::*;
 use place::rank::pair_weight;
--- a/crates/place/tests/fleet_world/mod.rs
+++ b/crates/place/tests/fleet_world/mod.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use place::crash::print::RequestFingerprint;
+use place::crash::fingerprint::RequestFingerprint;
 use place::crash::word::StoredQuarantine;
 use place::fleet::candidate::LeadCandidate;
 use place::fleet::clock::StoreTime;
