--- a/bin/lh-entry/src/crash.rs
+++ b/bin/lh-entry/src/crash.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use place::crash::fingerprint::RequestFingerprint;
-use place::crash::word::CrashReport;
+use place::crash::message::CrashReport;
 use place::prelude::FleetEvent;
 use place::request::Placement;
 use tokio::net::TcpStream;
--- a/bin/lh-entry/src/quarantine.rs
+++ b/bin/lh-entry/src/quarantine.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use place::crash::fingerprint::RequestFingerprint;
-use place::crash::word::StoredQuarantine;
+use place::crash::message::StoredQuarantine;
 use platform::tables::PlatformClient;
 use store::{QuarantineRow, Row, RowWrite, TableService};
 
--- a/crates/place/src/crash/ledger.rs
+++ b/crates/place/src/crash/ledger.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use crate::crash::fingerprint::RequestFingerprint;
+use crate::crash::message::{CrashReport, RequestStatus};
 use crate::crash::quarantine::QuarantineTable;
-use crate::crash::word::{CrashReport, RequestStatus};
 
 /// Crashes after which a request is quarantined. Two may be a coincidence: a request and its
 /// retry can each reach a server that was already failing.
--- a/crates/place/src/crash/mod.rs
+++ b/crates/place/src/crash/mod.rs
@@ -12,6 +12,6 @@
 
 pub mod fingerprint;
 pub mod ledger;
+pub mod message;
 pub mod outbox;
 pub mod quarantine;
-pub mod word;
--- a/crates/place/src/crash/outbox.rs
+++ b/crates/place/src/crash/outbox.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use crate::crash::fingerprint::RequestFingerprint;
-use crate::crash::word::{ClearedRequest, CrashMessage, CrashReport};
+use crate::crash::message::{ClearedRequest, CrashMessage, CrashReport};
 use crate::fleet::store_progress::millis;
 
 /// How long a report is delayed: most requests that were in flight beside the cause are
--- a/crates/place/src/crash/quarantine.rs
+++ b/crates/place/src/crash/quarantine.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use crate::crash::fingerprint::RequestFingerprint;
-use crate::crash::word::{ClearedRequest, RequestStatus, RequestStatusReport};
+use crate::crash::message::{ClearedRequest, RequestStatus, RequestStatusReport};
 use crate::fleet::store_progress::millis;
 
 /// How long a request stays in quarantine: time to fix the service, at the cost of a few
--- a/crates/place/src/fleet/member/crashes.rs
+++ b/crates/place/src/fleet/member/crashes.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use crate::crash::fingerprint::RequestFingerprint;
-use crate::crash::word::{CrashMessage, CrashReport, RequestStatus, StoredQuarantine};
+use crate::crash::message::{CrashMessage, CrashReport, RequestStatus, StoredQuarantine};
 use crate::fleet::member::{FleetAction, FleetChange, FleetMember, HEARTBEAT_INTERVAL};
 use crate::fleet::message::PeerMessage;
 
--- a/crates/place/src/fleet/member/mod.rs
+++ b/crates/place/src/fleet/member/mod.rs
@@ -15,9 +15,9 @@
 
 use crate::crash::fingerprint::RequestFingerprint;
 use crate::crash::ledger::CrashLedger;
+use crate::crash::message::{CrashReport, StoredQuarantine};
 use crate::crash::outbox::CrashOutbox;
 use crate::crash::quarantine::QuarantineTable;
-use crate::crash::word::{CrashReport, StoredQuarantine};
 use crate::fleet::candidate::LeadCandidate;
 use crate::fleet::clock::{StoreClock, StoreTime};
 use crate::fleet::conflict::ContentConflict;
--- a/crates/place/src/fleet/message.rs
+++ b/crates/place/src/fleet/message.rs
@@ -5,7 +5,7 @@
 use rollout::report::RolloutReport;
 use team::quota::QuotaReport;
 
-use crate::crash::word::CrashMessage;
+use crate::crash::message::CrashMessage;
 use crate::fleet::advertise::ServingEntry;
 use crate::fleet::candidate::LeadCandidate;
 use crate::fleet::list::ListVersion;
--- a/crates/place/tests/crash_load.rs
+++ b/crates/place/tests/crash_load.rs
@@ -8,7 +8,7 @@
 
 use fleet_world::{FleetWorld, ms};
 use place::crash::fingerprint::RequestFingerprint;
-use place::crash::word::CrashReport;
+use place::crash::message::CrashReport;
 use place::prelude::*;
 use place::rank::pair_weight;
 
--- a/crates/place/tests/crashes.rs
+++ b/crates/place/tests/crashes.rs
@@ -9,9 +9,9 @@
 use fleet_world::{FleetWorld, ms};
 use place::crash::fingerprint::RequestFingerprint;
 use place::crash::ledger::CrashLedger;
+use place::crash::message::{CrashReport, RequestStatus};
 use place::crash::outbox::CrashOutbox;
 use place::crash::quarantine::QuarantineTable;
-use place::crash::word::{CrashReport, RequestStatus};
 use place::prelude::*;
 use proptest::prelude::*;
 
--- a/crates/place/tests/fleet_world/mod.rs
+++ b/crates/place/tests/fleet_world/mod.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use place::crash::fingerprint::RequestFingerprint;
-use place::crash::word::StoredQuarantine;
+use place::crash::message::StoredQuarantine;
 use place::fleet::candidate::LeadCandidate;
 use place::fleet::clock::StoreTime;
 use place::fleet::content_hash::ContentHash;
