--- a/crates/place/src/fleet/reading.rs
+++ b/crates/place/src/fleet/reading.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::fleet::pace::ReadIntervals;
+use crate::fleet::read_intervals::ReadIntervals;
 
 /// First delay after a failed read, so that a failing store isn't overloaded.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(300);
--- a/crates/place/tests/departed.rs
+++ b/crates/place/tests/departed.rs
@@ -9,7 +9,7 @@
 use place::catalog::DroppedRow;
 use place::departure::Departure;
 use place::fleet::log::{ReadScope, RegistryDelta, RegistryLog};
-use place::fleet::pace::ReadIntervals;
+use place::fleet::read_intervals::ReadIntervals;
 use place::fleet::reading::{ReadOutcome, ReadRole, ReadScheduler};
 use place::fleet::store_progress::StoreProgress;
 use place::prelude::*;
--- a/crates/place/tests/reading.rs
+++ b/crates/place/tests/reading.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use place::fleet::pace::ReadIntervals;
+use place::fleet::read_intervals::ReadIntervals;
 use place::fleet::reading::{ReadOutcome, ReadRole, ReadScheduler, answer_as_of};
 
 /// An entry that remains in doubt about its knowledge must not repeat full reads more often
--- a/crates/place/tests/relisting.rs
+++ b/crates/place/tests/relisting.rs
@@ -7,7 +7,7 @@
 
 use common::{ms, placer_config, reading, server};
 use place::catalog::ServerCatalog;
-use place::fleet::pace::ReadIntervals;
+use place::fleet::read_intervals::ReadIntervals;
 use place::fleet::reading::{ReadOutcome, ReadRole, ReadScheduler, RegistryRead};
 
 /// Time within which a leaving server must get no more requests.
