--- a/crates/place/src/placing/load.rs
+++ b/crates/place/src/placing/load.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use crate::catalog::ServerCatalog;
-use crate::placing::warmth::HandledPair;
+use crate::placing::cache_likelihood::HandledPair;
 
 /// Time for which an entry's report counts; reports are sent several times per second.
 const LOAD_TTL: Duration = Duration::from_millis(1500);
--- a/crates/place/src/placing/mod.rs
+++ b/crates/place/src/placing/mod.rs
@@ -1,10 +1,10 @@
 //! Server selection and the estimates that it learns from answers.
 
+pub mod cache_likelihood;
 pub mod candidates;
 pub mod choice;
 pub mod load;
 pub mod placer;
 pub mod timing;
 pub mod trip;
-pub mod warmth;
 pub mod work;
--- a/crates/place/src/placing/placer.rs
+++ b/crates/place/src/placing/placer.rs
@@ -15,6 +15,7 @@
 use crate::limits::refusal::RetryAfterJitter;
 use crate::limits::shift::ShiftLimiter;
 use crate::limits::split::TrafficSplitter;
+use crate::placing::cache_likelihood::{DISTINCT_RANKS, WarmthMap};
 use crate::placing::candidates::{
     CandidateQuery, RankScope, RankedServers, ranked_candidates, top_candidates,
 };
@@ -23,7 +24,6 @@
 };
 use crate::placing::load::{LoadReport, PeerLoads, own_load};
 use crate::placing::timing::millis;
-use crate::placing::warmth::{DISTINCT_RANKS, WarmthMap};
 use crate::placing::work::RouteWorkTable;
 use crate::request::{
     Placement, PlacementReason, PlacementRequest, Refusal, RefusalReason, ServerOutcome,
--- a/crates/place/src/placing/work.rs
+++ b/crates/place/src/placing/work.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use crate::desired::RouteSpec;
+use crate::placing::cache_likelihood::{Belief, WarmthRates};
 use crate::placing::timing::{MovingAverage, millis};
-use crate::placing::warmth::{Belief, WarmthRates};
 
 /// Weight of the newest answer in the averages of a route.
 const WORK_WEIGHT: f64 = 0.05;
--- a/crates/place/src/request.rs
+++ b/crates/place/src/request.rs
@@ -6,7 +6,7 @@
 
 use crate::catalog::ServerHandle;
 use crate::desired::RouteSpec;
-use crate::placing::warmth::Belief;
+use crate::placing::cache_likelihood::Belief;
 use crate::server::ServerEntry;
 
 /// A request to be placed on a server.
--- a/crates/place/tests/near.rs
+++ b/crates/place/tests/near.rs
@@ -7,12 +7,12 @@
 use std::time::Instant;
 
 use common::{desired, ms, placer_config, reading, request, route, server};
+use place::placing::cache_likelihood::WarmthMap;
 use place::placing::candidates::{
     CandidateQuery, RankScope, RankedServers, ranked_candidates, top_candidates,
 };
 use place::placing::choice::{ByteCosts, ChoiceContext, ServerChoice};
 use place::placing::load::{LoadReport, short_id};
-use place::placing::warmth::WarmthMap;
 use place::placing::work::RouteWorkTable;
 use place::prelude::*;
 use place::request::PlacementReason;
