--- a/crates/place/src/catalog/mod.rs
+++ b/crates/place/src/catalog/mod.rs
@@ -19,7 +19,7 @@
 use crate::departure::{Departure, DepartureTable};
 use crate::fleet::log::{RegistryDelta, store_version};
 use crate::placing::candidates::RankScope;
-use crate::placing::trip::RoundTripEstimator;
+use crate::placing::round_trip::RoundTripEstimator;
 use crate::server::{EntryState, ServerEntry, ServerRecord};
 
 pub use crate::catalog::change::{CatalogChange, ServerCondition};
--- a/crates/place/src/placing/mod.rs
+++ b/crates/place/src/placing/mod.rs
@@ -5,6 +5,6 @@
 pub mod choice;
 pub mod load;
 pub mod placer;
+pub mod round_trip;
 pub mod timing;
-pub mod trip;
 pub mod work;
--- a/crates/place/tests/trip.rs
+++ b/crates/place/tests/trip.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use common::{ms, placer, request, route, server};
-use place::placing::trip::RoundTripEstimator;
+use place::placing::round_trip::RoundTripEstimator;
 use place::prelude::*;
 
 /// An estimate converges to the round trip from any initial value, and neither queues nor lost
