--- a/crates/place/src/limits/mod.rs
+++ b/crates/place/src/limits/mod.rs
@@ -2,7 +2,7 @@
 //! the parts of a route, and when a refused caller should resubmit.
 
 pub mod budget;
-pub mod ramp;
+pub mod cold_rate;
 pub mod refusal;
 pub mod shift;
 pub mod split;
--- a/crates/place/src/placing/placer.rs
+++ b/crates/place/src/placing/placer.rs
@@ -11,7 +11,7 @@
 use crate::catalog::{ServerCatalog, ServerHandle};
 use crate::desired::{DesiredState, RouteSpec, ServiceSpec};
 use crate::limits::budget::{BudgetBounds, RetryBudget};
-use crate::limits::ramp::ColdRateLimiter;
+use crate::limits::cold_rate::ColdRateLimiter;
 use crate::limits::refusal::RetryAfterJitter;
 use crate::limits::shift::ShiftLimiter;
 use crate::limits::split::TrafficSplitter;
--- a/crates/place/tests/limits.rs
+++ b/crates/place/tests/limits.rs
@@ -8,7 +8,7 @@
 
 use common::ms;
 use place::limits::budget::{BudgetBounds, RetryBudget};
-use place::limits::ramp::ColdRateLimiter;
+use place::limits::cold_rate::ColdRateLimiter;
 use place::limits::shift::ShiftLimiter;
 use place::rank::stable_hash;
 use proptest::prelude::*;
