--- a/bin/lh-entry/src/record.rs
+++ b/bin/lh-entry/src/record.rs
@@ -103,7 +103,7 @@
             placement.id,
             reason.expected,
             reason.occupancy,
-            reason.warmth,
+            reason.cache_likelihood,
             reason.rank,
             if reason.cold { " cold" } else { "" },
             if reason.is_remote { " away" } else { "" },
--- a/crates/place/src/catalog/mod.rs
+++ b/crates/place/src/catalog/mod.rs
@@ -37,7 +37,7 @@
     version: u64,
     /// When that state was applied.
     applied_at: Option<Instant>,
-    trips: RoundTripEstimator,
+    round_trips: RoundTripEstimator,
     outage: RegistryOutage,
     departures: DepartureTable,
 }
@@ -62,7 +62,7 @@
     /// Sets the failure domain and region of the entry that uses this catalog.
     #[must_use]
     pub fn with_location(mut self, domain: &str, region: &str) -> Self {
-        self.trips = RoundTripEstimator::new(domain, region);
+        self.round_trips = RoundTripEstimator::new(domain, region);
         self
     }
 
@@ -72,12 +72,12 @@
             return;
         };
         let (domain, region) = (record.entry.domain.clone(), record.region.clone());
-        let Some(trip) = self.trips.on_connected(&domain, &region, millis) else {
+        let Some(round_trip) = self.round_trips.on_connected(&domain, &region, millis) else {
             return;
         };
         for record in self.table.iter_mut() {
             if record.entry.domain == domain {
-                record.trip = trip;
+                record.round_trip = round_trip;
             }
         }
     }
--- a/crates/place/src/catalog/update.rs
+++ b/crates/place/src/catalog/update.rs
@@ -80,7 +80,7 @@
     fn insert(&mut self, started_at: Instant, entry: &ServerEntry) {
         let region = self.domains.get(&entry.domain).map_or("", String::as_str);
         let mut record = ServerRecord::new(entry.clone(), region);
-        record.trip = self.trips.trip(&entry.domain, region);
+        record.round_trip = self.round_trips.round_trip(&entry.domain, region);
         if !entry.cold_remaining.is_zero() {
             record.mark_cold(started_at, entry.cold_remaining);
         }
--- a/crates/place/src/placing/cache_likelihood.rs
+++ b/crates/place/src/placing/cache_likelihood.rs
@@ -26,15 +26,15 @@
 const MAX_UNSENT_PAIRS: usize = 128;
 /// Initial likelihoods by age class, then by rank. Those by rank are low, since caches are
 /// empty at a start.
-const INITIAL_LIKELIHOODS: [f64; BELIEFS] = [0.95, 0.9, 0.8, 0.3, 0.2, 0.1, 0.05];
+const INITIAL_LIKELIHOODS: [f64; EVIDENCE_KINDS] = [0.95, 0.9, 0.8, 0.3, 0.2, 0.1, 0.05];
 /// Number of kinds of evidence that are told apart.
-const BELIEFS: usize = AGE_LIMITS.len() + DISTINCT_RANKS;
+const EVIDENCE_KINDS: usize = AGE_LIMITS.len() + DISTINCT_RANKS;
 /// Weight of the newest answer in a likelihood.
 const NEWEST_WEIGHT: f64 = 0.03;
 
 /// Evidence for a cached object: an index into the learned likelihoods.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Belief(usize);
+pub struct CacheEvidence(usize);
 
 /// Short ids of a server and of an object that it handled.
 pub type HandledPair = (u32, u32);
@@ -42,7 +42,7 @@
 /// Objects that servers recently handled, as seen by this entry and reported by the others
 /// of its region.
 #[derive(Debug, Default)]
-pub struct WarmthMap {
+pub struct HandledObjects {
     handled_at: HashMap<HandledPair, Instant>,
     /// Servers that handled each object, according to `handled_at`.
     holders: HashMap<u32, Vec<u32>>,
@@ -52,11 +52,11 @@
 
 /// How likely each kind of evidence is right, for one route.
 #[derive(Debug)]
-pub struct WarmthRates {
-    rates: [MovingAverage; BELIEFS],
+pub struct CacheLikelihoods {
+    rates: [MovingAverage; EVIDENCE_KINDS],
 }
 
-impl WarmthMap {
+impl HandledObjects {
     /// Records that `server` handled `object`.
     pub fn on_handled(&mut self, now: Instant, server: u64, object: u64) {
         let pair = (short_id(server), short_id(object));
@@ -92,14 +92,14 @@
     }
 
     /// The evidence that `server`, at `rank` for `object`, has it cached.
-    pub fn belief(&self, now: Instant, server: u64, object: u64, rank: usize) -> Belief {
+    pub fn evidence(&self, now: Instant, server: u64, object: u64, rank: usize) -> CacheEvidence {
         if let Some(at) = self.handled_at.get(&(short_id(server), short_id(object))) {
             let age = now.saturating_duration_since(*at);
             if let Some(index) = AGE_LIMITS.iter().position(|limit| age < *limit) {
-                return Belief(index);
+                return CacheEvidence(index);
             }
         }
-        Belief(AGE_LIMITS.len() + rank.min(DISTINCT_RANKS - 1))
+        CacheEvidence(AGE_LIMITS.len() + rank.min(DISTINCT_RANKS - 1))
     }
 
     fn remember(&mut self, now: Instant, pair: HandledPair) {
@@ -125,25 +125,25 @@
     }
 }
 
-impl WarmthRates {
+impl CacheLikelihoods {
     /// The likelihood that a server of the lowest rank class has an object cached that it
     /// wasn't seen to handle.
     pub fn unseen_likelihood(&self) -> f64 {
-        self.rates[BELIEFS - 1].value()
+        self.rates[EVIDENCE_KINDS - 1].value()
     }
 
-    /// The likelihood for `belief`, 0 to 1.
-    pub fn likelihood(&self, belief: Belief) -> f64 {
-        self.rates[belief.0].value()
+    /// The likelihood for `evidence`, 0 to 1.
+    pub fn likelihood(&self, evidence: CacheEvidence) -> f64 {
+        self.rates[evidence.0].value()
     }
 
     /// Records whether the object was cached.
-    pub fn on_answer(&mut self, belief: Belief, is_cached: bool) {
-        self.rates[belief.0].add(if is_cached { 1.0 } else { 0.0 });
+    pub fn on_answer(&mut self, evidence: CacheEvidence, is_cached: bool) {
+        self.rates[evidence.0].add(if is_cached { 1.0 } else { 0.0 });
     }
 }
 
-impl Default for WarmthRates {
+impl Default for CacheLikelihoods {
     fn default() -> Self {
         Self {
             rates: INITIAL_LIKELIHOODS.map(|initial| MovingAverage::new(initial, NEWEST_WEIGHT)),
--- a/crates/place/src/placing/choice.rs
+++ b/crates/place/src/placing/choice.rs
@@ -140,11 +140,11 @@
             );
             return;
         }
-        if !self.is_preferred(candidate) && reason.warmth < MIN_HOLDER_LIKELIHOOD {
+        if !self.is_preferred(candidate) && reason.cache_likelihood < MIN_HOLDER_LIKELIHOOD {
             self.note_blocked(RefusalReason::Full, Some(wait));
             return;
         }
-        let expected = record.trip + wait + estimate.work;
+        let expected = record.round_trip + wait + estimate.work;
         // An idle server may exceed the limit: there is no queue, and only running the request
         // shows how long the work really takes.
         if wait > 0.0 && expected > self.time_limit {
@@ -155,7 +155,7 @@
         let reason = PlacementReason {
             expected,
             is_remote,
-            free: reason.occupancy < slots,
+            has_free_slot: reason.occupancy < slots,
             work: estimate.work,
             ..reason
         };
@@ -233,7 +233,8 @@
         let (warm, cold) = (self.work.warm.value(), self.work.cold.value());
         let slowness = if reason.cold { COLD_WORK_FACTOR } else { 1.0 };
         let speed = record.speed(self.now) * slowness;
-        let work = (warm * reason.warmth + cold * (1.0 - reason.warmth)) * speed;
+        let work =
+            (warm * reason.cache_likelihood + cold * (1.0 - reason.cache_likelihood)) * speed;
         WorkEstimate {
             work,
             ahead_work: warm.midpoint(cold).min(work),
--- a/crates/place/src/placing/placer.rs
+++ b/crates/place/src/placing/placer.rs
@@ -15,7 +15,7 @@
 use crate::limits::refusal::RetryAfterJitter;
 use crate::limits::shift::ShiftLimiter;
 use crate::limits::split::TrafficSplitter;
-use crate::placing::cache_likelihood::{DISTINCT_RANKS, WarmthMap};
+use crate::placing::cache_likelihood::{DISTINCT_RANKS, HandledObjects};
 use crate::placing::candidates::{
     CandidateQuery, RankScope, RankedServers, ranked_candidates, top_candidates,
 };
@@ -77,7 +77,7 @@
     budget: RetryBudget,
     cold_limiter: ColdRateLimiter,
     shift_limiter: ShiftLimiter,
-    warmth: WarmthMap,
+    handled_objects: HandledObjects,
     work: RouteWorkTable,
     entries: Vec<u64>,
     region_entries: usize,
@@ -101,7 +101,7 @@
             budget: RetryBudget::new(config.budget),
             cold_limiter: ColdRateLimiter::default(),
             shift_limiter: ShiftLimiter::new(config.shift_cap, &regions),
-            warmth: WarmthMap::default(),
+            handled_objects: HandledObjects::default(),
             work: RouteWorkTable::default(),
             entries: vec![config.own],
             region_entries: 1,
@@ -143,7 +143,7 @@
     /// Applies a load report of the entry with the hash `entry`.
     pub fn on_peer_load(&mut self, now: Instant, entry: u64, report: LoadReport) {
         self.shift_limiter.on_peer_sent(now, entry, &report.sent);
-        self.warmth.on_peer_pairs(now, &report.handled);
+        self.handled_objects.on_peer_pairs(now, &report.handled);
         self.loads.apply_list(now, entry, report.load);
     }
 
@@ -153,7 +153,7 @@
         LoadReport {
             load: own_load(&self.catalog),
             sent: self.shift_limiter.sent(),
-            handled: self.warmth.take_unsent(),
+            handled: self.handled_objects.take_unsent(),
         }
     }
 
@@ -258,7 +258,7 @@
             object,
             scope,
             preferred_ranks,
-            holders: self.warmth.holders(object),
+            holders: self.handled_objects.holders(object),
         };
         let ranked = top_candidates(now, &mut self.catalog, &query)?;
         // An empty result falls back to all servers: these few don't tell whether any server
@@ -325,15 +325,17 @@
                 choice.note_blocked(RefusalReason::Cold, None);
                 continue;
             }
-            let belief = request
-                .object
-                .map(|object| self.warmth.belief(now, record.hash, object, candidate.rank));
+            let cache_evidence = request.object.map(|object| {
+                self.handled_objects
+                    .evidence(now, record.hash, object, candidate.rank)
+            });
             let reason = PlacementReason {
                 occupancy: record.occupancy(now),
-                warmth: belief.map_or(0.0, |belief| work.rates.likelihood(belief)),
+                cache_likelihood: cache_evidence
+                    .map_or(0.0, |evidence| work.rates.likelihood(evidence)),
                 rank: candidate.rank,
                 cold,
-                belief,
+                cache_evidence,
                 ..PlacementReason::default()
             };
             choice.update_preferred_count(f64::from(record.entry.slots.max(1)));
@@ -393,7 +395,7 @@
                 record.on_outcome(now, false);
                 let elapsed = millis(now.saturating_duration_since(placement.started));
                 let ratio = elapsed / placement.reason.expected.max(1.0);
-                if placement.reason.free && ratio > 1.0 {
+                if placement.reason.has_free_slot && ratio > 1.0 {
                     record.on_latency_ratio(now, ratio * record.speed(now));
                 }
             }
@@ -401,7 +403,7 @@
         }
         record.in_flight = record.in_flight.saturating_sub(1);
         if outcome == ServerOutcome::Unreachable {
-            self.warmth.forget(hash);
+            self.handled_objects.forget(hash);
         }
         if outcome == (ServerOutcome::Answered { good: true }) {
             self.learn_from_answer(now, placement, request, hash);
@@ -417,18 +419,18 @@
     ) {
         let reason = &placement.reason;
         if let Some(object) = request.object {
-            self.warmth.on_handled(now, hash, object);
+            self.handled_objects.on_handled(now, hash, object);
         }
-        if !reason.free {
+        if !reason.has_free_slot {
             return;
         }
         let elapsed = millis(now.saturating_duration_since(placement.started));
-        let trip = self.catalog.get(placement.handle);
-        let work = elapsed - trip.map_or(0.0, |record| record.trip);
+        let known = self.catalog.get(placement.handle);
+        let work = elapsed - known.map_or(0.0, |record| record.round_trip);
         if !reason.cold {
             self.work
                 .get_or_insert(request.route)
-                .on_answer(work, reason.belief);
+                .on_answer(work, reason.cache_evidence);
         }
         if let Some(record) = self.catalog.get_mut(placement.handle) {
             record.on_latency_ratio(now, work / reason.work.max(1.0) * record.speed(now));
--- a/crates/place/src/placing/round_trip.rs
+++ b/crates/place/src/placing/round_trip.rs
@@ -49,35 +49,37 @@
     }
 
     /// Round trip to `domain` of `region`, in milliseconds.
-    pub fn trip(&self, domain: &str, region: &str) -> f64 {
+    pub fn round_trip(&self, domain: &str, region: &str) -> f64 {
         let estimates = self.estimates.get(domain);
-        estimates.map_or_else(|| self.initial(domain, region), |trip| trip.used)
+        estimates.map_or_else(|| self.initial(domain, region), |known| known.used)
     }
 
     /// Records that opening a connection to `domain` of `region` took `millis`. Returns the new
     /// round trip if the one in use changes.
     pub fn on_connected(&mut self, domain: &str, region: &str, millis: f64) -> Option<f64> {
         let initial = self.initial(domain, region);
-        let trip = self
+        let domain_estimate = self
             .estimates
             .entry(domain.to_owned())
             .or_insert(DomainEstimate {
                 estimate: initial,
                 used: initial,
             });
-        let max_sample = trip.estimate.max(MIN_SAMPLE_MS) * MAX_SAMPLE_FACTOR;
+        let max_sample = domain_estimate.estimate.max(MIN_SAMPLE_MS) * MAX_SAMPLE_FACTOR;
         let sample = millis.clamp(MIN_SAMPLE_MS, max_sample);
-        let weight = if sample < trip.estimate {
+        let weight = if sample < domain_estimate.estimate {
             FALL_WEIGHT
         } else {
             RISE_WEIGHT
         };
-        trip.estimate += weight * (sample - trip.estimate);
-        if (trip.estimate - trip.used).abs() <= MIN_CHANGE * trip.used {
+        domain_estimate.estimate += weight * (sample - domain_estimate.estimate);
+        if (domain_estimate.estimate - domain_estimate.used).abs()
+            <= MIN_CHANGE * domain_estimate.used
+        {
             return None;
         }
-        trip.used = trip.estimate;
-        Some(trip.used)
+        domain_estimate.used = domain_estimate.estimate;
+        Some(domain_estimate.used)
     }
 
     fn initial(&self, domain: &str, region: &str) -> f64 {
--- a/crates/place/src/placing/work.rs
+++ b/crates/place/src/placing/work.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use crate::desired::RouteSpec;
-use crate::placing::cache_likelihood::{Belief, WarmthRates};
+use crate::placing::cache_likelihood::{CacheEvidence, CacheLikelihoods};
 use crate::placing::timing::{MovingAverage, millis};
 
 /// Weight of the newest answer in the averages of a route.
@@ -34,7 +34,7 @@
     /// Work without a cached object, in milliseconds.
     pub cold: MovingAverage,
     /// How likely each kind of evidence for a cached object is right.
-    pub rates: WarmthRates,
+    pub rates: CacheLikelihoods,
     /// Size of an answer, in kilobytes.
     pub answer: MovingAverage,
     longest_deadline: Duration,
@@ -72,7 +72,7 @@
         Self {
             warm: MovingAverage::new(INITIAL_WARM_WORK * objective, WORK_WEIGHT),
             cold: MovingAverage::new(INITIAL_COLD_WORK * objective, WORK_WEIGHT),
-            rates: WarmthRates::default(),
+            rates: CacheLikelihoods::default(),
             answer: MovingAverage::new(INITIAL_ANSWER_KB, WORK_WEIGHT),
             longest_deadline: Duration::ZERO,
             resubmitted: MovingAverage::new(0.0, RESUBMIT_WEIGHT),
@@ -116,7 +116,7 @@
     }
 
     /// Records an answer that took `work` ms at a server with a free slot.
-    pub fn on_answer(&mut self, work: f64, belief: Option<Belief>) {
+    pub fn on_answer(&mut self, work: f64, cache_evidence: Option<CacheEvidence>) {
         // Counts as cached if the time is closer, by ratio, to the warm average than to the
         // cold one.
         let is_cached = work * work < self.warm.value() * self.cold.value();
@@ -125,8 +125,8 @@
         } else {
             self.cold.add(work);
         }
-        if let Some(belief) = belief {
-            self.rates.on_answer(belief, is_cached);
+        if let Some(cache_evidence) = cache_evidence {
+            self.rates.on_answer(cache_evidence, is_cached);
         }
     }
 }
--- a/crates/place/src/request.rs
+++ b/crates/place/src/request.rs
@@ -6,7 +6,7 @@
 
 use crate::catalog::ServerHandle;
 use crate::desired::RouteSpec;
-use crate::placing::cache_likelihood::Belief;
+use crate::placing::cache_likelihood::CacheEvidence;
 use crate::server::ServerEntry;
 
 /// A request to be placed on a server.
@@ -112,7 +112,7 @@
     /// Estimated number of requests at the server.
     pub occupancy: f64,
     /// Probability that the server caches the object.
-    pub warmth: f64,
+    pub cache_likelihood: f64,
     /// Rank of the server for the object within its region; 0 is the first.
     pub rank: usize,
     /// Whether the server is cold.
@@ -120,11 +120,11 @@
     /// Whether the server is in another region.
     pub is_remote: bool,
     /// Whether a slot was free, so that no other request had to finish first.
-    pub(crate) free: bool,
+    pub(crate) has_free_slot: bool,
     /// Expected processing time of the request itself, in milliseconds.
     pub(crate) work: f64,
     /// Evidence that the server caches the object.
-    pub(crate) belief: Option<Belief>,
+    pub(crate) cache_evidence: Option<CacheEvidence>,
 }
 
 /// Why a request was refused.
--- a/crates/place/src/server.rs
+++ b/crates/place/src/server.rs
@@ -124,7 +124,7 @@
     /// requests until it writes its own row again.
     pub overwritten: bool,
     /// Round-trip time to the server, in milliseconds.
-    pub trip: f64,
+    pub round_trip: f64,
     /// This entry's requests in flight at the server.
     pub in_flight: u32,
     /// Requests of other entries at the server, as reported by them.
@@ -150,7 +150,7 @@
             missing_since: None,
             listed_at: None,
             overwritten: false,
-            trip: 0.0,
+            round_trip: 0.0,
             in_flight: 0,
             peer_load: 0.0,
             reported_load: 0.0,
--- a/crates/place/tests/near.rs
+++ b/crates/place/tests/near.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use common::{desired, ms, placer_config, reading, request, route, server};
-use place::placing::cache_likelihood::WarmthMap;
+use place::placing::cache_likelihood::HandledObjects;
 use place::placing::candidates::{
     CandidateQuery, RankScope, RankedServers, ranked_candidates, top_candidates,
 };
@@ -50,7 +50,7 @@
 struct Fixture {
     now: Instant,
     catalog: ServerCatalog,
-    warmth: WarmthMap,
+    handled_objects: HandledObjects,
     work: RouteWorkTable,
     route: RouteSpec,
 }
@@ -71,12 +71,12 @@
         }
         let mut catalog = ServerCatalog::new(common::domains()).with_location("a1", "a");
         catalog.apply_snapshot(now, &reading(now, &servers));
-        let mut warmth = WarmthMap::default();
+        let mut handled_objects = HandledObjects::default();
         for (record, server_setup) in by_number(&mut catalog, setups) {
             match server_setup {
                 ServerSetup::Busy(count) => record.in_flight = count,
                 ServerSetup::Paused => record.on_unreachable(now),
-                ServerSetup::HasObject => warmth.on_handled(now, record.hash, OBJECT),
+                ServerSetup::HasObject => handled_objects.on_handled(now, record.hash, OBJECT),
                 ServerSetup::Idle | ServerSetup::Cold | ServerSetup::Leaving => {}
             }
         }
@@ -86,7 +86,7 @@
         Self {
             now,
             catalog,
-            warmth,
+            handled_objects,
             work,
             route,
         }
@@ -109,12 +109,12 @@
         let mut choice = ServerChoice::new(self.now, &wanted, place, work);
         for candidate in &ranked.candidates {
             let record = self.catalog.get(candidate.handle).unwrap();
-            let belief = self
-                .warmth
-                .belief(self.now, record.hash, OBJECT, candidate.rank);
+            let cache_evidence =
+                self.handled_objects
+                    .evidence(self.now, record.hash, OBJECT, candidate.rank);
             let mut reason = PlacementReason::default();
             reason.occupancy = record.occupancy(self.now);
-            reason.warmth = work.rates.likelihood(belief);
+            reason.cache_likelihood = work.rates.likelihood(cache_evidence);
             reason.rank = candidate.rank;
             reason.cold = record.is_cold(self.now);
             choice.update_preferred_count(f64::from(record.entry.slots));
@@ -154,7 +154,7 @@
             let route = fixture.route.clone();
             let wanted = request(&route, Some(OBJECT));
             for scope in [RankScope::Region, RankScope::Domain] {
-                let holders = fixture.warmth.holders(OBJECT).to_vec();
+                let holders = fixture.handled_objects.holders(OBJECT).to_vec();
                 let query = CandidateQuery {
                     service: "board",
                     request: &wanted,
--- a/crates/place/tests/trip.rs
+++ b/crates/place/tests/trip.rs
@@ -12,25 +12,25 @@
 /// packets raise it much.
 #[test]
 fn round_trips_are_learned_despite_outliers() {
-    for true_trip in [0.4, 40.0, 190.0] {
-        let mut trips = RoundTripEstimator::new("a1", "a");
+    for true_round_trip in [0.4, 40.0, 190.0] {
+        let mut round_trips = RoundTripEstimator::new("a1", "a");
         for step in 0..400 {
             let took = match step % 20 {
-                7 => true_trip * 3.0,
-                13 => true_trip + 1000.0,
-                _ => true_trip,
+                7 => true_round_trip * 3.0,
+                13 => true_round_trip + 1000.0,
+                _ => true_round_trip,
             };
-            trips.on_connected("b1", "b", took);
+            round_trips.on_connected("b1", "b", took);
         }
-        let learned = trips.trip("b1", "b");
+        let learned = round_trips.round_trip("b1", "b");
         assert!(
-            (learned / true_trip - 1.0).abs() < 0.25,
-            "{learned} of {true_trip}"
+            (learned / true_round_trip - 1.0).abs() < 0.25,
+            "{learned} of {true_round_trip}"
         );
     }
-    let trips = RoundTripEstimator::new("a1", "a");
-    assert_eq!(trips.trip("a1", "a"), 0.0);
-    assert!(trips.trip("a2", "a") < trips.trip("b1", "b"));
+    let round_trips = RoundTripEstimator::new("a1", "a");
+    assert_eq!(round_trips.round_trip("a1", "a"), 0.0);
+    assert!(round_trips.round_trip("a2", "a") < round_trips.round_trip("b1", "b"));
 }
 
 /// The round trip to a distant server does not count as work: an answer after the round trip
@@ -46,7 +46,7 @@
         let request = request(&board, Some(1));
         let placement = placer.place(at, &request).unwrap();
         let record = placer.catalog.get(placement.handle).unwrap();
-        let work = placement.reason.expected - record.trip;
+        let work = placement.reason.expected - record.round_trip;
         let answered = at + ms(20 + work.round() as u64);
         placer.catalog.on_connected(placement.handle, 20.0);
         let outcome = ServerOutcome::Answered { good: true };
@@ -59,11 +59,15 @@
         "{}",
         record.speed(later)
     );
-    assert!((record.trip - 20.0).abs() < 3.0);
+    assert!((record.round_trip - 20.0).abs() < 3.0);
     let both = [server("x", "b1"), server("y", "b1")];
     placer
         .catalog
         .apply_snapshot(later, &common::reading(later, &both));
-    let trips: Vec<f64> = placer.catalog.iter().map(|record| record.trip).collect();
-    assert_eq!(trips[0], trips[1]);
+    let round_trips: Vec<f64> = placer
+        .catalog
+        .iter()
+        .map(|record| record.round_trip)
+        .collect();
+    assert_eq!(round_trips[0], round_trips[1]);
 }
