--- a/bin/lh-entry/src/fleet.rs
+++ b/bin/lh-entry/src/fleet.rs
@@ -70,7 +70,7 @@
     pub(crate) fn on_known(&self, change: impl FnOnce(&mut StoreProgress)) {
         let mut known = self.known();
         change(&mut known);
-        self.on_event(FleetEvent::Known(known));
+        self.on_event(FleetEvent::StoreProgress(known));
     }
 
     /// Takes in this entry's own state, where it differs.
@@ -83,7 +83,7 @@
 
     /// What this entry knows of the store.
     pub(crate) fn known(&self) -> StoreProgress {
-        *self.member.borrow().known()
+        *self.member.borrow().store_progress()
     }
 
     /// How long ago the store may have shown, at most, that what is known of the operator's
--- a/crates/emulate/benches/slopes.rs
+++ b/crates/emulate/benches/slopes.rs
@@ -372,7 +372,7 @@
             registry_at: Some(start),
             ..StoreProgress::default()
         };
-        lead.on_event(start, FleetEvent::Known(known), &mut actions);
+        lead.on_event(start, FleetEvent::StoreProgress(known), &mut actions);
         let mut now = start + Duration::from_secs(2);
         lead.on_event(now, FleetEvent::Tick, &mut actions);
         for number in 1..entries {
--- a/crates/place/src/fleet/leads.rs
+++ b/crates/place/src/fleet/leads.rs
@@ -25,7 +25,7 @@
     /// Whether its process is shutting down, or it is no longer a lead.
     pub leaving: bool,
     /// Its state of the store.
-    pub known: StoreProgress,
+    pub store_progress: StoreProgress,
     /// Versions of its lists of entries, by region.
     pub lists: Vec<(String, ListVersion)>,
     /// The leads and substitutes of its region according to this lead.
@@ -78,7 +78,7 @@
             candidate: digest.candidate.clone(),
             region: digest.region.clone(),
             leaving: digest.leaving || !digest.candidate.leads,
-            known: StoreProgress::from_report(now, &digest.store),
+            store_progress: StoreProgress::from_report(now, &digest.store),
             lists: digest
                 .regions
                 .iter()
@@ -118,7 +118,7 @@
         known: &'a StoreProgress,
     ) -> impl Iterator<Item = &'a LeadRecord> {
         self.live_leads(now)
-            .filter(|lead| known.contradicts(&lead.known))
+            .filter(|lead| known.contradicts(&lead.store_progress))
     }
 
     /// Returns when the last lead of `region` times out unless another digest arrives.
--- a/crates/place/src/fleet/member/announce.rs
+++ b/crates/place/src/fleet/member/announce.rs
@@ -145,7 +145,7 @@
             candidate: self.own_candidate(now),
             region: self.config.region.clone(),
             leaving: self.local_state.leaving,
-            store: self.known.to_report(now),
+            store: self.store_progress.to_report(now),
             regions: self.regions.summaries(now, to_leads),
         }))
     }
@@ -184,11 +184,11 @@
     pub(super) fn peer_leads(&mut self, now: Instant) -> Vec<SocketAddr> {
         // All live leads, not just those their region reports: if a region has more than
         // one pair, each pair learns of the other this way.
-        let heard = self
+        let heard_leads = self
             .leads
             .live_leads(now)
             .map(|lead| lead.candidate.peer_address);
-        let mut addresses: Vec<SocketAddr> = heard.collect();
+        let mut addresses: Vec<SocketAddr> = heard_leads.collect();
         let mut is_lost = !self.has_live_lead(now);
         for region in self.regions.other_regions() {
             let candidates = self.regions.candidates(region).iter();
--- a/crates/place/src/fleet/member/crashes.rs
+++ b/crates/place/src/fleet/member/crashes.rs
@@ -205,7 +205,7 @@
     ) -> bool {
         let was_held = self.quarantine.contains(print);
         let was_suspect = self.ledger.clear(print);
-        let is_news = self.quarantine.clear(print, at);
+        let is_changed = self.quarantine.clear(print, at);
         if was_held && !self.quarantine.contains(print) {
             actions.push(FleetAction::Log(FleetChange::Cleared(print)));
             if self.lead_since.is_some() && self.is_reader(at) {
@@ -213,7 +213,7 @@
             }
             self.statuses_due = at;
         }
-        is_news || was_suspect
+        is_changed || was_suspect
     }
 
     /// Returns the quarantined requests with the age of their quarantine.
--- a/crates/place/src/fleet/member/fetch.rs
+++ b/crates/place/src/fleet/member/fetch.rs
@@ -27,7 +27,7 @@
     /// entry and reads the store again; a follower accepts the content of its leads if
     /// all of them disagree with it.
     pub(super) fn check_conflict(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
-        let mut contradicting = self.leads.contradicting(now, &self.known);
+        let mut contradicting = self.leads.contradicting(now, &self.store_progress);
         let first = if self.lead_since.is_some() {
             contradicting.next()
         } else {
@@ -60,13 +60,15 @@
     /// Whether a follower's registry was not confirmed for too long although its leads
     /// have newer readings. Whatever the cause, it then reads the store itself.
     fn is_stale(&self, now: Instant) -> bool {
-        let max_age = self.readings.intervals().member;
+        let max_age = self.read_scheduler.intervals().member;
         let is_old =
             |at: Option<Instant>| at.is_some_and(|at| now.saturating_duration_since(at) >= max_age);
         let mut region_leads = self.leads.live_leads_of(now, &self.config.region);
-        is_old(self.known.registry_at)
-            && region_leads
-                .any(|lead| lead.known.registry_at.is_some() && !is_old(lead.known.registry_at))
+        is_old(self.store_progress.registry_at)
+            && region_leads.any(|lead| {
+                lead.store_progress.registry_at.is_some()
+                    && !is_old(lead.store_progress.registry_at)
+            })
     }
 
     /// Returns the lead to refetch the registry from if the local content is in conflict
@@ -77,11 +79,11 @@
         {
             return None;
         }
-        let contradicting = self.leads.contradicting(now, &self.known);
+        let contradicting = self.leads.contradicting(now, &self.store_progress);
         let is_asked =
             |lead: &&LeadRecord| self.lead_since.is_some() || lead.region == self.config.region;
         let asked = contradicting.filter(is_asked);
-        let newest = asked.max_by_key(|lead| (lead.known.registry_at, lead.rank()));
+        let newest = asked.max_by_key(|lead| (lead.store_progress.registry_at, lead.rank()));
         newest.map(LeadRecord::view_address)
     }
 
@@ -90,13 +92,13 @@
             region: &self.config.region,
             hash: self.hash,
             leads: self.lead_since.is_some(),
-            remote_registry_delay: self.readings.intervals().deputy,
+            remote_registry_delay: self.read_scheduler.intervals().deputy,
         };
         let conflicting_lead = self.lead_to_refetch_from(now);
         let next = self.pulls.next_pull(
             now,
             context,
-            &self.known,
+            &self.store_progress,
             &self.leads,
             &self.regions,
             conflicting_lead,
@@ -117,9 +119,9 @@
     pub(super) fn start_due_reading(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         let role = self.read_role(now);
         let should_read_all = self.should_read_all(now);
-        let known_at = self.known.registry_at;
+        let known_at = self.store_progress.registry_at;
         if let Some(call) = self
-            .readings
+            .read_scheduler
             .begin_read(now, role, known_at, should_read_all)
         {
             if call.whole {
@@ -155,7 +157,7 @@
     /// receive requests do so soon; the others wait long enough for a new lead to be
     /// found.
     fn should_watch_alone(&self, now: Instant, used: bool, first: Instant) -> bool {
-        if !self.known.is_complete() {
+        if !self.store_progress.is_complete() {
             return now >= first;
         }
         let jitter = if used {
--- a/crates/place/src/fleet/member/mod.rs
+++ b/crates/place/src/fleet/member/mod.rs
@@ -86,7 +86,7 @@
     /// The local entry's state changed.
     LocalState(LocalEntryState),
     /// The state of the store known here changed, from any source.
-    Known(StoreProgress),
+    StoreProgress(StoreProgress),
     /// Upper bound of the store's clock, with the local time at which the call began. It
     /// comes from an answer of the store or from another entry.
     StoreTime(Instant, StoreTime),
@@ -178,7 +178,7 @@
     last_run: Instant,
     local_state: LocalEntryState,
     store_reachable: bool,
-    known: StoreProgress,
+    store_progress: StoreProgress,
     clock: StoreClock,
     roster: EntryRoster,
     leads: LeadTable,
@@ -186,7 +186,7 @@
     search: LeadSearch,
     pulls: PullState,
     conflict: ContentConflict,
-    readings: ReadScheduler,
+    read_scheduler: ReadScheduler,
     /// Time at which this entry became a lead; `None` if it is not one.
     lead_since: Option<Instant>,
     /// Current leads and substitutes of the region.
@@ -218,7 +218,7 @@
             last_run: now,
             local_state: LocalEntryState::default(),
             store_reachable: true,
-            known: StoreProgress::default(),
+            store_progress: StoreProgress::default(),
             clock: StoreClock::default(),
             roster: EntryRoster::default(),
             leads: LeadTable::default(),
@@ -226,7 +226,7 @@
             search: LeadSearch::new(&config.seeds, hash),
             pulls: PullState::default(),
             conflict: ContentConflict::default(),
-            readings: ReadScheduler::new(now, ReadIntervals::new(config.drain), hash),
+            read_scheduler: ReadScheduler::new(now, ReadIntervals::new(config.drain), hash),
             lead_since: None,
             candidates: Vec::new(),
             active_regions: Vec::new(),
@@ -253,17 +253,17 @@
             FleetEvent::Tick => {}
             FleetEvent::Message(message) => self.on_message(now, message, actions),
             FleetEvent::LocalState(own) => self.on_local_state(now, own),
-            FleetEvent::Known(known) => self.on_known(now, known),
+            FleetEvent::StoreProgress(known) => self.on_store_progress(now, known),
             FleetEvent::StoreTime(started_at, time) => self.on_store_time(now, started_at, time),
             FleetEvent::Suspended(span) => {
                 self.clock.on_suspended(now, span);
-                self.known.on_suspended(span);
+                self.store_progress.on_suspended(span);
             }
             FleetEvent::RegistryRead(outcome) => {
                 self.store_reachable = outcome != ReadOutcome::Failed;
-                self.readings.on_read_finished(now, outcome);
+                self.read_scheduler.on_read_finished(now, outcome);
             }
-            FleetEvent::NextRemovalAt(at) => self.readings.set_next_removal(at),
+            FleetEvent::NextRemovalAt(at) => self.read_scheduler.set_next_removal(at),
             FleetEvent::WatchFinished(done) => self.store_reachable = done,
             FleetEvent::Lists(lists) => {
                 let newer = lists
@@ -310,14 +310,14 @@
     }
 
     /// Returns the state of the store known to this entry.
-    pub fn known(&self) -> &StoreProgress {
-        &self.known
+    pub fn store_progress(&self) -> &StoreProgress {
+        &self.store_progress
     }
 
     /// Returns the maximum time since the store confirmed that the local copy of the
     /// operator's rows is current; `None` if unknown.
     pub fn proof_age(&self, now: Instant) -> Option<Duration> {
-        self.clock.age(now, self.known.proved)
+        self.clock.age(now, self.store_progress.proved)
     }
 
     /// Returns an upper bound of the store's clock, as known to this entry.
@@ -353,12 +353,16 @@
         }
     }
 
-    fn on_known(&mut self, now: Instant, known: StoreProgress) {
-        let is_news = (known.registry, known.operator, known.desired)
-            != (self.known.registry, self.known.operator, self.known.desired);
-        let is_read = known.registry_at > self.known.registry_at;
-        self.known = known;
-        if is_news || is_read {
+    fn on_store_progress(&mut self, now: Instant, known: StoreProgress) {
+        let is_changed = (known.registry, known.operator, known.desired)
+            != (
+                self.store_progress.registry,
+                self.store_progress.operator,
+                self.store_progress.desired,
+            );
+        let is_read = known.registry_at > self.store_progress.registry_at;
+        self.store_progress = known;
+        if is_changed || is_read {
             self.digest_due = self.digest_due.min(now);
         }
     }
@@ -367,7 +371,7 @@
         self.clock.on_answer(started_at, time);
         if self.proof_age(now).is_none() {
             // The store's clock was reset.
-            self.known.proved = StoreTime::default();
+            self.store_progress.proved = StoreTime::default();
         }
     }
 
--- a/crates/place/src/fleet/member/receive.rs
+++ b/crates/place/src/fleet/member/receive.rs
@@ -111,14 +111,14 @@
             }
             self.regions.on_summary(now, summary);
         }
-        let mut heard = StoreProgress::from_report(now, &digest.store);
-        if self.clock.age(now, heard.proved).is_none() {
+        let mut received = StoreProgress::from_report(now, &digest.store);
+        if self.clock.age(now, received.proved).is_none() {
             // Either not a time of the store's clock, or the local clock cannot be
             // related to it yet.
-            heard.proved = StoreTime::default();
+            received.proved = StoreTime::default();
         }
-        if self.known.confirm(&heard)
-            && let Some(at) = self.known.registry_at
+        if self.store_progress.confirm(&received)
+            && let Some(at) = self.store_progress.registry_at
         {
             actions.push(FleetAction::ConfirmRegistry(at));
         }
--- a/crates/place/src/fleet/member/role.rs
+++ b/crates/place/src/fleet/member/role.rs
@@ -125,9 +125,10 @@
     /// Whether this entry has recently read the store while no lead of its region has
     /// store access.
     fn is_only_reader(&self, now: Instant) -> bool {
-        let read_at = self.readings.last_success_at();
-        let reads = read_at
-            .is_some_and(|at| now.saturating_duration_since(at) < self.readings.intervals().reader);
+        let read_at = self.read_scheduler.last_success_at();
+        let reads = read_at.is_some_and(|at| {
+            now.saturating_duration_since(at) < self.read_scheduler.intervals().reader
+        });
         let mut leads = self.leads.live_leads_of(now, &self.config.region);
         reads && self.store_reachable && leads.all(|lead| !lead.candidate.has_store_access)
     }
@@ -135,7 +136,7 @@
     /// Returns this entry as a lead candidate.
     pub(super) fn own_candidate(&self, now: Instant) -> LeadCandidate {
         LeadCandidate {
-            has_store_access: self.store_reachable && !self.readings.is_read_overdue(now),
+            has_store_access: self.store_reachable && !self.read_scheduler.is_read_overdue(now),
             leads: self.lead_since.is_some(),
             ..self.config.candidate.clone()
         }
--- a/crates/place/src/fleet/pull.rs
+++ b/crates/place/src/fleet/pull.rs
@@ -125,8 +125,8 @@
             None if is_ahead => PullScope::All,
             None => PullScope::Newer,
         };
-        let leads_with_news = leads_ahead(now, context, known, leads, regions, &region_leads);
-        if leads_with_news.is_empty() && scope == PullScope::Newer {
+        let newer_leads = leads_ahead(now, context, known, leads, regions, &region_leads);
+        if newer_leads.is_empty() && scope == PullScope::Newer {
             self.behind_since = None;
             return self.next_departure_pull(now, context, known, leads);
         }
@@ -149,7 +149,7 @@
         let view_address = match conflicting_lead {
             Some(view_address) => view_address,
             None if is_ahead => preferred_lead?.view_address(),
-            None => leads_with_news.into_iter().find(may_ask)?.view_address(),
+            None => newer_leads.into_iter().find(may_ask)?.view_address(),
         };
         let is_fallback = scope == PullScope::Newer
             && preferred_lead
@@ -186,11 +186,13 @@
         {
             return None;
         }
-        let heard = leads.live_leads(now).filter(|lead| {
+        let heard_leads = leads.live_leads(now).filter(|lead| {
             let is_asked = context.leads || lead.region == context.region;
             is_asked && !self.departures_asked.contains(&lead.view_address())
         });
-        let view_address = heard.min_by_key(|lead| lead.incarnation())?.view_address();
+        let view_address = heard_leads
+            .min_by_key(|lead| lead.incarnation())?
+            .view_address();
         self.departures_asked.push(view_address);
         self.active_pull = Some(view_address);
         self.last_pull_at = Some(now);
@@ -239,27 +241,26 @@
     region_leads: &[&'a LeadRecord],
 ) -> Vec<&'a LeadRecord> {
     let lacks = |lead: &&&LeadRecord| {
-        known.is_behind_registry(&lead.known)
-            || known.is_behind_operator(&lead.known)
+        known.is_behind_registry(&lead.store_progress)
+            || known.is_behind_operator(&lead.store_progress)
             || regions.is_behind(&lead.lists)
     };
-    let mut leads_with_news: Vec<&LeadRecord> =
-        region_leads.iter().filter(lacks).copied().collect();
+    let mut newer_leads: Vec<&LeadRecord> = region_leads.iter().filter(lacks).copied().collect();
     if context.leads {
         let remote_leads = leads
             .live_leads(now)
             .filter(|lead| lead.region != context.region);
-        leads_with_news
+        newer_leads
             .extend(remote_leads.filter(|lead| needs_remote(now, context, known, lead, regions)));
     }
-    leads_with_news
+    newer_leads
 }
 
 /// Whether the local registry is newer than any version the lead can have read.
 fn is_ahead(now: Instant, known: &StoreProgress, lead: &LeadRecord) -> bool {
-    let read_at = lead.known.registry_at;
+    let read_at = lead.store_progress.registry_at;
     read_at.is_some_and(|at| now.saturating_duration_since(at) < READING_TTL)
-        && known.registry >= log_version(lead.known.registry_read.saturating_add(1))
+        && known.registry >= log_version(lead.store_progress.registry_read.saturating_add(1))
 }
 
 /// Whether a lead of another region has newer data that the local region's leads cannot
@@ -274,9 +275,10 @@
     let is_old = |at: Option<Instant>, most: Duration| {
         at.is_none_or(|at| now.saturating_duration_since(at) >= most)
     };
-    let registry = known.is_behind_registry(&lead.known)
+    let registry = known.is_behind_registry(&lead.store_progress)
         && is_old(known.registry_at, context.remote_registry_delay);
-    let operator = known.is_behind_operator(&lead.known)
-        && (is_old(known.operator_at, REMOTE_OPERATOR_DELAY) || lead.known.desired > known.desired);
+    let operator = known.is_behind_operator(&lead.store_progress)
+        && (is_old(known.operator_at, REMOTE_OPERATOR_DELAY)
+            || lead.store_progress.desired > known.desired);
     registry || operator || regions.is_behind(&lead.lists)
 }
--- a/crates/place/src/limits/shift.rs
+++ b/crates/place/src/limits/shift.rs
@@ -62,7 +62,7 @@
     /// The newest counts of each peer, and how often they restarted.
     peer_counts: HashMap<u64, (RegionCounts, u64)>,
     /// Estimated requests of the peers since their last reports.
-    unheard: RegionCounts,
+    unreported: RegionCounts,
 }
 
 /// Detects the first window of traffic, in which requests may go anywhere, since there is no
@@ -90,7 +90,7 @@
             buckets: VecDeque::new(),
             current: none.clone(),
             previous: none.clone(),
-            unheard: none,
+            unreported: none,
             tally: PeerTally::new(EXTRAPOLATION_TIME),
             peer_counts: HashMap::new(),
             regions: all,
@@ -119,8 +119,8 @@
             };
             add(window, counts);
         }
-        for (region, unheard) in self.unheard.iter_mut().enumerate() {
-            *unheard = self.tally.estimate_unreported(now, region);
+        for (region, unreported) in self.unreported.iter_mut().enumerate() {
+            *unreported = self.tally.estimate_unreported(now, region);
         }
     }
 
@@ -144,7 +144,7 @@
             return true;
         }
         let mut estimated = self.current.clone();
-        add(&mut estimated, &self.unheard);
+        add(&mut estimated, &self.unreported);
         let current: u32 = estimated.iter().sum();
         let (previous, current) = (f64::from(previous), f64::from(current + 1));
         let mut moved = 0.0;
--- a/crates/place/tests/catalog.rs
+++ b/crates/place/tests/catalog.rs
@@ -155,13 +155,13 @@
     let mut catalog = ServerCatalog::new(domains());
     let both = [server("x", "a1"), server("y", "a1")];
     let first = reading(now, &both);
-    let told = RegistryDelta {
+    let delta = RegistryDelta {
         version: log_version(first.version + 700),
         whole: true,
         entries: both.to_vec(),
         ..RegistryDelta::default()
     };
-    catalog.apply_delta(now + ms(10), now, &told);
+    catalog.apply_delta(now + ms(10), now, &delta);
     catalog.apply_snapshot(now + ms(30), &reading(now + ms(20), &both[..1]));
     assert_eq!(open(&catalog), ["x"]);
 }
--- a/crates/place/tests/crashes.rs
+++ b/crates/place/tests/crashes.rs
@@ -71,7 +71,7 @@
         world.run(ms(10_000));
         datagrams_per_size.push(world.entries[follower].crash_datagrams);
     }
-    // Both leads send their statuses with each beat.
+    // Both leads send their statuses with each heartbeat.
     assert!(
         datagrams_per_size.iter().all(|datagrams| *datagrams <= 40),
         "{datagrams_per_size:?}"
--- a/crates/place/tests/departed.rs
+++ b/crates/place/tests/departed.rs
@@ -156,8 +156,8 @@
 fn an_older_word_is_not_told_on() {
     let start = Instant::now();
     let all = |log: &RegistryLog| -> Vec<EntryState> {
-        let told = log.since(0);
-        told.entries.iter().map(|entry| entry.state).collect()
+        let delta = log.since(0);
+        delta.entries.iter().map(|entry| entry.state).collect()
     };
     let mut log = RegistryLog::default();
     log.apply_snapshot(&reading(start, &[ready("x", 10)]), changes());
@@ -330,8 +330,8 @@
         ..changes()
     };
     lead.apply_snapshot(&reading(later, &[ready("x", 4)]), scope);
-    let told: RegistryDelta = lead.since(first.version);
-    let changed = catalog.apply_delta(later, later, &told);
+    let delta: RegistryDelta = lead.since(first.version);
+    let changed = catalog.apply_delta(later, later, &delta);
     assert!(is_open(&catalog, "x"));
     assert_eq!(changed, []);
 }
@@ -468,8 +468,8 @@
 #[test]
 fn an_older_word_is_told_with_the_servers_end() {
     let start = Instant::now();
-    let told = [leaving("x", 11), ready("x", 11)];
-    for (last, knows_end_first) in told.iter().flat_map(|last| [(last, false), (last, true)]) {
+    let delta = [leaving("x", 11), ready("x", 11)];
+    for (last, knows_end_first) in delta.iter().flat_map(|last| [(last, false), (last, true)]) {
         let ends = [Departure::of(last)];
         let mut lead = RegistryLog::default();
         lead.apply_snapshot(&reading(start, &[ready("y", 3)]), changes());
@@ -504,12 +504,12 @@
     let other = ready("y", 3);
     let mut lead = RegistryLog::default();
     lead.apply_snapshot(&reading(start, &[ready("x", 3), other.clone()]), changes());
-    let told = RegistryDelta {
+    let delta = RegistryDelta {
         version: lead.version() + 5000,
         departures: vec![Departure::of(&ready("x", 2))],
         ..RegistryDelta::default()
     };
-    lead.apply_delta(&told);
+    lead.apply_delta(&delta);
     let mut follower = catalog();
     follower.apply_delta(start, start, &lead.since(0));
     read(&mut follower, start + ms(9000), &[ready("x", 3), other]);
@@ -520,7 +520,7 @@
     let copy = RegistryDelta {
         whole: true,
         entries: vec![ready("y", 3)],
-        ..told.clone()
+        ..delta.clone()
     };
     lead.apply_delta(&copy);
     let mut follower = catalog();
@@ -534,7 +534,7 @@
     lead.apply_snapshot(&reading(start, &[ready("x", 3)]), changes());
     let back = RegistryDelta {
         entries: vec![ready("x", 3)],
-        ..told
+        ..delta
     };
     lead.apply_delta(&back);
     let mut follower = catalog();
@@ -561,14 +561,14 @@
             &reading(start + ms(1000), std::slice::from_ref(&other)),
             changes(),
         );
-        let told = lead.since(0);
+        let delta = lead.since(0);
         assert!(
-            told.departures.len() <= MAX_DEPARTURES,
+            delta.departures.len() <= MAX_DEPARTURES,
             "{count}: {}",
-            told.departures.len()
+            delta.departures.len()
         );
         let mut follower = catalog();
-        follower.apply_delta(start + ms(1000), start, &told);
+        follower.apply_delta(start + ms(1000), start, &delta);
         read(
             &mut follower,
             start + ms(2000),
--- a/crates/place/tests/due.rs
+++ b/crates/place/tests/due.rs
@@ -83,7 +83,7 @@
             let digest = digest_of(port, incarnation);
             member.on_event(now, FleetEvent::Message(digest), &mut actions);
         }
-        member.on_event(now, FleetEvent::Known(known), &mut actions);
+        member.on_event(now, FleetEvent::StoreProgress(known), &mut actions);
         for action in actions.drain(..) {
             let FleetAction::Pull(target) = action else {
                 continue;
--- a/crates/place/tests/fleet.rs
+++ b/crates/place/tests/fleet.rs
@@ -415,17 +415,17 @@
     let lead = world.leads(1)[0];
     let region_entries: Vec<usize> = (0..300).filter(|entry| region_of(*entry) == 1).collect();
     for entry in &region_entries {
-        let mut known = *world.entries[*entry].member.known();
+        let mut known = *world.entries[*entry].member.store_progress();
         if *entry != lead && !world.entries[*entry].member.leads() {
             known.registry = u64::MAX - 7;
-            world.deliver_event(*entry, FleetEvent::Known(known));
+            world.deliver_event(*entry, FleetEvent::StoreProgress(known));
         }
     }
     world.run(ms(6000));
     world.change();
     world.run(ms(3000));
     for entry in region_entries {
-        let known = world.entries[entry].member.known();
+        let known = world.entries[entry].member.store_progress();
         assert_eq!(known.registry, log_version(world.registry), "entry {entry}");
     }
 }
@@ -486,7 +486,7 @@
             let mut world = settled(count);
             world.run(ms(300));
             let leads = world.leads(1);
-            let first = |entry: &usize| world.entries[*entry].member.known().registry_at;
+            let first = |entry: &usize| world.entries[*entry].member.store_progress().registry_at;
             let reader = *leads.iter().max_by_key(|entry| first(entry)).unwrap();
             let near = |entry: &usize| region_of(*entry) == 1;
             let region: Vec<usize> = (0..count).filter(near).collect();
@@ -557,13 +557,13 @@
     let follower = follower.unwrap();
     world.change();
     world.skip_changes(follower);
-    let mut known = *world.entries[follower].member.known();
+    let mut known = *world.entries[follower].member.store_progress();
     known.operator = world.operator + 5;
     known.desired = known.operator;
-    world.deliver_event(follower, FleetEvent::Known(known));
+    world.deliver_event(follower, FleetEvent::StoreProgress(known));
     while world.missing_changes().contains(&follower) {
         world.run(ms(10));
-        let now_known = world.entries[follower].member.known().operator;
+        let now_known = world.entries[follower].member.store_progress().operator;
         assert_eq!(now_known, known.operator);
     }
 }
--- a/crates/place/tests/fleet_world/mod.rs
+++ b/crates/place/tests/fleet_world/mod.rs
@@ -121,7 +121,7 @@
     clock: Option<Instant>,
     watches: bool,
     watching: bool,
-    watch_begun: Instant,
+    watch_started_at: Instant,
     /// The process stands still until this time.
     paused_until: Option<Instant>,
     /// How far its clock is behind virtual time.
@@ -227,7 +227,7 @@
                 clock: None,
                 watches: false,
                 watching: false,
-                watch_begun: at,
+                watch_started_at: at,
                 paused_until: None,
                 behind: Duration::ZERO,
             });
@@ -372,7 +372,7 @@
         for action in actions {
             self.act(entry, action);
         }
-        let known = *self.entries[entry].member.known();
+        let known = *self.entries[entry].member.store_progress();
         let own = LocalEntryState {
             ready: known.is_complete() && !self.entries[entry].own.leaving,
             proof_within: self.proof_within,
@@ -512,7 +512,7 @@
             self.deliver_event(entry, FleetEvent::RegistryRead(ReadOutcome::Failed));
             return;
         }
-        let mut known = *self.entries[entry].member.known();
+        let mut known = *self.entries[entry].member.store_progress();
         let before = known.content;
         if known.registry >= log_version(self.version + 1) {
             // No read can have returned that version, so the log is reset.
@@ -525,20 +525,20 @@
             known.registry_read + 1
         };
         // Changes since the last read.
-        let news: Vec<u64> = self.servers.range(first..).copied().collect();
+        let changes: Vec<u64> = self.servers.range(first..).copied().collect();
         let stamp = log_version(self.registry).max(known.registry + 1);
-        for change in news {
+        for change in changes {
             self.entries[entry].servers.entry(change).or_insert(stamp);
         }
         known.content = self.content(entry);
-        let is_news = known.registry_at.is_none() || known.content != before;
-        if is_news {
+        let is_changed = known.registry_at.is_none() || known.content != before;
+        if is_changed {
             known.registry = stamp;
         }
         known.registry_read = self.version;
         known.registry_at = Some(started_at + call.wait);
-        self.deliver_event(entry, FleetEvent::Known(known));
-        let outcome = if is_news {
+        self.deliver_event(entry, FleetEvent::StoreProgress(known));
+        let outcome = if is_changed {
             ReadOutcome::Changed
         } else {
             ReadOutcome::Unchanged
@@ -551,34 +551,36 @@
             self.deliver_event(entry, FleetEvent::PullFinished(address(from), false));
             return;
         }
-        let told = *self.entries[from].member.known();
+        let peer_progress = *self.entries[from].member.store_progress();
         let answered = self.local_time(from, self.now) - self.delay(entry, from);
         let latest = self.entries[from].member.latest_store_time(answered);
         self.deliver_event(entry, FleetEvent::StoreTime(started_at, latest));
-        let mut known = *self.entries[entry].member.known();
+        let mut known = *self.entries[entry].member.store_progress();
         let whole = scope.is_whole();
-        if whole || known.is_behind_registry(&told) {
-            let teller = self.entries[from].servers.clone();
+        if whole || known.is_behind_registry(&peer_progress) {
+            let peer_servers = self.entries[from].servers.clone();
             let servers = &mut self.entries[entry].servers;
             if whole {
                 servers.clear();
             }
-            let is_news = |stamp: u64| whole || stamp > known.registry;
-            let news = teller.into_iter().filter(|(_, stamp)| is_news(*stamp));
-            servers.extend(news.map(|(change, _)| (change, told.registry)));
-            known.registry = told.registry;
+            let is_newer = |stamp: u64| whole || stamp > known.registry;
+            let changes = peer_servers
+                .into_iter()
+                .filter(|(_, stamp)| is_newer(*stamp));
+            servers.extend(changes.map(|(change, _)| (change, peer_progress.registry)));
+            known.registry = peer_progress.registry;
             known.content = self.content(entry);
-            known.registry_read = told.registry_read;
-            known.registry_at = told.registry_at;
+            known.registry_read = peer_progress.registry_read;
+            known.registry_at = peer_progress.registry_at;
         }
-        if scope == PullScope::All || known.is_behind_operator(&told) {
-            known.replace_operator(&told);
-            known.desired = told.desired;
+        if scope == PullScope::All || known.is_behind_operator(&peer_progress) {
+            known.replace_operator(&peer_progress);
+            known.desired = peer_progress.desired;
         }
-        known.confirm_operator(&told);
+        known.confirm_operator(&peer_progress);
         let versions = self.entries[entry].member.regions().versions();
         let lists = self.entries[from].member.regions().lists_since(&versions);
-        self.deliver_event(entry, FleetEvent::Known(known));
+        self.deliver_event(entry, FleetEvent::StoreProgress(known));
         self.deliver_event(entry, FleetEvent::Lists(lists));
         self.deliver_event(entry, FleetEvent::PullFinished(address(from), true));
     }
@@ -586,7 +588,7 @@
     fn begin_watch(&mut self, entry: usize, wait: Duration) {
         self.calls += 1;
         self.entries[entry].watching = true;
-        self.entries[entry].watch_begun = self.local_time(entry, self.now);
+        self.entries[entry].watch_started_at = self.local_time(entry, self.now);
         self.push(
             self.now + wait + STORE_LATENCY,
             entry,
@@ -594,29 +596,29 @@
         );
     }
 
-    fn end_watch(&mut self, entry: usize, told: Option<(u64, StoreTime)>) {
+    fn end_watch(&mut self, entry: usize, answer: Option<(u64, StoreTime)>) {
         self.entries[entry].watching = false;
-        if let Some((operator, time)) = told {
+        if let Some((operator, time)) = answer {
             self.learn_operator(entry, operator, time);
         }
-        self.deliver_event(entry, FleetEvent::WatchFinished(told.is_some()));
+        self.deliver_event(entry, FleetEvent::WatchFinished(answer.is_some()));
         if self.entries[entry].watches && !self.entries[entry].watching {
             let age = self.proof_age(entry).unwrap_or_default();
             let wait = WATCH_DURATION.saturating_sub(age);
-            self.begin_watch(entry, if told.is_some() { wait } else { ms(1200) });
+            self.begin_watch(entry, if answer.is_some() { wait } else { ms(1200) });
         }
     }
 
     fn learn_operator(&mut self, entry: usize, operator: u64, time: StoreTime) {
-        let started_at = self.entries[entry].watch_begun;
+        let started_at = self.entries[entry].watch_started_at;
         self.deliver_event(entry, FleetEvent::StoreTime(started_at, time));
-        let mut known = *self.entries[entry].member.known();
+        let mut known = *self.entries[entry].member.store_progress();
         known.operator = known.operator.max(operator);
         known.operator_read = self.version;
         known.operator_at = Some(self.local_time(entry, self.now));
         known.desired = known.desired.max(operator);
         known.proved = known.proved.max(time);
-        self.deliver_event(entry, FleetEvent::Known(known));
+        self.deliver_event(entry, FleetEvent::StoreProgress(known));
     }
 
     /// Returns the store's clock, which did not start at zero.
@@ -645,7 +647,7 @@
     /// Returns how long ago the operator made the oldest change that `entry` does not
     /// know; `None` if it knows all.
     pub fn oldest_missed_change_age(&self, entry: usize) -> Option<Duration> {
-        let known = self.entries[entry].member.known().operator;
+        let known = self.entries[entry].member.store_progress().operator;
         let missed = self.changes.iter().find(|(_, version)| *version > known);
         missed.map(|(at, _)| self.now - *at)
     }
@@ -671,11 +673,11 @@
     /// Makes `entry` believe it knows the registry as of `version`, without learning any
     /// change.
     pub fn claim_version(&mut self, entry: usize, version: u64) {
-        let mut known = *self.entries[entry].member.known();
+        let mut known = *self.entries[entry].member.store_progress();
         known.registry = log_version(version);
         known.registry_read = version;
         known.registry_at = Some(self.local_time(entry, self.now));
-        self.deliver_event(entry, FleetEvent::Known(known));
+        self.deliver_event(entry, FleetEvent::StoreProgress(known));
     }
 
     /// Returns live entries that lack registry changes, whatever version they claim.
@@ -755,7 +757,7 @@
     pub fn behind(&self) -> Vec<usize> {
         let mut live = self.live();
         live.retain(|entry| {
-            let known = self.entries[*entry].member.known();
+            let known = self.entries[*entry].member.store_progress();
             !known.is_complete()
                 || known.registry < log_version(self.registry)
                 || known.operator < self.operator
--- a/crates/place/tests/log.rs
+++ b/crates/place/tests/log.rs
@@ -75,8 +75,8 @@
         changes(),
     );
     assert_eq!(log.version(), log_version(40));
-    let told = log.since(0);
-    assert!(told.whole && told.entries.len() == 1 && told.departures.is_empty());
+    let delta = log.since(0);
+    assert!(delta.whole && delta.entries.len() == 1 && delta.departures.is_empty());
 }
 
 proptest! {
--- a/crates/place/tests/proofs.rs
+++ b/crates/place/tests/proofs.rs
@@ -200,7 +200,7 @@
         .find(|entry| region_of(*entry) == 0 && !world.entries[*entry].member.leads())
         .unwrap();
     let digest = |world: &FleetWorld, proved: StoreTime| {
-        let known = world.entries[lead].member.known();
+        let known = world.entries[lead].member.store_progress();
         PeerMessage::Digest(Box::new(RegionDigest {
             incarnation: 1,
             candidate: LeadCandidate {
@@ -216,7 +216,7 @@
             regions: Vec::new(),
         }))
     };
-    let known_proof = world.entries[follower].member.known().proved;
+    let known_proof = world.entries[follower].member.store_progress().proved;
     let old = digest(&world, known_proof);
     world.entries[follower].group = 9;
     world.entries[follower].store_times_out = true;
--- a/crates/place/tests/relisting.rs
+++ b/crates/place/tests/relisting.rs
@@ -48,15 +48,15 @@
             }
             let started_at = now;
             // The store answers immediately if there is a change, otherwise after the wait.
-            let is_news = catalog.missing().next().is_none() && dropped < started_at + wait;
-            now = if is_news {
+            let is_changed = catalog.missing().next().is_none() && dropped < started_at + wait;
+            now = if is_changed {
                 dropped.max(started_at)
             } else {
                 started_at + wait
             } + ANSWER;
             let rows = if now > dropped { &both[..1] } else { &both[..] };
             catalog.apply_snapshot(now, &reading(started_at, rows));
-            let outcome = if is_news {
+            let outcome = if is_changed {
                 ReadOutcome::Changed
             } else {
                 ReadOutcome::Unchanged
--- a/crates/place/tests/runs.rs
+++ b/crates/place/tests/runs.rs
@@ -79,7 +79,7 @@
     let mut placer = placer(now, &[run("x", 1000, 9)]);
     let former = placer.place(now, &request(&board, Some(7))).unwrap();
     placer.on_request(now, &board, Some(7), None);
-    let told = placer.own_load(now);
+    let own_report = placer.own_load(now);
     let mut fresh = run("x", 2000, 1);
     fresh.cold_remaining = ms(3000);
     placer
@@ -87,7 +87,7 @@
         .apply_snapshot(now + ms(5), &reading(now + ms(5), &[fresh]));
     let later = now + ms(10);
     // Another entry's load report, and an answer, both of the earlier run.
-    placer.on_peer_load(later, 5, told);
+    placer.on_peer_load(later, 5, own_report);
     let report = ServerReport {
         running: 4,
         waiting: 9,
--- a/crates/rollout/src/controller/mod.rs
+++ b/crates/rollout/src/controller/mod.rs
@@ -298,7 +298,7 @@
             RolloutPhase::Running => {
                 match rollout.final_phase(now, servers, self.in_flight_on_old(now, rollout)) {
                     // The other entries may have found the version to be bad.
-                    Some(RolloutPhase::Completed) if !self.hears_majority(now) => return None,
+                    Some(RolloutPhase::Completed) if !self.has_quorum(now) => return None,
                     Some(phase) => phase,
                     None if rollout.is_stored => return None,
                     None => RolloutPhase::Running,
--- a/crates/rollout/src/controller/reports.rs
+++ b/crates/rollout/src/controller/reports.rs
@@ -33,9 +33,9 @@
 
     /// Records a report of the entry `peer`.
     pub fn on_report(&mut self, now: Instant, peer: u64, report: &RolloutReport) {
-        let news = self.tally.on_report(now, peer, &report.to_count_report());
+        let added_counts = self.tally.on_report(now, peer, &report.to_count_report());
         let mut sums: BTreeMap<(u64, bool, u64), AnswerCounts> = BTreeMap::new();
-        for (key, count) in news {
+        for (key, count) in added_counts {
             let count = u32::try_from(count).unwrap_or(0);
             let sum = sums.entry((key.revision, key.is_new, key.route));
             sum.or_default().add(key.kind, count);
@@ -94,17 +94,17 @@
     /// Whether at least half of the entries in service reported recently. An entry that is
     /// partitioned from them, but not from the store, must not complete a rollout that they
     /// have rolled back.
-    pub(super) fn hears_majority(&self, now: Instant) -> bool {
+    pub(super) fn has_quorum(&self, now: Instant) -> bool {
         let is_fresh = |at: Instant| now.saturating_duration_since(at) < REPORT_TTL;
-        let heard = self.tally.peers().filter(|(_, at)| is_fresh(*at)).count();
-        (heard + 1) * 2 >= self.entries
+        let fresh_peers = self.tally.peers().filter(|(_, at)| is_fresh(*at)).count();
+        (fresh_peers + 1) * 2 >= self.entries
     }
 
     /// Returns the number of requests in flight at old versions, over all entries with a recent
     /// report.
     pub(super) fn in_flight_on_old(&self, now: Instant, rollout: &ServiceRollout) -> u32 {
-        let heard = rollout.in_flight_on_old.values();
-        let fresh = heard.filter(|(at, _)| now.saturating_duration_since(*at) < REPORT_TTL);
+        let counts = rollout.in_flight_on_old.values();
+        let fresh = counts.filter(|(at, _)| now.saturating_duration_since(*at) < REPORT_TTL);
         let others: u32 = fresh.map(|(_, count)| count).sum();
         others + self.sends.in_flight_on_old(&rollout.record.order.service)
     }
