--- a/crates/place/tests/advertise.rs
+++ b/crates/place/tests/advertise.rs
@@ -40,7 +40,7 @@
 /// In a region whose entries differ twentyfold in capacity only large ones are
 /// advertised, and more of them as the load grows.
 #[test]
-fn able_entries_take_the_callers() {
+fn large_entries_are_advertised_first() {
     assert_eq!(nodes(&unequal(10.0)).len(), 3);
     assert!(
         nodes(&unequal(700.0))
@@ -53,7 +53,7 @@
 /// Large entries are lost one after another. Two of them are still better than all small
 /// ones; when only one is left, all entries share the load.
 #[test]
-fn the_others_take_over_when_able_ones_are_lost() {
+fn small_entries_are_advertised_after_loss_of_large_ones() {
     let all = unequal(700.0);
     assert_eq!(nodes(&all[2..]), ["n2", "n3"]);
     assert_eq!(nodes(&all[3..]).len(), 13);
@@ -62,7 +62,7 @@
 
 /// The advertised entries span two failure domains, so the loss of one leaves some.
 #[test]
-fn named_entries_stand_in_two_domains() {
+fn advertised_entries_span_two_domains() {
     let mut all = unequal(10.0);
     for entry in &mut all[..4] {
         entry.domain = "a1";
@@ -79,7 +79,7 @@
 
 /// The scarcer of CPU and bandwidth determines the capacity of an entry.
 #[test]
-fn the_tighter_resource_decides() {
+fn scarcer_resource_determines_capacity() {
     assert_eq!(capacity(0.5, 200.0), 1000);
     assert_eq!(capacity(0.1, 10.0), 50);
     assert_eq!(capacity(0.2, 1000.0), 800);
@@ -88,7 +88,7 @@
 
 /// The measured rate converges within a few measurements.
 #[test]
-fn a_rate_is_followed() {
+fn measured_rate_converges() {
     let mut meter = RateMeter::default();
     let mut rate = 0.0;
     for _ in 0..10 {
@@ -110,7 +110,7 @@
     /// capacity than an entry of its failure domain that was left out, and the order of
     /// the input does not matter.
     #[test]
-    fn some_are_named_whatever_they_are(
+    fn selection_holds_for_any_entries(
         entries in prop::collection::vec((1_u32..2000, 0_u32..400), 1..16),
     ) {
         let all: Vec<ServingEntry<'_>> = entries
--- a/crates/place/tests/catalog.rs
+++ b/crates/place/tests/catalog.rs
@@ -41,7 +41,7 @@
 /// A heartbeat written before the server started draining, and read after it, does not make the
 /// server ready again.
 #[test]
-fn an_old_heartbeat_brings_no_server_back() {
+fn old_heartbeat_does_not_restore_draining_server() {
     let now = Instant::now();
     let mut catalog = ServerCatalog::new(domains());
     let mut leaving = server("x", "a1");
@@ -60,7 +60,7 @@
 /// Servers whose rows lapsed during a registry outage stay in use until the registry has been
 /// back for two seconds. Those that are still missing then are removed.
 #[test]
-fn lapsed_entries_are_kept_until_the_registry_has_heard_from_all() {
+fn lapsed_servers_are_kept_until_grace_period_ends() {
     let now = Instant::now();
     let mut catalog = ServerCatalog::new(domains());
     catalog.apply_snapshot(now, &reading(now, &[server("x", "a1"), server("y", "a1")]));
@@ -88,7 +88,7 @@
 /// server that leaves later is removed at once. Rows that disappeared during the outage are
 /// still kept for two seconds.
 #[test]
-fn another_entrys_reading_ends_a_disturbance() {
+fn snapshot_of_another_entry_ends_outage() {
     let now = Instant::now();
     let both = [server("x", "a1"), server("y", "a1")];
     for (after, expected) in [(500, &["x", "y"][..]), (9000, &["x"])] {
@@ -104,7 +104,7 @@
 
 /// A snapshot that began before the newest one is ignored.
 #[test]
-fn an_older_snapshot_is_ignored() {
+fn older_snapshot_is_ignored() {
     let now = Instant::now();
     let mut catalog = ServerCatalog::new(domains());
     catalog.apply_snapshot(now + ms(10), &reading(now + ms(10), &[server("x", "a1")]));
@@ -115,7 +115,7 @@
 /// A placement stays valid until its server drains, is removed, restarts, or is closed by a
 /// foreign row or an evacuation. A server that other requests could not reach stays valid.
 #[test]
-fn a_choice_stands_until_its_server_is_closed() {
+fn placement_is_valid_until_server_is_closed() {
     let now = Instant::now();
     let later = now + ms(100);
     let ready = server("x", "a1");
@@ -150,7 +150,7 @@
 /// A version that the store never had, such as from a damaged message, does not block later
 /// snapshots.
 #[test]
-fn a_version_that_the_store_never_had_keeps_nothing_out() {
+fn version_ahead_of_store_does_not_block_snapshots() {
     let now = Instant::now();
     let mut catalog = ServerCatalog::new(domains());
     let both = [server("x", "a1"), server("y", "a1")];
@@ -169,7 +169,7 @@
 /// The answer to a long poll counts, although another entry's read began and ended during
 /// the poll.
 #[test]
-fn an_answer_that_waited_counts_for_what_it_holds() {
+fn long_poll_answer_counts_by_its_version() {
     let now = Instant::now();
     let mut catalog = ServerCatalog::new(domains());
     let both = [server("x", "a1"), server("y", "a1")];
@@ -186,7 +186,7 @@
 /// An evacuated failure domain gets no requests. When the evacuation ends, its servers count as
 /// cold for the warm-up time.
 #[test]
-fn an_evacuated_domain_gets_nothing_and_returns_cold() {
+fn evacuated_domain_gets_no_requests_and_returns_cold() {
     let now = Instant::now();
     let mut catalog = ServerCatalog::new(domains());
     catalog.apply_snapshot(now, &reading(now, &[server("x", "a1"), server("y", "a2")]));
--- a/crates/place/tests/copies.rs
+++ b/crates/place/tests/copies.rs
@@ -124,7 +124,7 @@
 /// not with the number of entries as well. With the leads alone it never completes for a large
 /// region, because copies arrive after the requesters have given up.
 #[test]
-fn copies_spread_over_those_that_have_one() {
+fn relays_bound_the_time_until_all_have_copies() {
     for entries in [100, 300, 1000, 2000] {
         let took = spread_time(entries, true, 0).expect("every entry has a copy");
         let max_time = one_copy(entries) * MAX_SUCCESSIVE_COPIES + OVERHEAD;
@@ -142,7 +142,7 @@
 
 /// Entries that stop after they received a copy must not keep others from getting one.
 #[test]
-fn a_relay_that_ends_costs_one_more_question() {
+fn lost_relays_do_not_prevent_copies() {
     let took = spread_time(1000, true, 60).expect("every entry has a copy");
     assert!(
         took <= one_copy(1000) * MAX_SUCCESSIVE_COPIES + OVERHEAD * 2,
--- a/crates/place/tests/crashes.rs
+++ b/crates/place/tests/crashes.rs
@@ -49,7 +49,7 @@
 /// A request that crashed three servers, each seen by an entry of a different region, must be
 /// refused by all entries within 1.5 s at any fleet size.
 #[test]
-fn what_each_entry_saw_once_all_know_soon() {
+fn request_that_crashed_three_servers_is_refused_everywhere() {
     for count in [12, 300, 1000] {
         let mut world = settled(count);
         crash(&mut world, &[0, 4, 11], 100);
@@ -60,7 +60,7 @@
 
 /// The datagrams of an entry that doesn't lead must not increase with the fleet size.
 #[test]
-fn it_costs_the_same_in_a_large_fleet() {
+fn datagrams_do_not_grow_with_fleet_size() {
     let mut datagrams_per_size = Vec::new();
     for count in [100, 1000] {
         let mut world = settled(count);
@@ -84,7 +84,7 @@
 
 /// A quarantine must survive the leads that detected the cause.
 #[test]
-fn a_quarantine_outlives_the_leads() {
+fn quarantine_survives_loss_of_leads() {
     let mut world = settled(60);
     crash(&mut world, &[0, 4, 11], 100);
     world.run(ms(1500));
@@ -105,7 +105,7 @@
 
 /// A quarantine must survive the loss of all entries, with a single row in the store.
 #[test]
-fn a_quarantine_outlives_all_entries() {
+fn quarantine_survives_loss_of_all_entries() {
     let mut world = settled(60);
     crash(&mut world, &[0, 4, 11], 100);
     world.run(ms(1500));
@@ -123,7 +123,7 @@
 
 /// A cleared request must be removed from the store, even if the store was down at that time.
 #[test]
-fn a_cleared_request_leaves_the_store() {
+fn cleared_request_is_removed_from_store() {
     let mut world = settled(60);
     crash(&mut world, &[0, 4, 11], 100);
     world.run(ms(1500));
@@ -139,7 +139,7 @@
 
 /// A successful answer at any entry must clear the request at all entries.
 #[test]
-fn a_good_answer_clears_a_request_everywhere() {
+fn successful_answer_clears_request_everywhere() {
     let mut world = settled(60);
     crash(&mut world, &[0, 4, 11], 100);
     world.run(ms(1500));
@@ -168,7 +168,7 @@
 
 /// Messages about a cleared request must stop soon.
 #[test]
-fn a_cleared_request_is_soon_forgotten() {
+fn messages_about_cleared_request_stop() {
     let mut world = settled(60);
     crash(&mut world, &[0, 4, 11], 100);
     world.run(ms(1500));
@@ -189,7 +189,7 @@
 /// Two crashes must not be enough for a quarantine. A crash seen by several entries counts
 /// once.
 #[test]
-fn two_ends_may_be_chance() {
+fn two_crashes_do_not_quarantine() {
     let mut world = settled(60);
     for entry in [0, 4, 11, 20] {
         crash(&mut world, &[entry, entry + 1], 100);
@@ -201,7 +201,7 @@
 /// After a quarantine, one further crash must be enough for the next one; without a crash the
 /// request must be served.
 #[test]
-fn a_quarantine_ends_and_returns() {
+fn one_crash_after_quarantine_renews_it() {
     let (mut ledger, mut statuses) = (CrashLedger::default(), QuarantineTable::default());
     let mut now = Instant::now();
     for run in 0..3 {
@@ -235,7 +235,7 @@
 
 /// A request must be clearable after any number of other clearings.
 #[test]
-fn one_among_many_is_cleared() {
+fn request_is_cleared_after_many_others() {
     let mut statuses = QuarantineTable::default();
     let now = Instant::now();
     for fingerprint in 100..1000 {
@@ -249,7 +249,7 @@
 
 /// A clearing must be sent even if the queue is full of reports.
 #[test]
-fn a_clearing_is_told_among_many_reports() {
+fn clearing_is_sent_despite_full_queue() {
     let mut outbox = CrashOutbox::default();
     let now = Instant::now();
     for fingerprint in 100..1000 {
@@ -263,7 +263,7 @@
 
 /// A request that is often in flight beside the cause must not be mistaken for it.
 #[test]
-fn a_constant_companion_is_not_refused() {
+fn frequent_bystander_is_not_refused() {
     let (mut ledger, mut statuses) = (CrashLedger::default(), QuarantineTable::default());
     let now = Instant::now();
     for run in 0..8 {
@@ -278,7 +278,7 @@
 
 /// If servers crash regardless of what they run, only a few requests may be refused for it.
 #[test]
-fn a_service_that_ends_by_itself_refuses_few() {
+fn unrelated_crashes_refuse_few_requests() {
     let (mut ledger, mut statuses) = (CrashLedger::default(), QuarantineTable::default());
     let now = Instant::now();
     for run in 0..400 {
--- a/crates/place/tests/departed.rs
+++ b/crates/place/tests/departed.rs
@@ -49,7 +49,7 @@
 /// A registration that is no newer than the last one of a departed server must not bring it
 /// back. If the server had announced its departure, no registration of that run may.
 #[test]
-fn a_heartbeat_that_the_store_performs_late_brings_no_server_back() {
+fn late_heartbeat_does_not_restore_departed_server() {
     let cases = [
         (
             "announced, older registration",
@@ -102,7 +102,7 @@
 
 /// A later run of a departed server must be accepted, whatever its sequence number.
 #[test]
-fn a_later_run_of_a_server_that_left_is_taken_in() {
+fn later_run_of_departed_server_is_accepted() {
     let start = Instant::now();
     let mut catalog = catalog();
     read(&mut catalog, start, &[leaving("x", 11)]);
@@ -115,7 +115,7 @@
 
 /// A full copy from a lagging entry must not bring back a server that the receiver saw leave.
 #[test]
-fn a_copy_of_an_entry_that_is_behind_brings_no_server_back() {
+fn lagging_copy_does_not_restore_departed_server() {
     for last in [leaving("x", 11), ready("x", 11)] {
         let start = Instant::now();
         let other = ready("y", 3);
@@ -137,7 +137,7 @@
 /// A live server that is missing from a lagging entry's copy must be known again after the next
 /// read, although its registration hasn't changed.
 #[test]
-fn a_copy_that_lacks_a_live_server_keeps_it_out_no_longer_than_until_the_next_reading() {
+fn live_server_missing_from_copy_returns_with_next_read() {
     let start = Instant::now();
     let both = [ready("x", 10), ready("y", 3)];
     let mut behind = RegistryLog::default();
@@ -153,7 +153,7 @@
 /// The log must not replace the news that a server is leaving with an older registration,
 /// whether that comes from the store or from another entry.
 #[test]
-fn an_older_word_is_not_told_on() {
+fn log_does_not_replace_draining_with_older_registration() {
     let start = Instant::now();
     let all = |log: &RegistryLog| -> Vec<EntryState> {
         let delta = log.since(0);
@@ -174,7 +174,7 @@
 /// An entry that starts must be told which servers have left, so that an obsolete registration
 /// in its first own read doesn't bring one back.
 #[test]
-fn an_entry_that_starts_hears_which_servers_have_left() {
+fn starting_entry_receives_departures() {
     let start = Instant::now();
     let other = ready("y", 3);
     let mut lead = RegistryLog::default();
@@ -197,7 +197,7 @@
 /// A row that disappeared while some calls fail must not be kept for longer than a leaving
 /// server may get requests: the registry answers in between, so nothing has expired.
 #[test]
-fn calls_that_fail_now_and_then_keep_no_server_that_is_gone() {
+fn intermittent_read_failures_do_not_delay_removal() {
     for gap in [300, 700, 1100, 1500, 1900, 2300, 2700, 3100, 4100] {
         let start = Instant::now();
         let mut catalog = catalog();
@@ -225,7 +225,7 @@
 /// The same for a registry that rarely answers: each failure starts a new grace period for live
 /// servers, but must not restart it for a row that is already missing.
 #[test]
-fn a_registry_that_answers_seldom_keeps_no_server_without_end() {
+fn repeated_outages_do_not_restart_grace_period() {
     const MAX_TIME: Duration = Duration::from_millis(8000);
     let start = Instant::now();
     let mut catalog = catalog();
@@ -254,7 +254,7 @@
 /// Rows that expired during a real outage must be kept until live servers had time to register
 /// again, although another call fails in the meantime.
 #[test]
-fn a_row_that_lapsed_in_an_outage_is_kept_for_its_server() {
+fn row_expired_in_outage_is_kept_for_grace_period() {
     let start = Instant::now();
     let both = [ready("x", 1), ready("y", 1)];
     let mut catalog = catalog();
@@ -274,7 +274,7 @@
 /// lead again must read the registry once more when the grace period ends, and retry if that
 /// fails.
 #[test]
-fn a_follower_ends_the_wait_that_it_began() {
+fn follower_reads_when_its_grace_period_ends() {
     let start = Instant::now();
     let mut scheduler = ReadScheduler::new(start, ReadIntervals::new(DRAIN), 1);
     let follower = ReadRole::Follower {
@@ -317,7 +317,7 @@
 /// A server that leaves and is listed again within a single change must keep its state: it is
 /// the same run.
 #[test]
-fn a_server_that_is_back_in_the_same_change_is_not_forgotten() {
+fn server_relisted_in_same_change_keeps_its_state() {
     let start = Instant::now();
     let mut lead = RegistryLog::default();
     lead.apply_snapshot(&reading(start, &[ready("x", 1)]), changes());
@@ -339,7 +339,7 @@
 /// A row that is dropped and listed again between two reads belongs to a live server only if it
 /// is newer than the dropped one, even if nobody read that one. Followers must see the same.
 #[test]
-fn a_row_that_is_listed_again_between_two_readings_needs_a_newer_word() {
+fn row_relisted_between_reads_needs_newer_registration() {
     // The sequence numbers known, dropped and listed, and whether the server is alive.
     let cases = [
         (1, None, 1, false),
@@ -377,7 +377,7 @@
 /// A read that reports a row's drop late, after another entry sent a newer registration, must
 /// not keep the live server out.
 #[test]
-fn a_late_drop_keeps_no_live_server_out() {
+fn late_drop_does_not_remove_live_server() {
     let start = Instant::now();
     let mut catalog = catalog();
     let mut lead = RegistryLog::default();
@@ -392,7 +392,7 @@
 /// A lead's message that waited unread while the process was suspended must age by that time. A
 /// read that never happened stays unset.
 #[test]
-fn a_word_that_waited_is_older_by_the_wait() {
+fn delayed_message_ages_by_its_delay() {
     let now = Instant::now();
     let known = StoreProgress {
         registry_at: Some(now - ms(100)),
@@ -407,7 +407,7 @@
 /// A server that is missing from a full copy at least as new as the receiver's knowledge has
 /// left: only a newer registration may bring it back.
 #[test]
-fn a_server_that_a_newer_copy_lacks_needs_a_newer_registration() {
+fn server_missing_from_newer_copy_needs_newer_registration() {
     for (seq, is_live) in [(10, false), (11, true)] {
         let start = Instant::now();
         let both = [ready("x", 10), ready("y", 3)];
@@ -427,7 +427,7 @@
 /// The departure of a server that didn't announce it must expire, so that a corrupted message
 /// can't keep a live server out for long.
 #[test]
-fn an_unannounced_departure_expires() {
+fn unannounced_departure_expires() {
     const MAX_TIME: Duration = Duration::from_secs(30);
     let start = Instant::now();
     let both = [ready("x", 10), ready("y", 3)];
@@ -443,7 +443,7 @@
 /// Entries that saw a server announce its departure must agree on an obsolete registration of
 /// it, whether or not they saw its row dropped.
 #[test]
-fn entries_agree_on_an_obsolete_registration() {
+fn entries_agree_on_obsolete_registration() {
     let start = Instant::now();
     let other = ready("y", 3);
     let steps = [
@@ -466,7 +466,7 @@
 /// A lead that knows a server's departure must not send an obsolete registration without it,
 /// whichever of the two it learned first.
 #[test]
-fn an_older_word_is_told_with_the_servers_end() {
+fn obsolete_registration_is_sent_with_departure() {
     let start = Instant::now();
     let delta = [leaving("x", 11), ready("x", 11)];
     for (last, knows_end_first) in delta.iter().flat_map(|last| [(last, false), (last, true)]) {
@@ -499,7 +499,7 @@
 /// When another entry reports a departure with an older registration than the one known here,
 /// the log must pass on the newer one.
 #[test]
-fn an_end_that_is_told_on_has_the_last_word_that_is_known() {
+fn forwarded_departure_has_newest_known_registration() {
     let start = Instant::now();
     let other = ready("y", 3);
     let mut lead = RegistryLog::default();
@@ -545,7 +545,7 @@
 /// The number of departures sent must be bounded however many servers leave at once, and the
 /// latest thousand must stay out.
 #[test]
-fn the_number_of_departures_sent_is_bounded() {
+fn number_of_sent_departures_is_bounded() {
     const MAX_DEPARTURES: usize = 1024;
     for count in [100, 300, 1000, 3000] {
         let start = Instant::now();
@@ -583,7 +583,7 @@
 /// A row that disappeared during an outage and is listed again during the grace period must not
 /// count as the live server's if it is older than the last known registration.
 #[test]
-fn an_older_word_ends_no_wait() {
+fn older_registration_does_not_end_grace_period() {
     for (seq, is_live) in [(9, false), (11, true)] {
         let start = Instant::now();
         let both = [ready("x", 10), ready("y", 3)];
@@ -609,7 +609,7 @@
 /// The departure that is sent after the grace period must include the row's last registration,
 /// even if that was first seen in the read that reported the drop.
 #[test]
-fn the_end_after_a_wait_has_the_last_word() {
+fn departure_after_grace_period_has_last_registration() {
     let start = Instant::now();
     let other = ready("y", 3);
     let mut lead = RegistryLog::default();
--- a/crates/place/tests/due.rs
+++ b/crates/place/tests/due.rs
@@ -38,7 +38,7 @@
 /// Guards against a due time that moves with each call: an entry whose loop was woken by
 /// other datagrams more often than its search interval never searched for a lead.
 #[test]
-fn an_entry_that_is_woken_often_looks_in_time() {
+fn frequently_woken_entry_searches_in_time() {
     const WOKEN_EVERY: Duration = Duration::from_millis(5);
     const LATE_MOST: Duration = Duration::from_millis(100);
     let start = Instant::now();
@@ -66,7 +66,7 @@
 /// An entry that starts asks each live lead once which servers have departed, beginning
 /// with the lead that has run longest.
 #[test]
-fn an_entry_that_starts_asks_which_servers_have_left() {
+fn starting_entry_asks_each_lead_for_departures() {
     let start = Instant::now();
     let mut member = member(start);
     let known = StoreProgress {
--- a/crates/place/tests/fleet.rs
+++ b/crates/place/tests/fleet.rs
@@ -25,7 +25,7 @@
 /// different failure domains, and all entries know the state of the store within 1.5 s
 /// with few calls.
 #[test]
-fn a_fleet_that_starts_knows_everything_soon() {
+fn starting_fleet_converges_with_few_calls() {
     for count in [12, 300, 1000] {
         let mut world = FleetWorld::new(count);
         let took = world.until_known(ms(3000));
@@ -52,7 +52,7 @@
 /// Without failures a fleet makes the same number of store calls whatever its size, and
 /// an entry that is not a lead exchanges the same few datagrams.
 #[test]
-fn calm_costs_do_not_grow_with_the_fleet() {
+fn steady_state_cost_is_independent_of_fleet_size() {
     let mut seen = Vec::new();
     for count in [100, 1000] {
         let mut world = settled(count);
@@ -75,7 +75,7 @@
 
 /// A change in the store reaches all entries within 1.1 s.
 #[test]
-fn a_change_is_known_everywhere_at_once() {
+fn change_reaches_all_entries_in_time() {
     for count in [12, 300, 1000] {
         let mut world = settled(count);
         for _ in 0..5 {
@@ -90,7 +90,7 @@
 /// If a region loses its reader, its deputy or both, every entry still learns of a change
 /// before the drain time of a server is over.
 #[test]
-fn lost_leads_make_nobody_late() {
+fn changes_arrive_in_time_after_loss_of_leads() {
     for count in [12, 300] {
         for lost in [&[0][..], &[1], &[0, 1]] {
             let mut world = settled(count);
@@ -127,7 +127,7 @@
 /// Entries whose pulls fail although digests announce changes read the store in time, and
 /// no more often than a reader.
 #[test]
-fn entries_that_get_no_answers_ask_the_store() {
+fn entries_with_failing_pulls_read_the_store() {
     let mut world = settled(300);
     let failing: Vec<usize> = (100..110)
         .filter(|entry| !world.entries[*entry].member.leads())
@@ -159,7 +159,7 @@
 /// or, if those are unreachable, from a substitute that reads the store and becomes a
 /// lead.
 #[test]
-fn blind_leads_make_nobody_late() {
+fn changes_arrive_in_time_without_store_access_of_leads() {
     for count in [12, 300] {
         for is_apart in [false, true] {
             let mut world = settled(count);
@@ -188,7 +188,7 @@
 /// While the store rejects a third of the entries, including the leads of one region, all
 /// entries learn of changes in time, with no more calls than leads make.
 #[test]
-fn refused_entries_hear_of_changes() {
+fn entries_rejected_by_store_learn_of_changes() {
     for count in [12, 300] {
         let mut world = settled(count);
         for entry in 0..count {
@@ -213,7 +213,7 @@
 /// During a store outage only the leads and one or two substitutes call the store. All
 /// entries know its state soon after it is back.
 #[test]
-fn a_store_that_is_down_is_not_pressed() {
+fn unavailable_store_gets_few_calls() {
     let mut seen = Vec::new();
     for count in [100, 1000] {
         let mut world = settled(count);
@@ -233,7 +233,7 @@
 /// Entries that are partitioned from the rest, but not from the store, learn of changes
 /// in time, and rejoin the fleet soon after the partition ends.
 #[test]
-fn a_part_that_is_cut_off_hears_of_changes() {
+fn partitioned_entries_learn_of_changes() {
     for count in [12, 300] {
         let mut world = settled(count);
         let part: Vec<usize> = (0..count)
@@ -261,7 +261,7 @@
 /// Regions partitioned for minutes drop each other's entries, keep running on their own
 /// and find each other again within seconds.
 #[test]
-fn regions_find_each_other_again() {
+fn partitioned_regions_reconnect() {
     let mut world = settled(60);
     for entry in 0..60 {
         world.entries[entry].group = region_of(entry) as u32;
@@ -284,7 +284,7 @@
 /// A lost region is no longer advertised after a few seconds, and returns soon after its
 /// restart. The same holds for the whole fleet after a loss of all entries.
 #[test]
-fn a_lost_region_and_a_lost_fleet_come_back() {
+fn lost_region_and_lost_fleet_recover() {
     for lost in [vec![1], vec![0, 1, 2]] {
         let mut world = settled(300);
         let gone: Vec<usize> = (0..300)
@@ -314,7 +314,7 @@
 
 /// An entry that shuts down is no longer advertised within 150 ms, even if it is a lead.
 #[test]
-fn a_leaving_entry_is_told_to_nobody() {
+fn stopping_entry_is_not_advertised() {
     for leads in [false, true] {
         let mut world = settled(300);
         let listed = |world: &FleetWorld, entry: usize, node: &str| {
@@ -350,7 +350,7 @@
 /// During a rolling restart of half the entries no region is without a lead at the end,
 /// and all entries know the state of the store within half a second.
 #[test]
-fn a_rolling_restart_is_not_noticed() {
+fn rolling_restart_leaves_every_region_with_leads() {
     let mut world = settled(300);
     for entry in (0..300).step_by(2) {
         let mut own = world.entries[entry].own.clone();
@@ -378,7 +378,7 @@
 /// The last entry of a region searches for leads at a bounded rate, although all hints
 /// name leads that are gone.
 #[test]
-fn a_lone_entry_asks_at_its_own_pace() {
+fn lone_entry_searches_at_bounded_rate() {
     let mut world = settled(60);
     let lone = (0..60)
         .rfind(|entry| region_of(*entry) == 2 && !world.entries[*entry].member.leads())
@@ -410,7 +410,7 @@
 /// An entry that claims a registry version which no read returned recovers within
 /// seconds.
 #[test]
-fn a_forged_digest_is_overcome() {
+fn forged_digest_has_no_lasting_effect() {
     let mut world = settled(300);
     let lead = world.leads(1)[0];
     let region_entries: Vec<usize> = (0..300).filter(|entry| region_of(*entry) == 1).collect();
@@ -433,7 +433,7 @@
 /// Invalid messages have no lasting effect: unknown regions, list versions far ahead, and
 /// a digest for a region by an entry that is not its lead.
 #[test]
-fn nonsense_changes_nothing() {
+fn invalid_messages_have_no_lasting_effect() {
     let mut world = settled(60);
     let sender = world.leads(2)[0];
     let summaries = vec![
@@ -480,7 +480,7 @@
 /// version of the change, is discovered before a request could reach a server that was
 /// removed by it.
 #[test]
-fn a_missed_change_is_found_whatever_hid_it() {
+fn missed_change_is_detected() {
     for count in [12, 300] {
         for who in ["follower", "reader", "deputy", "leads", "region"] {
             let mut world = settled(count);
@@ -518,7 +518,7 @@
 /// An entry that holds a version which the store has not reached yet still learns of
 /// changes in time, and calls the store no more often than a reader.
 #[test]
-fn a_version_ahead_of_the_store_hides_nothing() {
+fn version_ahead_of_store_does_not_hide_changes() {
     for count in [12, 300] {
         for leads in [false, true] {
             let mut world = settled(count);
@@ -551,7 +551,7 @@
 /// An entry that refetches the registry from a lead because of a conflict keeps its newer
 /// copy of the operator's rows.
 #[test]
-fn a_doubt_about_servers_costs_no_newer_state() {
+fn refetch_after_conflict_keeps_newer_operator_rows() {
     let mut world = settled(12);
     let follower = (0..12).find(|entry| !world.entries[*entry].member.leads());
     let follower = follower.unwrap();
--- a/crates/place/tests/limits.rs
+++ b/crates/place/tests/limits.rs
@@ -28,7 +28,7 @@
     /// All retries of a window stay within the platform's ratio and slack, whatever each
     /// entry tries, if each one knows the number of entries.
     #[test]
-    fn repeats_stay_within_the_budget(
+    fn retries_stay_within_budget(
         entries in 1usize..12,
         rates in prop::collection::vec(1u64..60, 12),
         max_retries in 1usize..4,
@@ -69,7 +69,7 @@
     /// All entries together send a cold server at most its rate in any second, without
     /// communication and even if some don't know all others.
     #[test]
-    fn cold_servers_get_their_rate_from_all_entries_together(
+    fn cold_rate_holds_over_all_entries(
         entries in 1usize..90,
         rate in 1.0f64..20.0,
         unknown in 0usize..3,
--- a/crates/place/tests/load.rs
+++ b/crates/place/tests/load.rs
@@ -9,7 +9,7 @@
 /// fleet of nine. No entry sends more than 85 reports per second within its region and 170
 /// to others.
 #[test]
-fn words_on_load_are_fresh_where_they_count() {
+fn load_report_intervals_are_bounded() {
     for in_region in 0..=27_u32 {
         let pause = load_interval(in_region);
         assert!(
--- a/crates/place/tests/log.rs
+++ b/crates/place/tests/log.rs
@@ -19,7 +19,7 @@
 /// Heartbeats and the elapsing of a known warm-up time must cause no traffic to followers. The
 /// end of the warm-up is sent.
 #[test]
-fn heartbeats_are_not_sent() {
+fn heartbeats_are_not_forwarded() {
     let now = Instant::now();
     let mut log = RegistryLog::default();
     let mut cold = server("x", "a1");
@@ -37,7 +37,7 @@
 /// Followers must keep a server whose row disappeared during trouble with the registry until
 /// their reader gives it up, including a follower that then reads the registry itself.
 #[test]
-fn followers_keep_what_their_reader_keeps() {
+fn followers_keep_servers_that_their_reader_keeps() {
     let now = Instant::now();
     let (mut reader, mut follower) = (RegistryLog::default(), RegistryLog::default());
     let mut catalog = ServerCatalog::new(domains());
@@ -63,7 +63,7 @@
 
 /// A log ahead of the store, as after a corrupted message, must be rebuilt by the next read.
 #[test]
-fn a_log_ahead_of_the_store_is_made_anew() {
+fn log_ahead_of_store_is_rebuilt() {
     let now = Instant::now();
     let mut log = RegistryLog::default();
     log.apply_snapshot(
@@ -167,7 +167,7 @@
 /// Two entries that each made a local change at the same version of the store must not treat
 /// their knowledge as equal.
 #[test]
-fn steps_of_the_same_number_do_not_hide_each_other() {
+fn local_changes_at_same_version_are_distinguished() {
     let now = Instant::now();
     let (mut here, mut there) = (RegistryLog::default(), RegistryLog::default());
     let both = [server("x", "a1"), server("y", "a1")];
@@ -197,7 +197,7 @@
 /// An entry must not skip a change that another entry read because its own log advanced by a
 /// local change in the meantime.
 #[test]
-fn a_change_is_not_hidden_by_what_only_one_entry_noticed() {
+fn local_change_does_not_hide_remote_change() {
     let now = Instant::now();
     let (mut here, mut there) = (RegistryLog::default(), RegistryLog::default());
     let both = [server("x", "a1"), server("y", "a1")];
--- a/crates/place/tests/near.rs
+++ b/crates/place/tests/near.rs
@@ -138,7 +138,7 @@
 /// If the top servers of an object have capacity, the choice among them is the same as among
 /// all servers.
 #[test]
-fn the_nearest_are_as_good_as_all() {
+fn choice_among_top_servers_equals_choice_among_all() {
     let config = ProptestConfig {
         cases: 300,
         rng_seed: RngSeed::Fixed(SEED),
@@ -226,7 +226,7 @@
 
 /// A request reads as many records with 1,000 servers of its service as with 20,000.
 #[test]
-fn a_choice_costs_the_same_at_any_size() {
+fn records_read_per_request_are_independent_of_size() {
     let costs: HashMap<usize, u64> = [100, 300, 1000, 2000]
         .map(|entries| (entries, records_examined(entries)))
         .into();
@@ -239,7 +239,7 @@
 /// A refusal costs the same with any number of servers, and has a retry delay based on the
 /// preferred servers.
 #[test]
-fn a_refusal_costs_the_same_at_any_size() {
+fn records_read_per_refusal_are_independent_of_size() {
     let mut costs = Vec::new();
     for entries in [100, 300, 1000, 2000] {
         let now = Instant::now();
@@ -262,7 +262,7 @@
 
 /// At a cold start, when all servers are cold, a request also reads few records.
 #[test]
-fn a_cold_start_costs_the_same_at_any_size() {
+fn records_read_at_cold_start_are_independent_of_size() {
     let mut costs = Vec::new();
     for entries in [100, 300, 1000, 2000] {
         let now = Instant::now();
--- a/crates/place/tests/placer.rs
+++ b/crates/place/tests/placer.rs
@@ -59,7 +59,7 @@
 
 /// An unreachable server is paused, and used again after the pause.
 #[test]
-fn an_unreachable_server_is_left_alone_and_found_again() {
+fn unreachable_server_is_paused_and_reused() {
     let now = Instant::now();
     let only = [server("p", "a1")];
     let mut placer = placer(now, &only);
@@ -93,7 +93,7 @@
 
 /// A route with home regions never leaves them, even if no server is available there.
 #[test]
-fn home_regions_bind() {
+fn requests_stay_in_home_regions() {
     let now = Instant::now();
     let mut placer = placer(now, &four_servers());
     let mut bound = route("browse", "/");
@@ -144,7 +144,7 @@
 
 /// Requests of other entries count towards a server's load like own ones.
 #[test]
-fn other_entries_requests_count() {
+fn requests_of_other_entries_count_as_load() {
     let now = Instant::now();
     let mut placer = placer(now, &[server("p", "a1")]);
     let browse = route("browse", "/");
@@ -164,7 +164,7 @@
 /// An entry that died with requests at a server must not block that server: its load
 /// expires.
 #[test]
-fn a_dead_entrys_requests_are_forgotten() {
+fn load_of_dead_entry_expires() {
     let now = Instant::now();
     let mut placer = placer(now, &[server("p", "a1")]);
     let browse = route("browse", "/");
@@ -180,7 +180,7 @@
 /// The load of dead entries also expires at the last entry, which receives no reports that
 /// could trigger it.
 #[test]
-fn the_last_entry_forgets_the_others_requests() {
+fn load_of_dead_entries_expires_without_reports() {
     let now = Instant::now();
     let mut placer = placer(now, &[server("p", "a1")]);
     let browse = route("browse", "/");
@@ -195,7 +195,7 @@
 
 /// A report takes effect within 60 ms among reports of 5,900 entries.
 #[test]
-fn a_word_among_many_counts_soon() {
+fn load_report_takes_effect_in_time_among_many() {
     let now = Instant::now();
     let mut placer = placer(now, &[server("p", "a1")]);
     let browse = route("browse", "/");
@@ -336,7 +336,7 @@
 /// If the preferred server of a hot object is busier, the object goes to a server that is
 /// reported to have it cached.
 #[test]
-fn a_holder_takes_the_object() {
+fn hot_object_goes_to_server_that_caches_it() {
     let now = Instant::now();
     let servers = [server("p", "a1"), server("q", "a1"), server("t", "b1")];
     let mut placer = placer(now, &servers);
@@ -360,7 +360,7 @@
 /// If the preferred server is full and there is no other region, a second server takes the
 /// object, although neither is known to have it cached.
 #[test]
-fn an_object_has_two_servers_where_there_is_one_region() {
+fn full_preferred_server_spills_to_second_server() {
     let now = Instant::now();
     let mut placer = placer(
         now,
--- a/crates/place/tests/proofs.rs
+++ b/crates/place/tests/proofs.rs
@@ -122,7 +122,7 @@
 /// An isolated entry must recognize that its knowledge ages. An entry that is cut off from
 /// other entries only must ask the store itself.
 #[test]
-fn an_isolated_entry_knows_its_age() {
+fn isolated_entry_recognizes_aging_knowledge() {
     for keeps_store in [false, true] {
         let mut world = settled(64);
         let cut = listed(&world)[0];
@@ -171,7 +171,7 @@
 /// A digest that arrives seconds late, such as one that waited at a suspended process, must not
 /// make any knowledge appear more recent than it is.
 #[test]
-fn late_digests_make_nothing_younger() {
+fn late_digests_do_not_renew_proofs() {
     for suspended in [false, true] {
         let mut world = settled(64);
         world.delays = Some((5, ms(4000)));
@@ -308,7 +308,7 @@
     /// Whatever faults occur, no entry's knowledge may claim to be more recent than a change
     /// that it lacks.
     #[test]
-    fn no_knowledge_seems_younger_than_it_is(faults in faults()) {
+    fn no_proof_is_newer_than_a_missed_change(faults in faults()) {
         let mut world = FleetWorld::new(24);
         world.proof_within = Some(REVOKE_LIMIT);
         world.delays = Some((7, ms(2500)));
@@ -326,7 +326,7 @@
 /// An entry that replaces its knowledge of the operator's rows with older knowledge must not
 /// claim a more recent proof than that knowledge has.
 #[test]
-fn older_knowledge_comes_with_its_own_proof() {
+fn older_knowledge_keeps_its_own_proof() {
     let progress = |operator, proved| StoreProgress {
         operator,
         proved: StoreTime(proved),
--- a/crates/place/tests/reading.rs
+++ b/crates/place/tests/reading.rs
@@ -8,7 +8,7 @@
 /// An entry that remains in doubt about its knowledge must not repeat full reads more often
 /// than a reader reads.
 #[test]
-fn a_reading_that_settles_nothing_is_not_repeated_at_once() {
+fn inconclusive_reads_are_rate_limited() {
     let start = Instant::now();
     let intervals = ReadIntervals::new(Duration::from_millis(2500));
     let mut scheduler = ReadScheduler::new(start, intervals, 1);
@@ -34,7 +34,7 @@
 /// since the store may have answered immediately. An answer without a change counts as of the
 /// end of the wait.
 #[test]
-fn a_late_answer_with_news_counts_from_its_question() {
+fn late_answer_with_changes_counts_from_call_start() {
     let started_at = Instant::now();
     let wait = Duration::from_millis(1080);
     let late = started_at + Duration::from_millis(2500);
--- a/crates/place/tests/relisting.rs
+++ b/crates/place/tests/relisting.rs
@@ -20,7 +20,7 @@
 /// A server whose row is dropped right after the store recovers must be out of use in time,
 /// whenever its reader happened to ask.
 #[test]
-fn a_row_dropped_after_an_outage_counts_in_time() {
+fn row_dropped_after_outage_is_removed_in_time() {
     for offset in 0..20 {
         let start = Instant::now();
         let mut catalog = ServerCatalog::new(placer_config().domains).with_drain(DRAIN);
@@ -73,7 +73,7 @@
 /// If the store refuses only this entry, as other entries' reads show, nothing expires: a
 /// server whose row disappears must be gone immediately.
 #[test]
-fn refusing_one_entry_expires_no_rows() {
+fn refusal_of_one_entry_starts_no_grace_period() {
     let start = Instant::now();
     let mut catalog = ServerCatalog::new(placer_config().domains);
     let both = [server("x", "a1"), server("y", "a1")];
--- a/crates/place/tests/roster.rs
+++ b/crates/place/tests/roster.rs
@@ -35,7 +35,7 @@
 
 /// An entry counts as lost after at most three seconds without a heartbeat.
 #[test]
-fn a_silent_entry_is_left_out() {
+fn silent_entry_is_dropped() {
     let now = Instant::now();
     let mut roster = EntryRoster::default();
     roster.on_heartbeat(now, heartbeat(1));
@@ -46,7 +46,7 @@
 /// A heartbeat of an earlier incarnation that arrives late does not undo a later shutdown
 /// or start.
 #[test]
-fn a_beat_of_an_earlier_run_changes_nothing() {
+fn heartbeat_of_earlier_run_is_ignored() {
     let now = Instant::now();
     let mut roster = EntryRoster::default();
     let mut stopping = heartbeat(2);
--- a/crates/place/tests/routes.rs
+++ b/crates/place/tests/routes.rs
@@ -14,7 +14,7 @@
 
 /// The longest matching path prefix must win, in whatever order the routes are configured.
 #[test]
-fn the_longest_prefix_decides() {
+fn longest_prefix_wins() {
     let routes = vec![
         route("short", "/a/"),
         route("long", "/a/b/"),
@@ -50,7 +50,7 @@
     /// After any number of requests each part of a split must have received its share, up to a
     /// difference of less than one request per part.
     #[test]
-    fn shares_hold_at_every_moment(weights in prop::collection::vec(1u32..100, 2..6), count in 1usize..400) {
+    fn shares_hold_after_every_request(weights in prop::collection::vec(1u32..100, 2..6), count in 1usize..400) {
         let mut split = route("split", "/");
         split.parts = weights
             .iter()
--- a/crates/place/tests/runs.rs
+++ b/crates/place/tests/runs.rs
@@ -34,7 +34,7 @@
 /// A server that was leaving and restarts under its id must be used again, with its new address
 /// and service, although its sequence numbers start over.
 #[test]
-fn a_new_run_is_used_though_the_former_one_was_leaving() {
+fn new_run_of_leaving_server_is_used() {
     let now = Instant::now();
     let mut catalog = ServerCatalog::new(domains());
     let mut leaving = run("x", 1000, 40);
@@ -59,7 +59,7 @@
 
 /// A late registration of an earlier run must change nothing, whatever its sequence number.
 #[test]
-fn a_late_registration_of_an_earlier_run_changes_nothing() {
+fn late_registration_of_earlier_run_is_ignored() {
     let now = Instant::now();
     let mut catalog = ServerCatalog::new(domains());
     catalog.apply_snapshot(now, &reading(now, &[run("x", 2000, 1)]));
@@ -73,7 +73,7 @@
 /// A new run caches no objects and has no requests or history. Reports about the earlier run
 /// must not count for it.
 #[test]
-fn a_new_run_knows_nothing_of_the_former_one() {
+fn new_run_starts_without_history() {
     let now = Instant::now();
     let board = route("browse", "/");
     let mut placer = placer(now, &[run("x", 1000, 9)]);
@@ -116,7 +116,7 @@
 /// The cold rate of a new run must apply from its first request, including at an entry that
 /// learns of the run from another entry.
 #[test]
-fn a_new_run_gets_its_cold_rate_at_followers_too() {
+fn cold_rate_of_new_run_applies_at_followers() {
     let now = Instant::now();
     let mut log = RegistryLog::default();
     let mut known = 0;
@@ -144,7 +144,7 @@
 /// next registration restores it, not cold, and other servers aren't affected. Followers must
 /// see the same.
 #[test]
-fn a_foreign_row_takes_its_server_out_while_it_stands() {
+fn foreign_row_disables_server_while_it_exists() {
     let now = Instant::now();
     let mut own = ServerCatalog::new(domains());
     let mut follower = ServerCatalog::new(domains());
@@ -182,7 +182,7 @@
 /// A complete row that moves a run to another service, address or failure domain, or into an
 /// unknown domain, must be treated as written by another process.
 #[test]
-fn a_run_does_not_move() {
+fn row_that_moves_a_run_is_foreign() {
     let now = Instant::now();
     let mut moved = [run("x", 1000, 9), run("x", 1000, 9), run("x", 1000, 9)];
     moved[0].service = "desk".to_owned();
@@ -202,7 +202,7 @@
 /// A run's announcement that it leaves must be accepted even if another writer raised its
 /// sequence number before.
 #[test]
-fn leaving_is_accepted_whatever_the_sequence_number() {
+fn drain_is_accepted_at_any_sequence_number() {
     let now = Instant::now();
     let mut catalog = ServerCatalog::new(domains());
     catalog.apply_snapshot(now, &reading(now, &[run("x", 1000, 900)]));
