--- a/crates/place/src/fleet/leads.rs
+++ b/crates/place/src/fleet/leads.rs
@@ -31,7 +31,7 @@
     /// The leads and substitutes of its region according to this lead.
     pub candidates: Vec<LeadCandidate>,
     incarnation: u64,
-    last_heard: Instant,
+    last_digest_at: Instant,
 }
 
 /// All known leads.
@@ -88,7 +88,7 @@
                 .map(|summary| summary.candidates.clone())
                 .unwrap_or_default(),
             incarnation: digest.incarnation,
-            last_heard: now,
+            last_digest_at: now,
         };
         self.leads.insert(lead.candidate.node.clone(), lead);
         true
@@ -97,7 +97,7 @@
     /// Returns the leads that are neither silent nor stepping down.
     pub fn live_leads(&self, now: Instant) -> impl Iterator<Item = &LeadRecord> {
         self.leads.values().filter(move |lead| {
-            !lead.leaving && now.saturating_duration_since(lead.last_heard) < LEAD_TIMEOUT
+            !lead.leaving && now.saturating_duration_since(lead.last_digest_at) < LEAD_TIMEOUT
         })
     }
 
@@ -125,7 +125,7 @@
     pub fn timeout_at(&self, region: &str) -> Option<Instant> {
         let region_leads = self.leads.values().filter(|lead| lead.region == region);
         let staying = region_leads.filter(|lead| !lead.leaving);
-        staying.map(|lead| lead.last_heard + LEAD_TIMEOUT).max()
+        staying.map(|lead| lead.last_digest_at + LEAD_TIMEOUT).max()
     }
 
     /// Returns the live lead of `region` with the highest rank.
@@ -137,6 +137,6 @@
     /// Removes leads that have been silent for longer than `RETENTION`.
     pub fn forget(&mut self, now: Instant) {
         self.leads
-            .retain(|_, lead| now.saturating_duration_since(lead.last_heard) < RETENTION);
+            .retain(|_, lead| now.saturating_duration_since(lead.last_digest_at) < RETENTION);
     }
 }
--- a/crates/place/src/fleet/regions.rs
+++ b/crates/place/src/fleet/regions.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 struct RegionRecord {
     list: EntryList,
-    last_heard: Option<Instant>,
+    last_contact_at: Option<Instant>,
     live_entries: u32,
     candidates: Vec<LeadCandidate>,
 }
@@ -54,11 +54,14 @@
         let Some(record) = self.regions.get_mut(&summary.region) else {
             return;
         };
-        let last_heard = now.checked_sub(Duration::from_millis(u64::from(summary.age_ms)));
-        if summary.age_ms == u32::MAX || last_heard.is_none() || last_heard < record.last_heard {
+        let last_contact_at = now.checked_sub(Duration::from_millis(u64::from(summary.age_ms)));
+        if summary.age_ms == u32::MAX
+            || last_contact_at.is_none()
+            || last_contact_at < record.last_contact_at
+        {
             return;
         }
-        record.last_heard = last_heard;
+        record.last_contact_at = last_contact_at;
         record.live_entries = summary.live_entries;
         if !summary.candidates.is_empty() {
             record.candidates.clone_from(&summary.candidates);
@@ -92,7 +95,7 @@
         candidates: Vec<LeadCandidate>,
     ) {
         if let Some(record) = self.regions.get_mut(&self.own_region) {
-            record.last_heard = Some(now);
+            record.last_contact_at = Some(now);
             record.live_entries = live_entries;
             record.candidates = candidates;
         }
@@ -149,11 +152,11 @@
 
     /// Whether a lead of `region` was heard from recently.
     pub fn is_reachable(&self, now: Instant, region: &str) -> bool {
-        let last_heard = self
+        let last_contact_at = self
             .regions
             .get(region)
-            .and_then(|record| record.last_heard);
-        last_heard.is_some_and(|at| now.saturating_duration_since(at) < REGION_TIMEOUT)
+            .and_then(|record| record.last_contact_at);
+        last_contact_at.is_some_and(|at| now.saturating_duration_since(at) < REGION_TIMEOUT)
     }
 
     /// Returns the regions whose entries count: those heard from, and the local one.
@@ -197,7 +200,7 @@
         let summary = |(name, record): (&String, &RegionRecord)| RegionSummary {
             region: name.clone(),
             age_ms: record
-                .last_heard
+                .last_contact_at
                 .map_or(u32::MAX, |at| millis(now.saturating_duration_since(at))),
             live_entries: record.live_entries,
             list: record.list.version,
--- a/crates/place/src/fleet/roster.rs
+++ b/crates/place/src/fleet/roster.rs
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 struct EntryRecord {
     heartbeat: EntryHeartbeat,
-    last_heard: Instant,
+    last_heartbeat_at: Instant,
 }
 
 /// All entries that have sent heartbeats.
@@ -60,7 +60,7 @@
             node,
             EntryRecord {
                 heartbeat,
-                last_heard: now,
+                last_heartbeat_at: now,
             },
         );
         if is_unchanged {
@@ -109,10 +109,10 @@
     /// Removes entries that have been silent for longer than `RETENTION`.
     pub fn forget(&mut self, now: Instant) {
         self.entries
-            .retain(|_, known| now.saturating_duration_since(known.last_heard) < RETENTION);
+            .retain(|_, known| now.saturating_duration_since(known.last_heartbeat_at) < RETENTION);
     }
 }
 
 fn is_live(now: Instant, known: &EntryRecord) -> bool {
-    now.saturating_duration_since(known.last_heard) < LIVENESS_TIMEOUT
+    now.saturating_duration_since(known.last_heartbeat_at) < LIVENESS_TIMEOUT
 }
--- a/crates/place/tests/fleet.rs
+++ b/crates/place/tests/fleet.rs
@@ -161,14 +161,14 @@
 #[test]
 fn changes_arrive_in_time_without_store_access_of_leads() {
     for count in [12, 300] {
-        for is_apart in [false, true] {
+        for is_partitioned in [false, true] {
             let mut world = settled(count);
             let leads = world.leads(1);
             for lead in &leads {
                 world.entries[*lead].store_times_out = true;
             }
             for entry in 0..count {
-                let is_cut = is_apart && region_of(entry) == 1;
+                let is_cut = is_partitioned && region_of(entry) == 1;
                 world.entries[entry].group = u32::from(is_cut);
             }
             for wait in [300, 700, 1300] {
@@ -178,7 +178,10 @@
                 while world.behind().iter().any(|entry| !leads.contains(entry)) {
                     world.run(ms(10));
                     let took = world.now - started_at;
-                    assert!(took <= DRAIN, "{count} entries, apart {is_apart}: {took:?}");
+                    assert!(
+                        took <= DRAIN,
+                        "{count} entries, apart {is_partitioned}: {took:?}"
+                    );
                 }
             }
         }
--- a/crates/place/tests/fleet_world/mod.rs
+++ b/crates/place/tests/fleet_world/mod.rs
@@ -700,8 +700,8 @@
         self.change_unseen();
         self.changes.push((self.now, self.version));
         for entry in 0..self.entries.len() {
-            let entry_is_told = self.entries[entry].alive && !self.is_paused(entry);
-            if entry_is_told && self.entries[entry].watching && self.is_served(entry) {
+            let is_answered = self.entries[entry].alive && !self.is_paused(entry);
+            if is_answered && self.entries[entry].watching && self.is_served(entry) {
                 let (operator, time) = (self.operator, self.store_time());
                 self.learn_operator(entry, operator, time);
             }
--- a/crates/place/tests/runs.rs
+++ b/crates/place/tests/runs.rs
@@ -245,7 +245,7 @@
     /// an earlier one, a server under a foreign row isn't used, and a server with unchanged
     /// rows never changes.
     #[test]
-    fn any_rows_in_any_order_keep_runs_apart(rows in prop::collection::vec(any_row(), 1..40)) {
+    fn any_rows_in_any_order_distinguish_runs(rows in prop::collection::vec(any_row(), 1..40)) {
         let now = Instant::now();
         let mut catalog = ServerCatalog::new(domains());
         let unchanged = run("calm", 1, 1);
--- a/crates/tally/src/lib.rs
+++ b/crates/tally/src/lib.rs
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 struct PeerCounter<K> {
     run: u64,
-    last_heard: Instant,
+    last_report_at: Instant,
     /// Whether the run may have counted before it was tracked here. The first count of each key
     /// is then a baseline and no increment.
     needs_baseline: bool,
@@ -128,7 +128,7 @@
         if known != Some(report.run) {
             let tracked = PeerCounter {
                 run: report.run,
-                last_heard: now,
+                last_report_at: now,
                 needs_baseline: report.age > self.age(now).min(NEW_RUN_AGE),
                 counts: HashMap::new(),
             };
@@ -137,7 +137,7 @@
         let Some(tracked) = self.peers.get_mut(&peer) else {
             return Vec::new();
         };
-        tracked.last_heard = now;
+        tracked.last_report_at = now;
         let mut deltas = Vec::new();
         for (key, count) in &report.counts {
             let before = tracked.counts.insert(*key, *count);
@@ -154,8 +154,8 @@
     }
 
     /// Returns when the last report of the entry `peer` arrived.
-    pub fn last_heard(&self, peer: u64) -> Option<Instant> {
-        self.peers.get(&peer).map(|known| known.last_heard)
+    pub fn last_report_at(&self, peer: u64) -> Option<Instant> {
+        self.peers.get(&peer).map(|known| known.last_report_at)
     }
 
     /// Estimates how many events of `key` the live peers have not reported yet: the sum over
@@ -166,8 +166,8 @@
         };
         let mut sum = 0;
         for peer in self.peers.values() {
-            if now.saturating_duration_since(peer.last_heard) < self.report_ttl {
-                sum += own.own_since(peer.last_heard);
+            if now.saturating_duration_since(peer.last_report_at) < self.report_ttl {
+                sum += own.own_since(peer.last_report_at);
             }
         }
         sum
@@ -179,21 +179,21 @@
             return Vec::new();
         };
         let counts = self.own.iter();
-        let counts = counts.map(|(key, own)| (*key, own.own_since(known.last_heard)));
+        let counts = counts.map(|(key, own)| (*key, own.own_since(known.last_report_at)));
         counts.filter(|(_, count)| *count > 0).collect()
     }
 
     /// Stops tracking the peers for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(u64, Instant) -> bool) {
         self.peers
-            .retain(|peer, known| keep(*peer, known.last_heard));
+            .retain(|peer, known| keep(*peer, known.last_report_at));
     }
 
     /// Returns the tracked peers with the time of their last report.
     pub fn peers(&self) -> impl Iterator<Item = (u64, Instant)> {
         self.peers
             .iter()
-            .map(|(peer, known)| (*peer, known.last_heard))
+            .map(|(peer, known)| (*peer, known.last_report_at))
     }
 }
 
--- a/crates/team/src/quota.rs
+++ b/crates/team/src/quota.rs
@@ -133,13 +133,13 @@
             self.listed.entry(*peer).or_insert(now);
         }
         let listed = &self.listed;
-        self.tally.retain(|peer, last_heard| {
+        self.tally.retain(|peer, last_report_at| {
             listed.contains_key(&peer)
-                || now.saturating_duration_since(last_heard) < RESERVATION_TIME
+                || now.saturating_duration_since(last_report_at) < RESERVATION_TIME
         });
         let tally = &self.tally;
         self.stopped
-            .retain(|peer| tally.last_heard(*peer).is_some());
+            .retain(|peer| tally.last_report_at(*peer).is_some());
         self.refresh_share(now);
     }
 
@@ -210,11 +210,11 @@
         } else {
             &[]
         };
-        let last_heard = self
+        let last_report_at = self
             .tally
-            .last_heard(peer)
+            .last_report_at(peer)
             .or_else(|| self.listed.get(&peer).copied());
-        let silent_for = last_heard.map(|at| now.saturating_duration_since(at));
+        let silent_for = last_report_at.map(|at| now.saturating_duration_since(at));
         let silent_for = silent_for.filter(|span| *span >= self.silent_after);
         let (share, stops) = (self.share, report.stops);
         let report = report.to_count_report(teams);
@@ -262,19 +262,19 @@
     fn refresh_share(&mut self, now: Instant) {
         let is_silent = |at: Instant| now.saturating_duration_since(at) >= self.silent_after;
         let (mut known, mut silent) = (1, HashSet::new());
-        for (peer, last_heard) in self.tally.peers() {
-            let is_old = now.saturating_duration_since(last_heard) >= RESERVATION_TIME;
+        for (peer, last_report_at) in self.tally.peers() {
+            let is_old = now.saturating_duration_since(last_report_at) >= RESERVATION_TIME;
             let is_listed = self.listed.contains_key(&peer);
             if self.stopped.contains(&peer) || is_old && !is_listed {
                 continue;
             }
             known += 1;
-            if is_silent(last_heard) {
+            if is_silent(last_report_at) {
                 silent.insert(peer);
             }
         }
         for (peer, since) in &self.listed {
-            if self.tally.last_heard(*peer).is_some() {
+            if self.tally.last_report_at(*peer).is_some() {
                 continue;
             }
             known += 1;
