--- a/crates/place/src/catalog/outage.rs
+++ b/crates/place/src/catalog/outage.rs
@@ -5,7 +5,7 @@
 /// Live servers register again within about 2 s after the registry recovers; this adds a
 /// margin.
 const RELIST_TIME: Duration = Duration::from_millis(2400);
-/// Part of the drain time that is reserved for telling all entries that a server did not
+/// Part of the drain time that is reserved for informing all entries that a server did not
 /// register again.
 const RELIST_MARGIN: Duration = Duration::from_millis(600);
 /// The registry is assumed to have recovered at most this long before its first answer: half
--- a/crates/place/src/catalog/update.rs
+++ b/crates/place/src/catalog/update.rs
@@ -9,7 +9,7 @@
 use crate::server::{EntryState, ServerEntry, ServerRecord};
 
 impl ServerCatalog {
-    /// Applies one server entry. The start time tells runs of a server apart, and `seq` orders
+    /// Applies one server entry. The start time identifies runs of a server, and `seq` orders
     /// the server entries of one run: a late one of an earlier run changes nothing.
     pub(super) fn apply_entry(
         &mut self,
--- a/crates/place/src/crash/ledger.rs
+++ b/crates/place/src/crash/ledger.rs
@@ -16,7 +16,7 @@
 /// to it.
 const SUSPECT_CRASHES: usize = 2;
 /// Crashes after which a request counts as a cause even though another request was present at
-/// the same servers: two requests that always occur together can't be told apart.
+/// the same servers: two requests that always occur together can't be distinguished.
 const INSEPARABLE_CRASHES: usize = 5;
 /// Maximum number of requests in quarantine at once. When more requests seem to crash servers,
 /// the servers fail regardless of what they run, and refusing callers would only add to the
--- a/crates/place/src/directory.rs
+++ b/crates/place/src/directory.rs
@@ -1,4 +1,4 @@
-//! Selects the entries that callers are told to use.
+//! Selects the entries that are advertised to a caller.
 
 /// Number of entries from the caller's home region in an ordered answer.
 const NEAR_ENTRIES: usize = 3;
--- a/crates/place/src/fleet/clock.rs
+++ b/crates/place/src/fleet/clock.rs
@@ -1,6 +1,6 @@
 //! Estimates the store's monotonic clock from its answers.
 //!
-//! The age that a message states can't tell how fresh its content is: datagrams are delayed in
+//! The age that a message states doesn't show how fresh its content is: datagrams are delayed in
 //! networks and at suspended processes. Data from the store is therefore stamped with the
 //! store's own time, and each entry maintains its own upper bound of that clock.
 
--- a/crates/place/src/fleet/member/announce.rs
+++ b/crates/place/src/fleet/member/announce.rs
@@ -179,8 +179,8 @@
         actions.push(FleetAction::Send(leads, self.digest(now, true)));
     }
 
-    /// Returns the addresses of the other leads of all regions. For a region that is not
-    /// heard from, these are all entries that may know its leads.
+    /// Returns the addresses of the other leads of all regions. For an unreachable region
+    /// these are all entries that may know its leads.
     pub(super) fn peer_leads(&mut self, now: Instant) -> Vec<SocketAddr> {
         // All live leads, not just those their region reports: if a region has more than
         // one pair, each pair learns of the other this way.
--- a/crates/place/src/fleet/member/fetch.rs
+++ b/crates/place/src/fleet/member/fetch.rs
@@ -58,7 +58,7 @@
     }
 
     /// Whether a follower's registry was not confirmed for too long although its leads
-    /// have newer readings. Whatever the cause, it then reads the store itself.
+    /// have newer reads. Whatever the cause, it then reads the store itself.
     fn is_stale(&self, now: Instant) -> bool {
         let max_age = self.read_scheduler.intervals().member;
         let is_old =
--- a/crates/place/src/fleet/member/mod.rs
+++ b/crates/place/src/fleet/member/mod.rs
@@ -38,7 +38,7 @@
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(600);
 /// Interval of the periodic tasks while something is pending.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Interval of the periodic tasks while no lead is heard from. Short, because after a
+/// Interval of the periodic tasks while no lead is reachable. Short, because after a
 /// loss of all entries every delay in finding a lead delays answers to callers.
 const SEARCH_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Static configuration of an entry.
@@ -155,7 +155,7 @@
     Cleared(RequestFingerprint),
     /// The names of the region's reader and deputy changed.
     LeadsChanged(Vec<String>),
-    /// No lead of the region is heard from any more.
+    /// No lead of the region is reachable any more.
     LeadsLost,
     /// This entry published a new list with this number of entries, and this number of
     /// entries advertised to callers.
@@ -336,7 +336,7 @@
         list.is_some_and(|list| list.find(&self.config.candidate.node).is_some())
     }
 
-    /// Whether this entry has heard from no other entry since startup, in which case it
+    /// Whether this entry has received nothing from other entries since startup, in which case it
     /// advertises itself to callers once it is ready.
     pub fn is_isolated(&self) -> bool {
         self.is_isolated
--- a/crates/place/src/fleet/member/role.rs
+++ b/crates/place/src/fleet/member/role.rs
@@ -92,7 +92,7 @@
         actions.push(FleetAction::Log(FleetChange::StoppedLeading(lead)));
     }
 
-    /// Detects regions that became silent or are heard from again.
+    /// Detects regions that became unreachable or reachable again.
     pub(super) fn update_regions(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         if self.lead_since.is_some() {
             let live = self.roster.live(now, &self.config.region).count() as u32 + 1;
--- a/crates/place/src/fleet/message.rs
+++ b/crates/place/src/fleet/message.rs
@@ -99,7 +99,7 @@
     pub struct RegionSummary {
         /// The region.
         pub region: String,
-        /// Milliseconds since a lead of the region was last heard from.
+        /// Milliseconds since the last message of a lead of the region.
         pub age_ms: u32,
         /// Number of live entries in the region.
         pub live_entries: u32,
--- a/crates/place/src/fleet/read_intervals.rs
+++ b/crates/place/src/fleet/read_intervals.rs
@@ -4,7 +4,7 @@
 
 /// Shares of the time within which a leaving server must get no more requests. At most about a
 /// third of it passes between two reads of a reader, half of it until its deputy reads, and
-/// three quarters until an entry that hears of no reads does its own. The rest is for a slow
+/// three quarters until an entry that learns of no reads does its own. The rest is for a slow
 /// answer of the store and the propagation to all entries.
 const READER_SHARE: f64 = 0.36;
 const DEPUTY_SHARE: f64 = 0.5;
@@ -18,7 +18,7 @@
     pub reader: Duration,
     /// Age of the latest read at which the deputy reads.
     pub deputy: Duration,
-    /// Age of the latest read at which an entry that hears from no lead reads for itself.
+    /// Age of the latest read at which an entry without a reachable lead reads for itself.
     pub member: Duration,
 }
 
--- a/crates/place/src/fleet/reading.rs
+++ b/crates/place/src/fleet/reading.rs
@@ -6,14 +6,14 @@
 
 /// First delay after a failed read, so that a failing store isn't overloaded.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(300);
-/// Maximum delay. It must be short enough to notice a recovered store in time to tell servers
-/// that left from servers that haven't registered again yet.
+/// Maximum delay. It must be short enough to notice a recovered store in time to distinguish
+/// servers that left from servers that haven't registered again yet.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
 /// Share of the reader's interval after which it reads again when something changed: many
 /// servers that change in sequence are then read in a few calls.
 const CHANGE_INTERVAL_SHARE: f64 = 0.33;
-/// Entries without traffic that hear from no lead read this much later than others, spread over
-/// it, so that a new lead can be found in the meantime.
+/// Entries without traffic and without a reachable lead read this much later than others,
+/// spread over it, so that a new lead can be found in the meantime.
 const STANDBY_SPREAD: Duration = Duration::from_millis(500);
 /// A read that takes this much longer than the allowed wait counts as failed for the election
 /// of leads, although its answer may still arrive: others don't wait that long.
@@ -59,14 +59,14 @@
     Reader,
     /// Reads if the reader doesn't.
     Deputy,
-    /// Hears from a lead.
+    /// Receives the digests of a lead.
     Follower {
         /// Whether it is a substitute for a lead.
         substitute: bool,
         /// Whether leads have newer knowledge and none has sent it for too long.
         stuck: bool,
     },
-    /// Hears from no lead.
+    /// Receives digests of no lead.
     Alone {
         /// Whether callers are sent to it.
         used: bool,
@@ -144,7 +144,7 @@
     }
 
     /// Starts a read if one is due. `known_at` is when the current knowledge was read; `whole`
-    /// requests a full read because that knowledge is in doubt.
+    /// requests a full read because that knowledge may be wrong.
     pub fn begin_read(
         &mut self,
         now: Instant,
@@ -155,7 +155,7 @@
         if self.is_reading || self.retry_at.is_some_and(|at| now < at) {
             return None;
         }
-        // A full read that doesn't resolve the doubt isn't repeated immediately.
+        // A full read that leaves the knowledge uncertain isn't repeated immediately.
         let is_paced =
             |started_at| now.saturating_duration_since(started_at) >= self.intervals.reader;
         let whole = whole && self.started_at.is_none_or(is_paced);
--- a/crates/place/src/fleet/regions.rs
+++ b/crates/place/src/fleet/regions.rs
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Adds hinted candidates for a region that is not heard from.
+    /// Adds hinted candidates for an unreachable region.
     pub fn on_hint(&mut self, now: Instant, region: &str, candidates: &[LeadCandidate]) {
         if self.is_reachable(now, region) {
             return;
@@ -150,7 +150,7 @@
         })
     }
 
-    /// Whether a lead of `region` was heard from recently.
+    /// Whether a lead of `region` sent a message recently.
     pub fn is_reachable(&self, now: Instant, region: &str) -> bool {
         let last_contact_at = self
             .regions
@@ -159,7 +159,7 @@
         last_contact_at.is_some_and(|at| now.saturating_duration_since(at) < REGION_TIMEOUT)
     }
 
-    /// Returns the regions whose entries count: those heard from, and the local one.
+    /// Returns the regions whose entries count: the reachable ones, and the local one.
     pub fn active_regions(&self, now: Instant) -> impl Iterator<Item = &str> {
         let names = self.regions.keys().map(String::as_str);
         names.filter(move |name| *name == self.own_region || self.is_reachable(now, name))
--- a/crates/place/src/fleet/search.rs
+++ b/crates/place/src/fleet/search.rs
@@ -46,7 +46,7 @@
     seeds: Vec<SocketAddr>,
     hinted: BTreeMap<SocketAddr, Instant>,
     since: Option<Instant>,
-    /// Whether a lead was heard from before.
+    /// Whether a lead was reachable before.
     has_had_lead: bool,
     knows_better_candidate: bool,
     row_lookup_due: Option<Instant>,
@@ -77,7 +77,7 @@
         span.mul_f64(self.jitter_fraction)
     }
 
-    /// Notes at `now` that no lead is heard from, and returns since when.
+    /// Notes at `now` that no lead is reachable, and returns since when.
     pub fn begin(&mut self, now: Instant) -> Instant {
         if self.row_lookup_due.is_none() {
             self.row_lookup_due = Some(now + ROW_LOOKUP_DELAY + self.jitter(ROW_LOOKUP_DELAY));
@@ -86,12 +86,12 @@
         *self.since.get_or_insert(now)
     }
 
-    /// Returns since when no lead has been heard from.
+    /// Returns since when no lead has been reachable.
     pub fn since(&self) -> Option<Instant> {
         self.since
     }
 
-    /// Ends the search because a lead is heard from.
+    /// Ends the search because a lead is reachable.
     pub fn end(&mut self) {
         self.since = None;
         self.row_lookup_due = None;
--- a/crates/place/src/limits/shift.rs
+++ b/crates/place/src/limits/shift.rs
@@ -2,8 +2,8 @@
 //!
 //! The limit compares the share of each region in one window with that in the previous window,
 //! over all entries of the callers' region and for windows that begin at any time. Entries
-//! report their counts to each other, so that each one enforces the limit for all. If some are
-//! not heard, each still enforces it for those that it hears; a limit that holds for parts of
+//! report their counts to each other, so that each one enforces the limit for all. If reports of
+//! some are lost, each still enforces it for the others; a limit that holds for all parts of
 //! the requests holds for all of them.
 
 use std::collections::{HashMap, VecDeque};
--- a/crates/place/src/placing/cache_likelihood.rs
+++ b/crates/place/src/placing/cache_likelihood.rs
@@ -16,7 +16,7 @@
     Duration::from_secs(6),
     Duration::from_secs(20),
 ];
-/// Number of ranks that are told apart without a handled pair; the last one includes all
+/// Number of ranks that are distinguished without a handled pair; the last one includes all
 /// beyond.
 pub const DISTINCT_RANKS: usize = 4;
 /// Maximum number of remembered pairs, at 64 bytes each.
@@ -27,7 +27,7 @@
 /// Initial likelihoods by age class, then by rank. Those by rank are low, since caches are
 /// empty at a start.
 const INITIAL_LIKELIHOODS: [f64; EVIDENCE_KINDS] = [0.95, 0.9, 0.8, 0.3, 0.2, 0.1, 0.05];
-/// Number of kinds of evidence that are told apart.
+/// Number of kinds of evidence that are distinguished.
 const EVIDENCE_KINDS: usize = AGE_LIMITS.len() + DISTINCT_RANKS;
 /// Weight of the newest answer in a likelihood.
 const NEWEST_WEIGHT: f64 = 0.03;
--- a/crates/place/src/placing/load.rs
+++ b/crates/place/src/placing/load.rs
@@ -1,4 +1,4 @@
-//! Load reports, in which entries tell each other of their requests at servers.
+//! Load reports, in which entries inform each other of their requests at servers.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -22,7 +22,7 @@
 pub type LoadList = Vec<(u32, u16)>;
 
 base::common! {
-    /// What an entry tells the others of its requests.
+    /// What an entry reports to the others of its requests.
     #[derive(Eq, Default, PartialOrd, Ord)]
     pub struct LoadReport {
         /// Short ids of servers, with the number of requests there.
--- a/crates/place/src/placing/placer.rs
+++ b/crates/place/src/placing/placer.rs
@@ -229,7 +229,7 @@
     }
 
     /// The only servers that can get the request, if the service has many servers and these can
-    /// be determined without evaluating all. If none of them has capacity, the caller is told
+    /// be determined without evaluating all. If none of them has capacity, the refusal says
     /// when they will have it, since no other server would take the request then either.
     fn top_ranked(
         &mut self,
@@ -261,7 +261,7 @@
             holders: self.handled_objects.holders(object),
         };
         let ranked = top_candidates(now, &mut self.catalog, &query)?;
-        // An empty result falls back to all servers: these few don't tell whether any server
+        // An empty result falls back to all servers: these few don't show whether any server
         // exists.
         (!ranked.candidates.is_empty()).then_some(ranked)
     }
--- a/crates/place/tests/departed.rs
+++ b/crates/place/tests/departed.rs
@@ -150,7 +150,7 @@
     assert!(is_open(&catalog, "x"));
 }
 
-/// The log must not replace the news that a server is leaving with an older registration,
+/// The log must not replace the announcement that a server leaves with an older registration,
 /// whether that comes from the store or from another entry.
 #[test]
 fn log_does_not_replace_draining_with_older_registration() {
@@ -171,7 +171,7 @@
     assert_eq!(all(&log), [EntryState::Draining]);
 }
 
-/// An entry that starts must be told which servers have left, so that an obsolete registration
+/// An entry that starts must learn which servers have left, so that an obsolete registration
 /// in its first own read doesn't bring one back.
 #[test]
 fn starting_entry_receives_departures() {
--- a/crates/place/tests/directory.rs
+++ b/crates/place/tests/directory.rs
@@ -1,4 +1,4 @@
-//! Tests of which entries callers are told to use.
+//! Tests of which entries are advertised to a caller.
 
 use std::collections::HashMap;
 
@@ -20,7 +20,7 @@
     ("west", 7),
 ];
 
-/// A caller must be told entries of its own region first, then some of other regions for when
+/// A caller must get entries of its own region first, then some of other regions for when
 /// that region fails, and each entry only once.
 #[test]
 fn own_region_comes_first() {
@@ -49,7 +49,7 @@
     assert!(first.values().all(|count| *count == 100), "{first:?}");
 }
 
-/// A caller without a region, or from a region without entries, must be told entries of other
+/// A caller without a region, or from a region without entries, must get entries of other
 /// regions.
 #[test]
 fn a_caller_without_a_region_is_told_others() {
--- a/crates/place/tests/fleet.rs
+++ b/crates/place/tests/fleet.rs
@@ -154,7 +154,7 @@
     );
 }
 
-/// If the store answers neither lead of a region although both are alive and heard from,
+/// If the store answers neither lead of a region although both are alive and reachable,
 /// the other entries of the region learn of changes in time: from leads of other regions
 /// or, if those are unreachable, from a substitute that reads the store and becomes a
 /// lead.
@@ -180,7 +180,7 @@
                     let took = world.now - started_at;
                     assert!(
                         took <= DRAIN,
-                        "{count} entries, apart {is_partitioned}: {took:?}"
+                        "{count} entries, partitioned {is_partitioned}: {took:?}"
                     );
                 }
             }
--- a/crates/place/tests/reading.rs
+++ b/crates/place/tests/reading.rs
@@ -5,7 +5,7 @@
 use place::fleet::read_intervals::ReadIntervals;
 use place::fleet::reading::{ReadOutcome, ReadRole, ReadScheduler, answer_as_of};
 
-/// An entry that remains in doubt about its knowledge must not repeat full reads more often
+/// An entry whose knowledge stays uncertain must not repeat full reads more often
 /// than a reader reads.
 #[test]
 fn inconclusive_reads_are_rate_limited() {
--- a/crates/rollout/src/controller/service.rs
+++ b/crates/rollout/src/controller/service.rs
@@ -54,7 +54,7 @@
     pub(super) in_flight_on_old: HashMap<u64, (Instant, u32)>,
     /// Moving average of expected response times, in seconds; 0 before the first request.
     pub(super) response_time: f64,
-    /// When this entry heard of the order.
+    /// When this entry learned of the order.
     pub(super) learned_at: Instant,
     /// When the version was found or reported to be bad.
     pub(super) verdict_at: Option<Instant>,
--- a/crates/rollout/tests/parts.rs
+++ b/crates/rollout/tests/parts.rs
@@ -297,8 +297,8 @@
     next.map(|record| record.phase)
 }
 
-/// An entry that hears fewer than half of the others completes no rollout, even if the store is
-/// reachable: they may have found the version to be bad.
+/// An entry with reports of fewer than half of the others completes no rollout, even if the
+/// store is reachable: they may have found the version to be bad.
 #[test]
 fn an_isolated_entry_completes_no_rollout() {
     let now = Instant::now();
--- a/crates/team/src/bucket.rs
+++ b/crates/team/src/bucket.rs
@@ -107,7 +107,7 @@
             .is_none_or(|at| now.saturating_duration_since(at) >= Self::REFRESH_INTERVAL)
     }
 
-    /// Fraction of a quota that is available to the entries that hear each other.
+    /// Fraction of a quota that is available to the entries that reach each other.
     fn reachable_fraction(&self) -> f64 {
         (self.entries - self.silent.min(self.entries - 1)) as f64 / self.entries as f64
     }
--- a/crates/team/src/key.rs
+++ b/crates/team/src/key.rs
@@ -9,7 +9,7 @@
 
 /// Prefix of a digest in settings.
 const SCHEME: &str = "sha256:";
-/// Number of digest bytes shown, for example in logs: enough to tell a team's keys apart.
+/// Number of digest bytes shown, for example in logs: enough to distinguish a team's keys.
 const SHOWN_BYTES: usize = 4;
 
 /// The digest of a key. Only digests are compared, sent to other entries and written in
@@ -48,7 +48,7 @@
     }
 }
 
-/// Shows the first bytes of the digest, enough to tell a team's keys apart.
+/// Shows the first bytes of the digest, enough to distinguish a team's keys.
 impl Display for KeyDigest {
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
         f.write_str(&hex(&self.0[..SHOWN_BYTES]))
--- a/crates/team/src/quota.rs
+++ b/crates/team/src/quota.rs
@@ -7,7 +7,7 @@
 //!
 //! A silent entry may be partitioned from the others and still admit requests. Each entry
 //! therefore has a fixed part of the quota: the others reserve it while the entry is silent,
-//! and an entry that hears no peer admits no more than its part. The parts add up to the whole
+//! and an entry that gets no reports admits no more than its part. The parts add up to the whole
 //! quota, whichever way the fleet is partitioned.
 
 use std::collections::{HashMap, HashSet};
