--- a/crates/place/src/catalog/mod.rs
+++ b/crates/place/src/catalog/mod.rs
@@ -179,9 +179,13 @@
     }
 
     /// Applies departures that another entry reported, and returns the changes.
-    pub fn apply_departures(&mut self, now: Instant, ends: &[Departure]) -> Vec<CatalogChange> {
+    pub fn apply_departures(
+        &mut self,
+        now: Instant,
+        departures: &[Departure],
+    ) -> Vec<CatalogChange> {
         let mut changes = Vec::new();
-        for departure in ends {
+        for departure in departures {
             self.departures.record(now, departure);
             let known = self.table.by_id(&departure.id);
             if known.is_some_and(|record| self.departures.supersedes(now, &record.entry)) {
--- a/crates/place/src/fleet/member/crashes.rs
+++ b/crates/place/src/fleet/member/crashes.rs
@@ -9,8 +9,12 @@
 
 impl FleetMember {
     /// Returns how much longer the request is rejected; `None` if it is not quarantined.
-    pub fn quarantine_left(&self, now: Instant, print: RequestFingerprint) -> Option<Duration> {
-        self.quarantine.quarantine_left(now, print)
+    pub fn quarantine_left(
+        &self,
+        now: Instant,
+        fingerprint: RequestFingerprint,
+    ) -> Option<Duration> {
+        self.quarantine.quarantine_left(now, fingerprint)
     }
 
     /// Whether any request may be suspected or quarantined.
@@ -25,8 +29,8 @@
     }
 
     /// Whether a successful answer to this request must be reported.
-    pub fn suspects(&self, print: RequestFingerprint) -> bool {
-        self.quarantine.contains(print) || self.ledger.is_suspect(print)
+    pub fn suspects(&self, fingerprint: RequestFingerprint) -> bool {
+        self.quarantine.contains(fingerprint) || self.ledger.is_suspect(fingerprint)
     }
 
     /// Returns the quarantined requests.
@@ -45,12 +49,12 @@
     pub(super) fn on_cleared(
         &mut self,
         now: Instant,
-        print: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         actions: &mut Vec<FleetAction>,
     ) {
-        let was_held = self.quarantine.contains(print);
-        self.outbox.on_cleared(now, print, was_held);
-        self.clear(now, print, actions);
+        let was_held = self.quarantine.contains(fingerprint);
+        self.outbox.on_cleared(now, fingerprint, was_held);
+        self.clear(now, fingerprint, actions);
     }
 
     /// Applies a message from another entry. A lead forwards new facts to the other
@@ -119,12 +123,13 @@
         rows: &[StoredQuarantine],
         actions: &mut Vec<FleetAction>,
     ) {
-        let prints = rows.iter().map(|row| row.print);
-        let has_lapsed = |print: &RequestFingerprint| self.quarantine_left(now, *print).is_none();
-        delete_quarantine_rows(prints.filter(has_lapsed).collect(), actions);
-        let is_stored = |print| rows.iter().any(|row| row.print == print);
+        let fingerprints = rows.iter().map(|row| row.print);
+        let has_lapsed =
+            |fingerprint: &RequestFingerprint| self.quarantine_left(now, *fingerprint).is_none();
+        delete_quarantine_rows(fingerprints.filter(has_lapsed).collect(), actions);
+        let is_stored = |fingerprint| rows.iter().any(|row| row.print == fingerprint);
         let quarantines = self.quarantines(now);
-        let missing = quarantines.filter(|(print, _)| !is_stored(*print));
+        let missing = quarantines.filter(|(fingerprint, _)| !is_stored(*fingerprint));
         write_quarantine_rows(missing.collect(), actions);
     }
 
@@ -171,8 +176,8 @@
             return;
         }
         let new_facts = self.ledger.review(now, &mut self.quarantine);
-        for (print, status) in &new_facts {
-            self.on_status_raised(now, *print, *status, actions);
+        for (fingerprint, status) in &new_facts {
+            self.on_status_raised(now, *fingerprint, *status, actions);
             self.statuses_due = now;
         }
     }
@@ -200,16 +205,16 @@
     fn clear(
         &mut self,
         at: Instant,
-        print: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         actions: &mut Vec<FleetAction>,
     ) -> bool {
-        let was_held = self.quarantine.contains(print);
-        let was_suspect = self.ledger.clear(print);
-        let is_changed = self.quarantine.clear(print, at);
-        if was_held && !self.quarantine.contains(print) {
-            actions.push(FleetAction::Log(FleetChange::Cleared(print)));
+        let was_held = self.quarantine.contains(fingerprint);
+        let was_suspect = self.ledger.clear(fingerprint);
+        let is_changed = self.quarantine.clear(fingerprint, at);
+        if was_held && !self.quarantine.contains(fingerprint) {
+            actions.push(FleetAction::Log(FleetChange::Cleared(fingerprint)));
             if self.lead_since.is_some() && self.is_reader(at) {
-                delete_quarantine_rows(vec![print], actions);
+                delete_quarantine_rows(vec![fingerprint], actions);
             }
             self.statuses_due = at;
         }
@@ -219,24 +224,25 @@
     /// Returns the quarantined requests with the age of their quarantine.
     fn quarantines(&self, now: Instant) -> impl Iterator<Item = (RequestFingerprint, Duration)> {
         let quarantines = self.quarantine.quarantines();
-        quarantines.map(move |(print, since)| (print, now.saturating_duration_since(since)))
+        quarantines
+            .map(move |(fingerprint, since)| (fingerprint, now.saturating_duration_since(since)))
     }
 
     /// Handles a request that became suspected or quarantined.
     fn on_status_raised(
         &mut self,
         now: Instant,
-        print: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         status: RequestStatus,
         actions: &mut Vec<FleetAction>,
     ) {
         if status == RequestStatus::Suspect {
-            actions.push(FleetAction::Log(FleetChange::Suspected(print)));
+            actions.push(FleetAction::Log(FleetChange::Suspected(fingerprint)));
             return;
         }
-        actions.push(FleetAction::Log(FleetChange::Quarantined(print)));
+        actions.push(FleetAction::Log(FleetChange::Quarantined(fingerprint)));
         if self.lead_since.is_some() && self.is_reader(now) {
-            write_quarantine_rows(vec![(print, Duration::ZERO)], actions);
+            write_quarantine_rows(vec![(fingerprint, Duration::ZERO)], actions);
         }
     }
 }
@@ -250,9 +256,9 @@
     }
 }
 
-fn delete_quarantine_rows(prints: Vec<RequestFingerprint>, actions: &mut Vec<FleetAction>) {
-    if !prints.is_empty() {
-        actions.push(FleetAction::DeleteQuarantineRows(prints));
+fn delete_quarantine_rows(fingerprints: Vec<RequestFingerprint>, actions: &mut Vec<FleetAction>) {
+    if !fingerprints.is_empty() {
+        actions.push(FleetAction::DeleteQuarantineRows(fingerprints));
     }
 }
 
--- a/crates/place/src/fleet/member/mod.rs
+++ b/crates/place/src/fleet/member/mod.rs
@@ -279,7 +279,7 @@
             FleetEvent::LeadRows(rows) => self.on_lead_rows(now, &rows),
             FleetEvent::QuarantineRows(rows) => self.on_quarantine_rows(now, &rows, actions),
             FleetEvent::Crashed(reports) => self.on_crashed(now, &reports),
-            FleetEvent::Cleared(print) => self.on_cleared(now, print, actions),
+            FleetEvent::Cleared(fingerprint) => self.on_cleared(now, fingerprint, actions),
         }
         self.run_due_tasks(now, actions);
     }
