--- a/bin/lh-entry/src/fleet.rs
+++ b/bin/lh-entry/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use place::crash::print::RequestFingerprint;
+use place::crash::fingerprint::RequestFingerprint;
 use place::fleet::clock::StoreTime;
 use place::fleet::member::{HEARTBEAT_INTERVAL, MemberConfig};
 use place::fleet::message::PeerMessage;
@@ -71,7 +71,7 @@
     pub(crate) fn update_known(&self, change: impl FnOnce(&mut StoreProgress)) {
         let mut known = self.known();
         change(&mut known);
-        self.on_event(FleetEvent::Known(known));
+        self.on_event(FleetEvent::StoreProgress(known));
     }
 
     /// Passes this entry's own state to the state machine if it has changed.
@@ -84,7 +84,7 @@
 
     /// Returns how current this entry's knowledge of the store is.
     pub(crate) fn known(&self) -> StoreProgress {
-        *self.member.borrow().known()
+        *self.member.borrow().store_progress()
     }
 
     /// Returns the maximum time since the store confirmed the known operator's rows; `None` if
@@ -247,7 +247,7 @@
                 state.quota.borrow_mut().on_report(now, report.entry, quota);
             }
             let mut placer = state.placer.borrow_mut();
-            placer.on_peer_load(now, report.entry, report.word);
+            placer.on_peer_load(now, report.entry, report.report);
         }
         Ok(PeerMessage::Rollout(report)) => state.rollouts.on_peer_counts(&report),
         Ok(mut message) => {
--- a/bin/lh-entry/src/load_reports.rs
+++ b/bin/lh-entry/src/load_reports.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use place::fleet::message::{LoadReport, PeerMessage};
-use place::placing::load::{LoadUpdate, is_sent_to_other_regions, load_interval};
+use place::fleet::message::{LoadMessage, PeerMessage};
+use place::placing::load::{LoadReport, is_sent_to_other_regions, load_interval};
 use place::rank::stable_hash;
 use team::quota::QuotaReport;
 use tokio::net::UdpSocket;
@@ -82,12 +82,17 @@
         stops: !is_listed && !is_used,
         ..state.quota.borrow_mut().report(now)
     });
-    let word = state.placer.borrow_mut().own_load(now);
-    send(socket, &near, &message(state, word.clone(), quota.clone())).await;
+    let report = state.placer.borrow_mut().own_load(now);
+    send(
+        socket,
+        &near,
+        &message(state, report.clone(), quota.clone()),
+    )
+    .await;
     send(
         socket,
         &far,
-        &message(state, word.for_other_regions(), quota),
+        &message(state, report.for_other_regions(), quota),
     )
     .await;
     rollout::send_reports(state, socket, &[near, far].concat()).await;
@@ -123,10 +128,10 @@
     (near, far)
 }
 
-fn message(state: &InstanceState, word: LoadUpdate, quota: Option<QuotaReport>) -> PeerMessage {
-    PeerMessage::Load(LoadReport {
+fn message(state: &InstanceState, report: LoadReport, quota: Option<QuotaReport>) -> PeerMessage {
+    PeerMessage::Load(LoadMessage {
         entry: stable_hash(state.config.instance.as_bytes()),
-        word,
+        report,
         quota,
     })
 }
--- a/bin/lh-entry/src/record.rs
+++ b/bin/lh-entry/src/record.rs
@@ -6,7 +6,7 @@
 
 use base::prelude::Outcome;
 use hyper::StatusCode;
-use place::crash::print::RequestFingerprint;
+use place::crash::fingerprint::RequestFingerprint;
 use place::desired::RouteSpec;
 use place::request::{Placement, Refusal};
 use place::server::ServerReport;
@@ -103,7 +103,7 @@
             placement.id,
             reason.expected,
             reason.occupancy,
-            reason.warmth,
+            reason.cache_likelihood,
             reason.rank,
             if reason.cold { " cold" } else { "" },
             if reason.is_remote { " away" } else { "" },
--- a/bin/lh-entry/src/rollout.rs
+++ b/bin/lh-entry/src/rollout.rs
@@ -110,7 +110,7 @@
 
     /// Handles another entry's request counts.
     pub(crate) fn on_peer_counts(&self, message: &RolloutMessage) {
-        self.change(|now, controller| controller.on_report(now, message.entry, &message.word));
+        self.change(|now, controller| controller.on_report(now, message.entry, &message.report));
     }
 
     /// Records that a request is sent to the server of `placement`. During a rollout of `service`
@@ -218,7 +218,7 @@
     state
         .rollouts
         .change(|now, controller| controller.check_overdue(now));
-    let Some(word) = state.rollouts.controller().report(Instant::now()) else {
+    let Some(report) = state.rollouts.controller().report(Instant::now()) else {
         return;
     };
     let mut targets = recipients.to_vec();
@@ -236,7 +236,7 @@
     targets.retain(|target| *target != state.config.peer_address);
     let message = RolloutMessage {
         entry: stable_hash(state.config.instance.as_bytes()),
-        word,
+        report,
     };
     send(socket, &targets, &PeerMessage::Rollout(message)).await;
 }
--- a/bin/lh-entry/src/state.rs
+++ b/bin/lh-entry/src/state.rs
@@ -291,17 +291,17 @@
         let mut placer = self.placer.borrow_mut();
         let is_first = placer.catalog.read_at().is_none();
         let now = Instant::now();
-        placer.catalog.on_dropped(now, &scope.dropped);
-        let changes = placer.catalog.on_read(now, snapshot);
+        placer.catalog.note_dropped_rows(now, &scope.dropped);
+        let changes = placer.catalog.apply_snapshot(now, snapshot);
         scope.missing = placer.catalog.missing().map(str::to_owned).collect();
         drop(placer);
         let mut servers = self.servers.borrow_mut();
-        servers.on_read(snapshot, scope);
+        servers.apply_snapshot(snapshot, scope);
         let (changed_at, content) = (servers.version(), servers.content());
         drop(servers);
         let source = ChangeSource {
             by: "store",
-            age: snapshot.begun.elapsed(),
+            age: snapshot.started_at.elapsed(),
         };
         self.report_versions(&changes, is_first);
         self.on_catalog_changes(&changes, snapshot.foreign.len(), &source);
@@ -309,7 +309,7 @@
             known.registry = changed_at;
             known.content = content;
             known.registry_read = snapshot.version;
-            known.registry_at = known.registry_at.max(Some(snapshot.begun));
+            known.registry_at = known.registry_at.max(Some(snapshot.started_at));
         });
         true
     }
@@ -330,12 +330,12 @@
         if delta.version <= servers.version() && !is_whole {
             return;
         }
-        servers.on_told(delta);
+        servers.apply_delta(delta);
         let content = servers.content();
         drop(servers);
         let mut placer = self.placer.borrow_mut();
         let is_first = placer.catalog.read_at().is_none();
-        let changes = placer.catalog.on_told(Instant::now(), begun, delta);
+        let changes = placer.catalog.apply_delta(Instant::now(), begun, delta);
         drop(placer);
         let source = ChangeSource {
             by: &lead.to_string(),
@@ -355,11 +355,11 @@
     /// Applies the departed servers as reported by a lead that has been running longer.
     pub(crate) fn on_peer_departures(&self, lead: SocketAddr, departures: &[Departure]) {
         let mut servers = self.servers.borrow_mut();
-        servers.on_departures(departures);
+        servers.apply_departures(departures);
         let changed_at = servers.version();
         drop(servers);
         let mut placer = self.placer.borrow_mut();
-        let changes = placer.catalog.on_ends(Instant::now(), departures);
+        let changes = placer.catalog.apply_departures(Instant::now(), departures);
         drop(placer);
         let by = &lead.to_string();
         for change in &changes {
@@ -373,7 +373,7 @@
     pub(crate) fn report_pending_removals(&self) {
         let next_removal_at = self.placer.borrow().catalog.next_removal_at();
         self.fleet
-            .on_event(FleetEvent::RemovalsFinalAt(next_removal_at));
+            .on_event(FleetEvent::NextRemovalAt(next_removal_at));
     }
 
     /// Reports the versions of servers that joined to the rollout controller.
--- a/bin/lh-entry/src/view.rs
+++ b/bin/lh-entry/src/view.rs
@@ -20,7 +20,7 @@
 use place::fleet::list::{EntryList, ListVersion};
 use place::fleet::log::{RegistryDelta, RegistryLog};
 use place::fleet::pull::{PullScope, PullTarget};
-use place::fleet::store_progress::{StoreProgress, StoreProgressMessage};
+use place::fleet::store_progress::{StoreProgress, StoreProgressReport};
 use place::prelude::FleetEvent;
 use quick_error::quick_error;
 use rollout::order::RolloutRecord;
@@ -66,7 +66,7 @@
     /// Response with the state that the requesting entry lacks.
     #[derive(Default)]
     struct ViewAnswer {
-        store: StoreProgressMessage,
+        store: StoreProgressReport,
         /// An encoded [`RegistryDelta`]; empty if nothing changed.
         registry: Vec<u8>,
         /// Address of another entry that serves a copy of the registry instead.
@@ -140,7 +140,7 @@
     let query: ViewQuery = postcard::from_bytes(&bytes).ok()?;
     let known = state.fleet.known();
     let mut answer = ViewAnswer {
-        store: known.to_message(Instant::now()),
+        store: known.to_report(Instant::now()),
         latest_store_time: state.fleet.latest_store_time(),
         ..ViewAnswer::default()
     };
@@ -246,7 +246,7 @@
 ) -> Result<(), ViewError> {
     // The response was created at some time since `begun`. Dating it to now would hide how long
     // this process was stalled before reading it.
-    let progress = StoreProgress::from_message(begun, &answer.store);
+    let progress = StoreProgress::from_report(begun, &answer.store);
     if !answer.desired.is_empty() {
         let desired: DesiredState = postcard::from_bytes(&answer.desired)?;
         state.apply_desired_state(&desired);
--- a/bin/lh-entry/src/watch.rs
+++ b/bin/lh-entry/src/watch.rs
@@ -179,7 +179,7 @@
             let snapshot = CatalogSnapshot {
                 entries: rows.entries,
                 foreign: rows.foreign,
-                begun: answer_as_of(begun, wait, Instant::now(), has_rows),
+                started_at: answer_as_of(begun, wait, Instant::now(), has_rows),
                 version: rows.version,
             };
             let before = state.servers.borrow().version();
--- a/crates/emulate/benches/slopes.rs
+++ b/crates/emulate/benches/slopes.rs
@@ -16,7 +16,7 @@
 use place::fleet::store_progress::StoreProgress;
 use place::limits::budget::BudgetBounds;
 use place::placing::choice::ByteCosts;
-use place::placing::load::{LoadUpdate, short_id};
+use place::placing::load::{LoadReport, short_id};
 use place::prelude::*;
 use place::rank::stable_hash;
 use place::request::ServerOutcome;
@@ -148,10 +148,10 @@
     let snapshot = CatalogSnapshot {
         entries: servers.to_vec(),
         foreign: Vec::new(),
-        begun: now,
+        started_at: now,
         version: 1,
     };
-    placer.catalog.on_read(now, &snapshot);
+    placer.catalog.apply_snapshot(now, &snapshot);
     placer
 }
 
@@ -190,10 +190,10 @@
             let snapshot = CatalogSnapshot {
                 entries: servers.clone(),
                 foreign: Vec::new(),
-                begun: now,
+                started_at: now,
                 version: 1,
             };
-            drop(black_box(placer.catalog.on_read(now, &snapshot)));
+            drop(black_box(placer.catalog.apply_snapshot(now, &snapshot)));
         });
         println!(
             "{count:>20} {:>17.1?} {:>20.1?} {read_time:>19.1?}",
@@ -221,27 +221,31 @@
         let mut snapshot = CatalogSnapshot {
             entries: servers.clone(),
             foreign: Vec::new(),
-            begun: now,
+            started_at: now,
             version: 1,
         };
-        log.on_read(&snapshot, ReadScope::default());
+        log.apply_snapshot(&snapshot, ReadScope::default());
         let next = |snapshot: &mut CatalogSnapshot| {
             snapshot.version += 1;
-            snapshot.begun += Duration::from_millis(600);
+            snapshot.started_at += Duration::from_millis(600);
             for entry in snapshot.entries.iter_mut().step_by(10) {
                 entry.seq += 1;
             }
         };
         let read_time = median(5, 1, || {
             next(&mut snapshot);
-            drop(black_box(placer.catalog.on_read(snapshot.begun, &snapshot)));
+            drop(black_box(
+                placer
+                    .catalog
+                    .apply_snapshot(snapshot.started_at, &snapshot),
+            ));
         });
         let logged = median(5, 1, || {
             next(&mut snapshot);
-            log.on_read(&snapshot, ReadScope::default());
+            log.apply_snapshot(&snapshot, ReadScope::default());
         });
         let mut follower = RegistryLog::default();
-        follower.on_told(&log.since(0));
+        follower.apply_delta(&log.since(0));
         let mut delta = RegistryDelta {
             version: log.version(),
             ..RegistryDelta::default()
@@ -249,7 +253,7 @@
         let delta_time = median(5, 10, || {
             delta.version += 1;
             delta.entries = vec![servers[3].clone()];
-            follower.on_told(&delta);
+            follower.apply_delta(&delta);
         });
         let board = route();
         let request = PlacementRequest::new(&board, 0)
@@ -268,7 +272,7 @@
         let mut at = now;
         let place = median(7, 20, || {
             at += Duration::from_millis(1);
-            let update = LoadUpdate {
+            let update = LoadReport {
                 load: names.iter().map(|name| (*name, 1)).collect(),
                 sent: vec![0; REGIONS],
                 handled: Vec::new(),
@@ -295,9 +299,9 @@
             .iter()
             .map(|server| short_id(stable_hash(server.id.as_bytes())))
             .collect();
-        let load_update = |entry: usize| -> LoadUpdate {
+        let load_update = |entry: usize| -> LoadReport {
             let load = (0..4).map(|turn| (names[(entry * 4 + turn) % count], 1));
-            LoadUpdate {
+            LoadReport {
                 load: load.collect(),
                 sent: vec![0; REGIONS],
                 handled: Vec::new(),
@@ -368,7 +372,7 @@
             registry_at: Some(start),
             ..StoreProgress::default()
         };
-        lead.on_event(start, FleetEvent::Known(known), &mut actions);
+        lead.on_event(start, FleetEvent::StoreProgress(known), &mut actions);
         let mut now = start + Duration::from_secs(2);
         lead.on_event(now, FleetEvent::Tick, &mut actions);
         for number in 1..entries {
@@ -413,10 +417,10 @@
         let snapshot = CatalogSnapshot {
             entries: servers,
             foreign: Vec::new(),
-            begun: Instant::now(),
+            started_at: Instant::now(),
             version: 1,
         };
-        log.on_read(&snapshot, ReadScope::default());
+        log.apply_snapshot(&snapshot, ReadScope::default());
         let follow = median(7, 20, || drop(black_box(log.since(1))));
         println!("{count:>13} {answer:>18.1?} {follow:>22.1?}");
     }
--- a/crates/emulate/src/policy.rs
+++ b/crates/emulate/src/policy.rs
@@ -4,7 +4,7 @@
 
 use place::catalog::{CatalogSnapshot, ServerHandle};
 use place::desired::{DesiredState, RouteSpec};
-use place::placing::load::LoadUpdate;
+use place::placing::load::LoadReport;
 use place::prelude::*;
 use place::rank::stable_hash;
 use team::fairness::FairnessRanker;
@@ -53,10 +53,10 @@
     );
 
     /// The load update with the entry's own requests at servers.
-    fn load_update(&mut self, now: Instant) -> LoadUpdate;
+    fn load_update(&mut self, now: Instant) -> LoadReport;
 
     /// Records the load update of another entry.
-    fn on_load_update(&mut self, now: Instant, entry: u64, update: LoadUpdate);
+    fn on_load_update(&mut self, now: Instant, entry: u64, update: LoadReport);
 }
 
 /// The policy of the daemon.
@@ -90,7 +90,7 @@
         let mut placer = RequestPlacer::new(config);
         placer.set_desired(desired);
         placer.set_entries(entries.to_vec(), peers_in_region);
-        placer.catalog.on_read(servers.begun, servers);
+        placer.catalog.apply_snapshot(servers.started_at, servers);
         Self {
             placer,
             route: desired.routes[0].clone(),
@@ -119,7 +119,7 @@
             fairness.map_or(0, |fairness| fairness.on_request(now, policy_request.team));
         let request = PlacementRequest {
             priority: self.route.priority + priority_steps,
-            returning: !policy_request.is_first_try,
+            resubmitted: !policy_request.is_first_try,
             ..PlacementRequest::new(&self.route, 0)
                 .with_object(Some(object))
                 .with_remaining(remaining.min(self.route.timeout.unwrap_or(remaining)))
@@ -149,11 +149,11 @@
             .on_outcome(now, placement, &request, outcome, report);
     }
 
-    fn load_update(&mut self, now: Instant) -> LoadUpdate {
+    fn load_update(&mut self, now: Instant) -> LoadReport {
         self.placer.own_load(now)
     }
 
-    fn on_load_update(&mut self, now: Instant, entry: u64, update: LoadUpdate) {
+    fn on_load_update(&mut self, now: Instant, entry: u64, update: LoadReport) {
         self.placer.on_peer_load(now, entry, update);
     }
 }
@@ -162,7 +162,7 @@
     /// Creates the policy of an entry that knows `servers`.
     pub fn new(config: &PlacerConfig, desired: &DesiredState, servers: &CatalogSnapshot) -> Self {
         let mut catalog = ServerCatalog::new(config.domains.clone());
-        catalog.on_read(servers.begun, servers);
+        catalog.apply_snapshot(servers.started_at, servers);
         Self {
             catalog,
             service: desired.services[0].name.clone(),
@@ -217,9 +217,9 @@
         record.in_flight = record.in_flight.saturating_sub(1);
     }
 
-    fn load_update(&mut self, _: Instant) -> LoadUpdate {
-        LoadUpdate::default()
+    fn load_update(&mut self, _: Instant) -> LoadReport {
+        LoadReport::default()
     }
 
-    fn on_load_update(&mut self, _: Instant, _: u64, _: LoadUpdate) {}
+    fn on_load_update(&mut self, _: Instant, _: u64, _: LoadReport) {}
 }
--- a/crates/emulate/src/timeline.rs
+++ b/crates/emulate/src/timeline.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use place::placing::load::LoadUpdate;
+use place::placing::load::LoadReport;
 
 /// Microseconds from the start.
 pub(crate) type Micros = u64;
@@ -26,7 +26,7 @@
     /// An entry sends its load to the others.
     SendLoad(usize),
     /// An entry receives the load of the entry with this hash.
-    ReceiveLoad(usize, u64, LoadUpdate),
+    ReceiveLoad(usize, u64, LoadReport),
     /// A fault starts.
     FaultStarts(usize),
     /// A fault ends.
--- a/crates/emulate/tests/patterns.rs
+++ b/crates/emulate/tests/patterns.rs
@@ -7,7 +7,7 @@
     EntryPolicy, Experiment, FaultKind, NaivePolicy, PlacerPolicy, PolicyChoice, PolicyRequest,
     ServerFault, TrialReport, run_trial,
 };
-use place::placing::load::LoadUpdate;
+use place::placing::load::LoadReport;
 use place::request::{Placement, ServerOutcome};
 use place::server::ServerReport;
 
@@ -192,11 +192,11 @@
         self.0.on_outcome(now, placement, object, outcome, report);
     }
 
-    fn load_update(&mut self, now: Instant) -> LoadUpdate {
+    fn load_update(&mut self, now: Instant) -> LoadReport {
         self.0.load_update(now)
     }
 
-    fn on_load_update(&mut self, now: Instant, entry: u64, mut update: LoadUpdate) {
+    fn on_load_update(&mut self, now: Instant, entry: u64, mut update: LoadReport) {
         update.handled.clear();
         self.0.on_load_update(now, entry, update);
     }
--- a/crates/place/src/catalog/mod.rs
+++ b/crates/place/src/catalog/mod.rs
@@ -19,7 +19,7 @@
 use crate::departure::{Departure, DepartureTable};
 use crate::fleet::log::{RegistryDelta, store_version};
 use crate::placing::candidates::RankScope;
-use crate::placing::trip::RoundTripEstimator;
+use crate::placing::round_trip::RoundTripEstimator;
 use crate::server::{EntryState, ServerEntry, ServerRecord};
 
 pub use crate::catalog::change::{CatalogChange, ServerCondition};
@@ -33,11 +33,11 @@
     table: RecordTable,
     evacuated: HashSet<String>,
     read_at: Option<Instant>,
-    /// The store version of the known state, whichever instance read it.
+    /// The store version of the known state, whichever entry read it.
     version: u64,
     /// When that state was applied.
     applied_at: Option<Instant>,
-    trips: RoundTripEstimator,
+    round_trips: RoundTripEstimator,
     outage: RegistryOutage,
     departures: DepartureTable,
 }
@@ -59,10 +59,10 @@
         self
     }
 
-    /// Sets the failure domain and region of the instance that uses this catalog.
+    /// Sets the failure domain and region of the entry that uses this catalog.
     #[must_use]
     pub fn with_location(mut self, domain: &str, region: &str) -> Self {
-        self.trips = RoundTripEstimator::new(domain, region);
+        self.round_trips = RoundTripEstimator::new(domain, region);
         self
     }
 
@@ -72,12 +72,12 @@
             return;
         };
         let (domain, region) = (record.entry.domain.clone(), record.region.clone());
-        let Some(trip) = self.trips.on_connected(&domain, &region, millis) else {
+        let Some(round_trip) = self.round_trips.on_connected(&domain, &region, millis) else {
             return;
         };
         for record in self.table.iter_mut() {
             if record.entry.domain == domain {
-                record.trip = trip;
+                record.round_trip = round_trip;
             }
         }
     }
@@ -97,19 +97,23 @@
     /// version in a snapshot that began after the known state was applied shows that the known
     /// version never was the store's, so such a snapshot counts.
     pub fn is_outdated(&self, snapshot: &CatalogSnapshot) -> bool {
-        let is_later = self.applied_at.is_none_or(|at| snapshot.begun >= at);
+        let is_later = self.applied_at.is_none_or(|at| snapshot.started_at >= at);
         snapshot.version < self.version && !is_later
     }
 
     /// Applies a complete snapshot of the registry and returns the changes.
-    pub fn on_read(&mut self, now: Instant, snapshot: &CatalogSnapshot) -> Vec<CatalogChange> {
+    pub fn apply_snapshot(
+        &mut self,
+        now: Instant,
+        snapshot: &CatalogSnapshot,
+    ) -> Vec<CatalogChange> {
         if self.is_outdated(snapshot) {
             return Vec::new();
         }
         let settled = self.outage.on_answered(now);
         let mut changes = Vec::new();
         for entry in &snapshot.entries {
-            self.apply_entry(now, snapshot.begun, entry, &mut changes);
+            self.apply_entry(now, snapshot.started_at, entry, &mut changes);
         }
         for id in &snapshot.foreign {
             self.mark_overwritten(id, &mut changes);
@@ -118,40 +122,40 @@
         let foreign = snapshot.foreign.iter().map(String::as_str);
         let listed: HashSet<&str> = own.chain(foreign).collect();
         self.remove_missing(now, &listed, settled, &mut changes);
-        self.read_at = self.read_at.max(Some(snapshot.begun));
+        self.read_at = self.read_at.max(Some(snapshot.started_at));
         self.version = snapshot.version;
         self.applied_at = Some(now);
         changes
     }
 
     /// Notes the rows that were dropped since the previous snapshot; call it before applying
-    /// the next one. An entry that is listed again later and isn't newer than the dropped row
-    /// is stale.
-    pub fn on_dropped(&mut self, now: Instant, rows: &[DroppedRow]) {
+    /// the next one. A server entry that is listed again later and isn't newer than the dropped
+    /// row is stale.
+    pub fn note_dropped_rows(&mut self, now: Instant, rows: &[DroppedRow]) {
         for row in rows {
             if row.version <= self.version {
                 // The known state is newer.
                 continue;
             }
             let known = self.table.by_id(&row.id).map(|record| &record.entry);
-            for word in known.into_iter().chain(&row.last_entry) {
-                self.departures.record(now, &Departure::of(word));
+            for entry in known.into_iter().chain(&row.last_entry) {
+                self.departures.record(now, &Departure::of(entry));
             }
         }
     }
 
-    /// Applies a delta that another instance sent, as of `begun`, and returns the changes. The
+    /// Applies a delta that another entry sent, as of `started_at`, and returns the changes. The
     /// sender has decided whether servers with missing rows are gone.
-    pub fn on_told(
+    pub fn apply_delta(
         &mut self,
         now: Instant,
-        begun: Instant,
+        started_at: Instant,
         delta: &RegistryDelta,
     ) -> Vec<CatalogChange> {
         let mut changes = Vec::new();
-        self.apply_departures(now, delta, &mut changes);
+        self.apply_delta_departures(now, delta, &mut changes);
         for entry in &delta.entries {
-            self.apply_entry(now, begun, entry, &mut changes);
+            self.apply_entry(now, started_at, entry, &mut changes);
         }
         for id in &delta.foreign {
             self.mark_overwritten(id, &mut changes);
@@ -170,14 +174,18 @@
         }
         self.version = store_version(delta.version);
         self.applied_at = Some(now);
-        self.confirm(begun);
+        self.confirm(started_at);
         changes
     }
 
-    /// Applies departures that another instance reported, and returns the changes.
-    pub fn on_ends(&mut self, now: Instant, ends: &[Departure]) -> Vec<CatalogChange> {
+    /// Applies departures that another entry reported, and returns the changes.
+    pub fn apply_departures(
+        &mut self,
+        now: Instant,
+        departures: &[Departure],
+    ) -> Vec<CatalogChange> {
         let mut changes = Vec::new();
-        for departure in ends {
+        for departure in departures {
             self.departures.record(now, departure);
             let known = self.table.by_id(&departure.id);
             if known.is_some_and(|record| self.departures.supersedes(now, &record.entry)) {
@@ -187,10 +195,10 @@
         changes
     }
 
-    /// Another instance confirmed the known state as of `begun`.
-    pub fn confirm(&mut self, begun: Instant) {
-        self.read_at = self.read_at.max(Some(begun));
-        self.outage.on_peer_snapshot(begun);
+    /// Another entry confirmed the known state as of `started_at`.
+    pub fn confirm(&mut self, started_at: Instant) {
+        self.read_at = self.read_at.max(Some(started_at));
+        self.outage.on_peer_snapshot(started_at);
     }
 
     /// When the next server with a missing row is due for removal, if any is missing.
@@ -224,7 +232,7 @@
         self.evacuated.contains(domain)
     }
 
-    /// The entry of the server `id`, unless it is gone.
+    /// The server entry of `id`, unless it is gone.
     pub fn entry(&self, id: &str) -> Option<&ServerEntry> {
         Some(&self.table.by_id(id)?.entry)
     }
--- a/crates/place/src/catalog/update.rs
+++ b/crates/place/src/catalog/update.rs
@@ -1,4 +1,4 @@
-//! Applies entries, and missing rows, to the records of servers.
+//! Applies server entries, and missing rows, to the records of servers.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Instant;
@@ -9,12 +9,12 @@
 use crate::server::{EntryState, ServerEntry, ServerRecord};
 
 impl ServerCatalog {
-    /// Applies one entry. The start time tells runs of a server apart, and `seq` orders the
-    /// entries of one run: a late entry of an earlier run changes nothing.
+    /// Applies one server entry. The start time identifies runs of a server, and `seq` orders
+    /// the server entries of one run: a late one of an earlier run changes nothing.
     pub(super) fn apply_entry(
         &mut self,
         now: Instant,
-        begun: Instant,
+        started_at: Instant,
         entry: &ServerEntry,
         changes: &mut Vec<CatalogChange>,
     ) {
@@ -27,7 +27,7 @@
             return;
         }
         let Some(record) = self.table.by_id_mut(&entry.id) else {
-            self.insert(begun, entry);
+            self.insert(started_at, entry);
             changes.push(CatalogChange::Joined(Box::new(entry.clone())));
             return;
         };
@@ -36,7 +36,7 @@
         }
         if record.entry.is_of_earlier_run(entry) {
             self.table.remove(&entry.id);
-            self.insert(begun, entry);
+            self.insert(started_at, entry);
             changes.push(CatalogChange::Restarted(entry.id.clone()));
             return;
         }
@@ -45,16 +45,16 @@
             return;
         }
         if record.missing_since.is_some() && entry.seq < record.entry.seq {
-            // A live server whose row lapsed comes back with its last entry or a newer one.
+            // A live server whose row lapsed comes back with its last server entry or a newer one.
             self.remove(now, &entry.id, changes);
             self.on_refused(now, entry, changes);
             return;
         }
-        update_record(begun, record, entry, changes);
+        update_record(started_at, record, entry, changes);
     }
 
-    /// Handles an entry from before the server's departure, listed by the registry or sent by
-    /// another instance.
+    /// Handles a server entry from before the server's departure, listed by the registry or sent
+    /// by another entry.
     fn on_refused(&mut self, now: Instant, entry: &ServerEntry, changes: &mut Vec<CatalogChange>) {
         let current = self.table.by_id(&entry.id);
         if current.is_some_and(|record| self.departures.supersedes(now, &record.entry)) {
@@ -77,12 +77,12 @@
         }
     }
 
-    fn insert(&mut self, begun: Instant, entry: &ServerEntry) {
+    fn insert(&mut self, started_at: Instant, entry: &ServerEntry) {
         let region = self.domains.get(&entry.domain).map_or("", String::as_str);
         let mut record = ServerRecord::new(entry.clone(), region);
-        record.trip = self.trips.trip(&entry.domain, region);
+        record.round_trip = self.round_trips.round_trip(&entry.domain, region);
         if !entry.cold_remaining.is_zero() {
-            record.mark_cold(begun, entry.cold_remaining);
+            record.mark_cold(started_at, entry.cold_remaining);
         }
         self.table.insert(record);
     }
@@ -120,7 +120,7 @@
 
     /// Applies the departures of a delta. A server that the same delta lists again is the same
     /// run, so its record is kept.
-    pub(super) fn apply_departures(
+    pub(super) fn apply_delta_departures(
         &mut self,
         now: Instant,
         delta: &RegistryDelta,
@@ -175,9 +175,9 @@
     }
 }
 
-/// Applies an entry of the known run.
+/// Applies a server entry of the known run.
 fn update_record(
-    begun: Instant,
+    started_at: Instant,
     record: &mut ServerRecord,
     entry: &ServerEntry,
     changes: &mut Vec<CatalogChange>,
@@ -199,9 +199,9 @@
     record.entry.seq = entry.seq;
     record.entry.cold_remaining = entry.cold_remaining;
     if !entry.cold_remaining.is_zero() {
-        if !record.is_cold(begun) {
+        if !record.is_cold(started_at) {
             changes.push(CatalogChange::Cold(entry.id.clone()));
         }
-        record.mark_cold(begun, entry.cold_remaining);
+        record.mark_cold(started_at, entry.cold_remaining);
     }
 }
--- a/crates/place/src/fleet/leads.rs
+++ b/crates/place/src/fleet/leads.rs
@@ -25,13 +25,13 @@
     /// Whether its process is shutting down, or it is no longer a lead.
     pub leaving: bool,
     /// Its state of the store.
-    pub known: StoreProgress,
+    pub store_progress: StoreProgress,
     /// Versions of its lists of entries, by region.
     pub lists: Vec<(String, ListVersion)>,
     /// The leads and substitutes of its region according to this lead.
     pub candidates: Vec<LeadCandidate>,
     incarnation: u64,
-    last_heard: Instant,
+    last_digest_at: Instant,
 }
 
 /// All known leads.
@@ -78,7 +78,7 @@
             candidate: digest.candidate.clone(),
             region: digest.region.clone(),
             leaving: digest.leaving || !digest.candidate.leads,
-            known: StoreProgress::from_message(now, &digest.store),
+            store_progress: StoreProgress::from_report(now, &digest.store),
             lists: digest
                 .regions
                 .iter()
@@ -88,7 +88,7 @@
                 .map(|summary| summary.candidates.clone())
                 .unwrap_or_default(),
             incarnation: digest.incarnation,
-            last_heard: now,
+            last_digest_at: now,
         };
         self.leads.insert(lead.candidate.node.clone(), lead);
         true
@@ -97,7 +97,7 @@
     /// Returns the leads that are neither silent nor stepping down.
     pub fn live_leads(&self, now: Instant) -> impl Iterator<Item = &LeadRecord> {
         self.leads.values().filter(move |lead| {
-            !lead.leaving && now.saturating_duration_since(lead.last_heard) < LEAD_TIMEOUT
+            !lead.leaving && now.saturating_duration_since(lead.last_digest_at) < LEAD_TIMEOUT
         })
     }
 
@@ -118,14 +118,14 @@
         known: &'a StoreProgress,
     ) -> impl Iterator<Item = &'a LeadRecord> {
         self.live_leads(now)
-            .filter(|lead| known.contradicts(&lead.known))
+            .filter(|lead| known.contradicts(&lead.store_progress))
     }
 
     /// Returns when the last lead of `region` times out unless another digest arrives.
     pub fn timeout_at(&self, region: &str) -> Option<Instant> {
         let region_leads = self.leads.values().filter(|lead| lead.region == region);
         let staying = region_leads.filter(|lead| !lead.leaving);
-        staying.map(|lead| lead.last_heard + LEAD_TIMEOUT).max()
+        staying.map(|lead| lead.last_digest_at + LEAD_TIMEOUT).max()
     }
 
     /// Returns the live lead of `region` with the highest rank.
@@ -137,6 +137,6 @@
     /// Removes leads that have been silent for longer than `RETENTION`.
     pub fn forget(&mut self, now: Instant) {
         self.leads
-            .retain(|_, lead| now.saturating_duration_since(lead.last_heard) < RETENTION);
+            .retain(|_, lead| now.saturating_duration_since(lead.last_digest_at) < RETENTION);
     }
 }
--- a/crates/place/src/fleet/member/crashes.rs
+++ b/crates/place/src/fleet/member/crashes.rs
@@ -2,15 +2,19 @@
 
 use std::time::{Duration, Instant};
 
-use crate::crash::print::RequestFingerprint;
-use crate::crash::word::{CrashMessage, CrashReport, RequestStatus, StoredQuarantine};
+use crate::crash::fingerprint::RequestFingerprint;
+use crate::crash::message::{CrashMessage, CrashReport, RequestStatus, StoredQuarantine};
 use crate::fleet::member::{FleetAction, FleetChange, FleetMember, HEARTBEAT_INTERVAL};
 use crate::fleet::message::PeerMessage;
 
 impl FleetMember {
     /// Returns how much longer the request is rejected; `None` if it is not quarantined.
-    pub fn quarantine_left(&self, now: Instant, print: RequestFingerprint) -> Option<Duration> {
-        self.quarantine.quarantine_left(now, print)
+    pub fn quarantine_left(
+        &self,
+        now: Instant,
+        fingerprint: RequestFingerprint,
+    ) -> Option<Duration> {
+        self.quarantine.quarantine_left(now, fingerprint)
     }
 
     /// Whether any request may be suspected or quarantined.
@@ -25,8 +29,8 @@
     }
 
     /// Whether a successful answer to this request must be reported.
-    pub fn suspects(&self, print: RequestFingerprint) -> bool {
-        self.quarantine.contains(print) || self.ledger.is_suspect(print)
+    pub fn suspects(&self, fingerprint: RequestFingerprint) -> bool {
+        self.quarantine.contains(fingerprint) || self.ledger.is_suspect(fingerprint)
     }
 
     /// Returns the quarantined requests.
@@ -45,38 +49,38 @@
     pub(super) fn on_cleared(
         &mut self,
         now: Instant,
-        print: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         actions: &mut Vec<FleetAction>,
     ) {
-        let was_held = self.quarantine.contains(print);
-        self.outbox.on_cleared(now, print, was_held);
-        self.clear(now, print, actions);
+        let was_held = self.quarantine.contains(fingerprint);
+        self.outbox.on_cleared(now, fingerprint, was_held);
+        self.clear(now, fingerprint, actions);
     }
 
     /// Applies a message from another entry. A lead forwards new facts to the other
     /// leads.
-    pub(super) fn on_crash_word(
+    pub(super) fn on_crash_message(
         &mut self,
         now: Instant,
-        word: &CrashMessage,
+        message: &CrashMessage,
         actions: &mut Vec<FleetAction>,
     ) {
         let mut new_facts = CrashMessage::default();
-        for cleared in &word.cleared {
+        for cleared in &message.cleared {
             let at = instant_before(now, cleared.age);
             if self.clear(at, cleared.print, actions) {
                 new_facts.cleared.push(*cleared);
             }
         }
-        for report in &word.reports {
+        for report in &message.reports {
             if self.ledger.on_report(now, *report) {
                 new_facts.reports.push(*report);
             }
         }
-        for word in &word.statuses {
-            let since = instant_before(now, word.age);
-            if self.quarantine.raise(word.print, word.status, since) {
-                self.on_status_raised(now, word.print, word.status, actions);
+        for report in &message.statuses {
+            let since = instant_before(now, report.age);
+            if self.quarantine.raise(report.print, report.status, since) {
+                self.on_status_raised(now, report.print, report.status, actions);
             }
         }
         if self.lead_since.is_some() && !new_facts.is_empty() {
@@ -119,12 +123,13 @@
         rows: &[StoredQuarantine],
         actions: &mut Vec<FleetAction>,
     ) {
-        let prints = rows.iter().map(|row| row.print);
-        let has_lapsed = |print: &RequestFingerprint| self.quarantine_left(now, *print).is_none();
-        delete_quarantine_rows(prints.filter(has_lapsed).collect(), actions);
-        let is_stored = |print| rows.iter().any(|row| row.print == print);
+        let fingerprints = rows.iter().map(|row| row.print);
+        let has_lapsed =
+            |fingerprint: &RequestFingerprint| self.quarantine_left(now, *fingerprint).is_none();
+        delete_quarantine_rows(fingerprints.filter(has_lapsed).collect(), actions);
+        let is_stored = |fingerprint| rows.iter().any(|row| row.print == fingerprint);
         let quarantines = self.quarantines(now);
-        let missing = quarantines.filter(|(print, _)| !is_stored(*print));
+        let missing = quarantines.filter(|(fingerprint, _)| !is_stored(*fingerprint));
         write_quarantine_rows(missing.collect(), actions);
     }
 
@@ -149,8 +154,8 @@
 
     /// Sends this entry's own reports to the leads.
     fn send_reports(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
-        let word = self.outbox.take_due(now);
-        if word.is_empty() {
+        let message = self.outbox.take_due(now);
+        if message.is_empty() {
             return;
         }
         let leads = if self.lead_since.is_some() {
@@ -159,7 +164,7 @@
             self.own_region_leads(now)
         };
         let leads = self.unique_peers(leads);
-        actions.push(FleetAction::Send(leads, PeerMessage::Crash(word)));
+        actions.push(FleetAction::Send(leads, PeerMessage::Crash(message)));
     }
 
     /// Determines which requests cause crashes. An entry with a lead leaves this to the
@@ -171,8 +176,8 @@
             return;
         }
         let new_facts = self.ledger.review(now, &mut self.quarantine);
-        for (print, status) in &new_facts {
-            self.on_status_raised(now, *print, *status, actions);
+        for (fingerprint, status) in &new_facts {
+            self.on_status_raised(now, *fingerprint, *status, actions);
             self.statuses_due = now;
         }
     }
@@ -181,18 +186,18 @@
     /// region and to the other leads.
     fn send_statuses(&mut self, now: Instant, actions: &mut Vec<FleetAction>) {
         self.statuses_due = now + HEARTBEAT_INTERVAL;
-        let word = CrashMessage {
+        let message = CrashMessage {
             reports: Vec::new(),
             cleared: self.quarantine.cleared_requests(now),
-            statuses: self.quarantine.status_messages(now),
+            statuses: self.quarantine.status_reports(now),
         };
-        if word.is_empty() {
+        if message.is_empty() {
             return;
         }
         let mut targets = self.peer_leads(now);
         targets.extend(self.roster.addresses(now, &self.config.region));
         let targets = self.unique_peers(targets);
-        actions.push(FleetAction::Send(targets, PeerMessage::Crash(word)));
+        actions.push(FleetAction::Send(targets, PeerMessage::Crash(message)));
     }
 
     /// Records that the request was answered successfully at `at`; returns whether this
@@ -200,43 +205,44 @@
     fn clear(
         &mut self,
         at: Instant,
-        print: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         actions: &mut Vec<FleetAction>,
     ) -> bool {
-        let was_held = self.quarantine.contains(print);
-        let was_suspect = self.ledger.clear(print);
-        let is_news = self.quarantine.clear(print, at);
-        if was_held && !self.quarantine.contains(print) {
-            actions.push(FleetAction::Log(FleetChange::Cleared(print)));
+        let was_held = self.quarantine.contains(fingerprint);
+        let was_suspect = self.ledger.clear(fingerprint);
+        let is_changed = self.quarantine.clear(fingerprint, at);
+        if was_held && !self.quarantine.contains(fingerprint) {
+            actions.push(FleetAction::Log(FleetChange::Cleared(fingerprint)));
             if self.lead_since.is_some() && self.is_reader(at) {
-                delete_quarantine_rows(vec![print], actions);
+                delete_quarantine_rows(vec![fingerprint], actions);
             }
             self.statuses_due = at;
         }
-        is_news || was_suspect
+        is_changed || was_suspect
     }
 
     /// Returns the quarantined requests with the age of their quarantine.
     fn quarantines(&self, now: Instant) -> impl Iterator<Item = (RequestFingerprint, Duration)> {
         let quarantines = self.quarantine.quarantines();
-        quarantines.map(move |(print, since)| (print, now.saturating_duration_since(since)))
+        quarantines
+            .map(move |(fingerprint, since)| (fingerprint, now.saturating_duration_since(since)))
     }
 
     /// Handles a request that became suspected or quarantined.
     fn on_status_raised(
         &mut self,
         now: Instant,
-        print: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         status: RequestStatus,
         actions: &mut Vec<FleetAction>,
     ) {
         if status == RequestStatus::Suspect {
-            actions.push(FleetAction::Log(FleetChange::Suspected(print)));
+            actions.push(FleetAction::Log(FleetChange::Suspected(fingerprint)));
             return;
         }
-        actions.push(FleetAction::Log(FleetChange::Quarantined(print)));
+        actions.push(FleetAction::Log(FleetChange::Quarantined(fingerprint)));
         if self.lead_since.is_some() && self.is_reader(now) {
-            write_quarantine_rows(vec![(print, Duration::ZERO)], actions);
+            write_quarantine_rows(vec![(fingerprint, Duration::ZERO)], actions);
         }
     }
 }
@@ -250,9 +256,9 @@
     }
 }
 
-fn delete_quarantine_rows(prints: Vec<RequestFingerprint>, actions: &mut Vec<FleetAction>) {
-    if !prints.is_empty() {
-        actions.push(FleetAction::DeleteQuarantineRows(prints));
+fn delete_quarantine_rows(fingerprints: Vec<RequestFingerprint>, actions: &mut Vec<FleetAction>) {
+    if !fingerprints.is_empty() {
+        actions.push(FleetAction::DeleteQuarantineRows(fingerprints));
     }
 }
 
--- a/crates/place/src/fleet/reading.rs
+++ b/crates/place/src/fleet/reading.rs
@@ -2,18 +2,18 @@
 
 use std::time::{Duration, Instant};
 
-use crate::fleet::pace::ReadIntervals;
+use crate::fleet::read_intervals::ReadIntervals;
 
 /// First delay after a failed read, so that a failing store isn't overloaded.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(300);
-/// Maximum delay. It must be short enough to notice a recovered store in time to tell servers
-/// that left from servers that haven't registered again yet.
+/// Maximum delay. It must be short enough to notice a recovered store in time to distinguish
+/// servers that left from servers that haven't registered again yet.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
 /// Share of the reader's interval after which it reads again when something changed: many
 /// servers that change in sequence are then read in a few calls.
 const CHANGE_INTERVAL_SHARE: f64 = 0.33;
-/// Entries without traffic that hear from no lead read this much later than others, spread over
-/// it, so that a new lead can be found in the meantime.
+/// Entries without traffic and without a reachable lead read this much later than others,
+/// spread over it, so that a new lead can be found in the meantime.
 const STANDBY_SPREAD: Duration = Duration::from_millis(500);
 /// A read that takes this much longer than the allowed wait counts as failed for the election
 /// of leads, although its answer may still arrive: others don't wait that long.
@@ -59,14 +59,14 @@
     Reader,
     /// Reads if the reader doesn't.
     Deputy,
-    /// Hears from a lead.
+    /// Receives the digests of a lead.
     Follower {
         /// Whether it is a substitute for a lead.
         substitute: bool,
         /// Whether leads have newer knowledge and none has sent it for too long.
         stuck: bool,
     },
-    /// Hears from no lead.
+    /// Receives digests of no lead.
     Alone {
         /// Whether callers are sent to it.
         used: bool,
@@ -92,7 +92,7 @@
     backoff: Duration,
     retry_at: Option<Instant>,
     /// When servers that are missing from the registry will count as gone.
-    settles_at: Option<Instant>,
+    next_removal_at: Option<Instant>,
 }
 
 impl ReadScheduler {
@@ -109,7 +109,7 @@
             is_reading: false,
             backoff: INITIAL_BACKOFF,
             retry_at: None,
-            settles_at: None,
+            next_removal_at: None,
         }
     }
 
@@ -117,12 +117,12 @@
     /// are. The entry then reads whatever its role: an entry that started the grace period
     /// itself and then followed a lead kept such servers in use, because the lead had no change
     /// to send.
-    pub fn set_settles(&mut self, at: Option<Instant>) {
-        self.settles_at = at;
+    pub fn set_next_removal(&mut self, at: Option<Instant>) {
+        self.next_removal_at = at;
     }
 
     /// Handles the end of the current read.
-    pub fn on_read(&mut self, now: Instant, outcome: ReadOutcome) {
+    pub fn on_read_finished(&mut self, now: Instant, outcome: ReadOutcome) {
         self.is_reading = false;
         if outcome == ReadOutcome::Failed {
             self.retry_at = Some(now + self.backoff);
@@ -144,7 +144,7 @@
     }
 
     /// Starts a read if one is due. `known_at` is when the current knowledge was read; `whole`
-    /// requests a full read because that knowledge is in doubt.
+    /// requests a full read because that knowledge may be wrong.
     pub fn begin_read(
         &mut self,
         now: Instant,
@@ -155,13 +155,13 @@
         if self.is_reading || self.retry_at.is_some_and(|at| now < at) {
             return None;
         }
-        // A full read that doesn't resolve the doubt isn't repeated immediately.
+        // A full read that leaves the knowledge uncertain isn't repeated immediately.
         let is_paced =
             |started_at| now.saturating_duration_since(started_at) >= self.intervals.reader;
         let whole = whole && self.started_at.is_none_or(is_paced);
         let age = known_at.map(|at| now.saturating_duration_since(at));
         let is_due = match role {
-            _ if self.settles_now(now) => true,
+            _ if self.is_removal_due(now) => true,
             ReadRole::Reader => self.next.is_none_or(|next| now >= next),
             ReadRole::Deputy => age.is_none_or(|age| age >= self.intervals.deputy),
             // The missing knowledge may not be the registry's, so this is no more frequent than
@@ -207,8 +207,8 @@
     }
 
     /// Returns whether missing servers count as gone by now, but no read has confirmed it yet.
-    fn settles_now(&self, now: Instant) -> bool {
-        let at = self.settles_at.filter(|at| now >= *at);
+    fn is_removal_due(&self, now: Instant) -> bool {
+        let at = self.next_removal_at.filter(|at| now >= *at);
         at.is_some_and(|at| {
             self.last_answered_start
                 .is_none_or(|started_at| started_at < at)
@@ -219,9 +219,11 @@
     /// check whether missing servers are gone: longer waits kept such servers in use beyond the
     /// time within which a leaving server must get no more requests.
     fn reader_wait(&self, now: Instant) -> Duration {
-        let settles_in = self.settles_at.map(|at| at.saturating_duration_since(now));
-        match settles_in {
-            Some(Duration::ZERO) if self.settles_now(now) => Duration::ZERO,
+        let removal_in = self
+            .next_removal_at
+            .map(|at| at.saturating_duration_since(now));
+        match removal_in {
+            Some(Duration::ZERO) if self.is_removal_due(now) => Duration::ZERO,
             Some(span) if !span.is_zero() => span.min(self.intervals.reader),
             _ => self.intervals.reader,
         }
--- a/crates/place/src/limits/budget.rs
+++ b/crates/place/src/limits/budget.rs
@@ -1,10 +1,10 @@
 //! Limits retries at a second server to a share of the requests for a service. The limit
-//! applies to all instances together; each uses a part of it.
+//! applies to all entries together; each uses a part of it.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Share of the budget that is used. The rest covers instances that this one doesn't know of
+/// Share of the budget that is used. The rest covers entries that this one doesn't know of
 /// and retries in progress.
 const USABLE_SHARE: f64 = 0.6;
 
@@ -13,7 +13,7 @@
 pub struct BudgetBounds {
     /// Retries per request.
     pub ratio: f64,
-    /// Additional retries of all instances together per window.
+    /// Additional retries of all entries together per window.
     pub slack: f64,
     /// Length of the sliding window.
     pub window: Duration,
@@ -29,30 +29,30 @@
 #[derive(Debug)]
 pub struct RetryBudget {
     bounds: BudgetBounds,
-    instances: usize,
-    /// Whether this instance may use a part of the slack.
+    entries: usize,
+    /// Whether this entry may use a part of the slack.
     has_slack: bool,
     services: HashMap<String, ServiceWindow>,
 }
 
 impl RetryBudget {
-    /// Creates a budget within `bounds` for a single instance.
+    /// Creates a budget within `bounds` for a single entry.
     pub fn new(bounds: BudgetBounds) -> Self {
         Self {
             bounds,
-            instances: 1,
+            entries: 1,
             has_slack: true,
             services: HashMap::new(),
         }
     }
 
-    /// Sets the number of instances that share the slack.
-    pub fn set_entries(&mut self, instances: usize) {
-        self.instances = instances.max(1);
+    /// Sets the number of entries that share the slack.
+    pub fn set_entries(&mut self, entries: usize) {
+        self.entries = entries.max(1);
     }
 
-    /// Sets whether this instance may use a part of the slack in addition to the share of its
-    /// own requests. Instances that the others don't count may not.
+    /// Sets whether this entry may use a part of the slack in addition to the share of its
+    /// own requests. Entries that the others don't count may not.
     pub fn set_slack(&mut self, has_slack: bool) {
         self.has_slack = has_slack;
     }
@@ -77,7 +77,7 @@
         remove_expired(&mut window.requests, now, self.bounds.window);
         remove_expired(&mut window.retries, now, self.bounds.window);
         let slack = if self.has_slack {
-            self.bounds.slack / self.instances as f64
+            self.bounds.slack / self.entries as f64
         } else {
             0.0
         };
--- a/crates/place/src/placing/choice.rs
+++ b/crates/place/src/placing/choice.rs
@@ -61,18 +61,18 @@
     pub region: f64,
 }
 
-/// Location and state of the instance that makes the choice.
+/// Location and state of the entry that makes the choice.
 #[derive(Debug, Clone, Copy)]
 pub struct ChoiceContext<'a> {
-    /// Failure domain of the instance.
+    /// Failure domain of the entry.
     pub domain: &'a str,
-    /// Region of the instance.
+    /// Region of the entry.
     pub region: &'a str,
     /// Whether all candidates are in one locality, so that an object would have a single
     /// preferred server.
     pub is_single_locality: bool,
-    /// Number of instances in the region, including this one.
-    pub instances: usize,
+    /// Number of entries in the region, including this one.
+    pub entries: usize,
     /// Latency equivalent of sending bytes to other failure domains and regions.
     pub costs: ByteCosts,
     /// Restricts the regions that may be chosen; `None` allows any.
@@ -140,11 +140,11 @@
             );
             return;
         }
-        if !self.is_preferred(candidate) && reason.warmth < MIN_HOLDER_LIKELIHOOD {
+        if !self.is_preferred(candidate) && reason.cache_likelihood < MIN_HOLDER_LIKELIHOOD {
             self.note_blocked(RefusalReason::Full, Some(wait));
             return;
         }
-        let expected = record.trip + wait + estimate.work;
+        let expected = record.round_trip + wait + estimate.work;
         // An idle server may exceed the limit: there is no queue, and only running the request
         // shows how long the work really takes.
         if wait > 0.0 && expected > self.time_limit {
@@ -155,7 +155,7 @@
         let reason = PlacementReason {
             expected,
             is_remote,
-            free: reason.occupancy < slots,
+            has_free_slot: reason.occupancy < slots,
             work: estimate.work,
             ..reason
         };
@@ -186,7 +186,7 @@
         let Some(object) = self.request.object else {
             return;
         };
-        let rate = self.work.demand(self.now, object) * self.context.instances as f64;
+        let rate = self.work.demand(self.now, object) * self.context.entries as f64;
         let busy = rate * self.work.warm.value() / 1000.0;
         let extra_for_shift_cap = usize::from(self.context.limiter.is_some());
         let extra_for_single_locality = usize::from(self.context.is_single_locality);
@@ -222,7 +222,7 @@
     }
 
     fn max_load_factor(&self) -> f64 {
-        if self.request.returning || self.context.limiter.is_some() {
+        if self.request.resubmitted || self.context.limiter.is_some() {
             return RESUBMIT_LOAD_FACTOR;
         }
         let priority = self.request.priority.min(LOWEST_PRIORITY);
@@ -233,7 +233,8 @@
         let (warm, cold) = (self.work.warm.value(), self.work.cold.value());
         let slowness = if reason.cold { COLD_WORK_FACTOR } else { 1.0 };
         let speed = record.speed(self.now) * slowness;
-        let work = (warm * reason.warmth + cold * (1.0 - reason.warmth)) * speed;
+        let work =
+            (warm * reason.cache_likelihood + cold * (1.0 - reason.cache_likelihood)) * speed;
         WorkEstimate {
             work,
             ahead_work: warm.midpoint(cold).min(work),
@@ -270,11 +271,11 @@
     now: Instant,
     request: &PlacementRequest<'_>,
     work: &RouteWork,
-    instances: usize,
+    entries: usize,
     slots: u32,
 ) -> Option<usize> {
     let object = request.object.filter(|_| request.route.sticky)?;
-    let rate = work.demand(now, object) * instances as f64;
+    let rate = work.demand(now, object) * entries as f64;
     let busy = rate * work.warm.value() / 1000.0;
     // The first one, one for a single locality, and one for a restricted region.
     Some(3 + (busy / (f64::from(slots) * MAX_OBJECT_LOAD)).floor() as usize)
@@ -332,7 +333,7 @@
         // as long as a resubmitted request.
         return remaining * long_wait;
     }
-    if request.returning {
+    if request.resubmitted {
         return remaining * (long_wait + (short_wait - long_wait) * resubmit_level);
     }
     let step = OBJECTIVE_PRIORITY_STEP * f64::from(request.priority.min(LOWEST_PRIORITY));
--- a/crates/place/src/placing/load.rs
+++ b/crates/place/src/placing/load.rs
@@ -1,42 +1,42 @@
-//! Load updates, in which instances tell each other of their requests at servers.
+//! Load reports, in which entries inform each other of their requests at servers.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
 use crate::catalog::ServerCatalog;
-use crate::placing::warmth::HandledPair;
+use crate::placing::cache_likelihood::HandledPair;
 
-/// Time for which an instance's update counts; updates are sent several times per second.
+/// Time for which an entry's report counts; reports are sent several times per second.
 const LOAD_TTL: Duration = Duration::from_millis(1500);
 
-/// Load interval per other instance of the region: each instance sends and receives at most 80
-/// datagrams per second there, however many instances there are.
-const LOAD_INTERVAL_PER_INSTANCE: Duration = Duration::from_millis(12);
+/// Load interval per other entry of the region: each entry sends and receives at most 80
+/// datagrams per second there, however many entries there are.
+const LOAD_INTERVAL_PER_ENTRY: Duration = Duration::from_millis(12);
 /// Minimum load interval; requests take longer than this.
 const MIN_LOAD_INTERVAL: Duration = Duration::from_millis(80);
-/// Interval of updates to other regions, per instance there: at most 160 datagrams per second.
-/// Small fleets send every update there: with one update in three, callers got 0.533 of their
+/// Interval of reports to other regions, per entry there: at most 160 datagrams per second.
+/// Small fleets send every report there: with one report in three, callers got 0.533 of their
 /// worth instead of 0.541 where servers are spread unevenly (mean of 15 days with faults).
-const OTHER_REGION_LOAD_INTERVAL_PER_INSTANCE: Duration = Duration::from_millis(6);
-/// Requests of one instance: short ids of servers, with counts.
+const OTHER_REGION_LOAD_INTERVAL_PER_ENTRY: Duration = Duration::from_millis(6);
+/// Requests of one entry: short ids of servers, with counts.
 pub type LoadList = Vec<(u32, u16)>;
 
 base::common! {
-    /// What an instance tells the others of its requests.
+    /// What an entry reports to the others of its requests.
     #[derive(Eq, Default, PartialOrd, Ord)]
-    pub struct LoadUpdate {
+    pub struct LoadReport {
         /// Short ids of servers, with the number of requests there.
         pub load: LoadList,
-        /// Requests sent to each region since the instance started, in the order of the
+        /// Requests sent to each region since the entry started, in the order of the
         /// regions' names. Sent only within the region.
         pub sent: Vec<u32>,
-        /// Objects handled by servers since the last update. Sent only within the region.
+        /// Objects handled by servers since the last report. Sent only within the region.
         pub handled: Vec<HandledPair>,
     }
 }
 
-impl LoadUpdate {
-    /// Strips the update for instances of other regions.
+impl LoadReport {
+    /// Strips the report for entries of other regions.
     #[must_use]
     pub fn for_other_regions(mut self) -> Self {
         self.sent.clear();
@@ -45,14 +45,14 @@
     }
 }
 
-/// The newest update of each other instance, and their sums per server.
+/// The newest report of each other entry, and their sums per server.
 #[derive(Debug, Default)]
 pub struct PeerLoads {
     lists: HashMap<u64, (Instant, LoadList)>,
     sums: HashMap<u32, u32>,
     /// Servers whose sum has changed since it was last set in the catalog.
     changed: HashSet<u32>,
-    /// When the oldest update expires.
+    /// When the oldest report expires.
     next_expiry: Option<Instant>,
     /// Number of servers that had joined when the sums were last set.
     join_count: u64,
@@ -64,36 +64,36 @@
     (hash ^ (hash >> 32)) as u32
 }
 
-/// Time between load updates of an instance with `in_region` others in its region.
+/// Time between load reports of an entry with `in_region` others in its region.
 pub fn load_interval(in_region: u32) -> Duration {
-    (LOAD_INTERVAL_PER_INSTANCE * in_region).max(MIN_LOAD_INTERVAL)
+    (LOAD_INTERVAL_PER_ENTRY * in_region).max(MIN_LOAD_INTERVAL)
 }
 
-/// Whether update number `round` of an instance with `in_region` others in its region is also
-/// sent to the `in_other_regions` instances of other regions.
+/// Whether report number `round` of an entry with `in_region` others in its region is also
+/// sent to the `in_other_regions` entries of other regions.
 pub fn is_sent_to_other_regions(round: u32, in_region: u32, in_other_regions: u32) -> bool {
-    let interval = OTHER_REGION_LOAD_INTERVAL_PER_INSTANCE * in_other_regions;
-    let updates = interval
+    let interval = OTHER_REGION_LOAD_INTERVAL_PER_ENTRY * in_other_regions;
+    let reports = interval
         .as_millis()
         .div_ceil(load_interval(in_region).as_millis());
-    u128::from(round).is_multiple_of(updates.max(1))
+    u128::from(round).is_multiple_of(reports.max(1))
 }
 
 impl PeerLoads {
-    /// Replaces the list of `instance`.
-    pub fn apply_list(&mut self, now: Instant, instance: u64, list: LoadList) {
+    /// Replaces the list of `entry`.
+    pub fn apply_list(&mut self, now: Instant, entry: u64, list: LoadList) {
         self.add(&list);
         let next_expiry = now + LOAD_TTL;
         self.next_expiry = Some(
             self.next_expiry
                 .map_or(next_expiry, |known| known.min(next_expiry)),
         );
-        if let Some((_, before)) = self.lists.insert(instance, (now, list)) {
+        if let Some((_, before)) = self.lists.insert(entry, (now, list)) {
             self.subtract(&before);
         }
     }
 
-    /// Sets the load of the other instances at each server of `catalog`. Call it before the
+    /// Sets the load of the other entries at each server of `catalog`. Call it before the
     /// load is used. Only servers with changed sums are visited: visiting all of ten thousand
     /// servers took 5 ms per request, most of it for servers without requests.
     pub fn apply(&mut self, now: Instant, catalog: &mut ServerCatalog) {
@@ -121,9 +121,9 @@
     /// Removes expired lists.
     fn expire(&mut self, now: Instant) {
         let lists = std::mem::take(&mut self.lists);
-        for (instance, (at, list)) in lists {
+        for (entry, (at, list)) in lists {
             if now.saturating_duration_since(at) < LOAD_TTL {
-                self.lists.insert(instance, (at, list));
+                self.lists.insert(entry, (at, list));
             } else {
                 self.subtract(&list);
             }
@@ -153,7 +153,7 @@
     }
 }
 
-/// This instance's requests at the servers of `catalog`.
+/// This entry's requests at the servers of `catalog`.
 pub fn own_load(catalog: &ServerCatalog) -> LoadList {
     let busy = catalog.iter().filter(|record| record.in_flight > 0);
     busy.map(|record| {
--- a/crates/place/src/placing/placer.rs
+++ b/crates/place/src/placing/placer.rs
@@ -11,19 +11,19 @@
 use crate::catalog::{ServerCatalog, ServerHandle};
 use crate::desired::{DesiredState, RouteSpec, ServiceSpec};
 use crate::limits::budget::{BudgetBounds, RetryBudget};
-use crate::limits::ramp::ColdRateLimiter;
+use crate::limits::cold_rate::ColdRateLimiter;
 use crate::limits::refusal::RetryAfterJitter;
 use crate::limits::shift::ShiftLimiter;
 use crate::limits::split::TrafficSplitter;
+use crate::placing::cache_likelihood::{DISTINCT_RANKS, HandledObjects};
 use crate::placing::candidates::{
     CandidateQuery, RankScope, RankedServers, ranked_candidates, top_candidates,
 };
 use crate::placing::choice::{
     ByteCosts, ChoiceContext, MIN_HOLDER_LIKELIHOOD, ServerChoice, max_preferred_count, rank_scope,
 };
-use crate::placing::load::{LoadUpdate, PeerLoads, own_load};
+use crate::placing::load::{LoadReport, PeerLoads, own_load};
 use crate::placing::timing::millis;
-use crate::placing::warmth::{DISTINCT_RANKS, WarmthMap};
 use crate::placing::work::RouteWorkTable;
 use crate::request::{
     Placement, PlacementReason, PlacementRequest, Refusal, RefusalReason, ServerOutcome,
@@ -41,12 +41,12 @@
 /// Expected time until capacity is free after servers rejected a request, in seconds.
 const REJECTED_RETRY_AFTER_SECS: f64 = 0.3;
 
-/// Location and limits of the instance that places requests.
+/// Location and limits of the entry that places requests.
 #[derive(Debug, Clone)]
 pub struct PlacerConfig {
-    /// Failure domain of this instance.
+    /// Failure domain of this entry.
     pub domain: String,
-    /// Region of this instance.
+    /// Region of this entry.
     pub region: String,
     /// Maps each failure domain to its region.
     pub domains: HashMap<String, String>,
@@ -58,7 +58,7 @@
     pub costs: ByteCosts,
     /// Time within which a draining server must stop getting requests.
     pub drain: Duration,
-    /// Hash of this instance, used to divide shared rates.
+    /// Hash of this entry, used to divide shared rates.
     pub own: u64,
 }
 
@@ -77,11 +77,11 @@
     budget: RetryBudget,
     cold_limiter: ColdRateLimiter,
     shift_limiter: ShiftLimiter,
-    warmth: WarmthMap,
+    handled_objects: HandledObjects,
     work: RouteWorkTable,
-    instances: Vec<u64>,
-    region_instances: usize,
-    /// Whether this instance is a standby, which the others don't count when they divide shared
+    entries: Vec<u64>,
+    region_entries: usize,
+    /// Whether this entry is a standby, which the others don't count when they divide shared
     /// rates.
     standby: bool,
     loads: PeerLoads,
@@ -101,10 +101,10 @@
             budget: RetryBudget::new(config.budget),
             cold_limiter: ColdRateLimiter::default(),
             shift_limiter: ShiftLimiter::new(config.shift_cap, &regions),
-            warmth: WarmthMap::default(),
+            handled_objects: HandledObjects::default(),
             work: RouteWorkTable::default(),
-            instances: vec![config.own],
-            region_instances: 1,
+            entries: vec![config.own],
+            region_entries: 1,
             standby: false,
             loads: PeerLoads::default(),
             jitter: RetryAfterJitter::new(config.own),
@@ -121,39 +121,39 @@
             .collect();
     }
 
-    /// Sets whether this instance is a standby. A standby takes no part of the rates that all
-    /// instances share, since the others don't count it.
+    /// Sets whether this entry is a standby. A standby takes no part of the rates that all
+    /// entries share, since the others don't count it.
     pub fn set_standby(&mut self, standby: bool) {
         self.standby = standby;
         self.budget.set_slack(!standby);
     }
 
-    /// Sets the hashes of all instances that receive requests, and the number of others in the
-    /// own region; this instance is added to both.
-    pub fn set_entries(&mut self, mut instances: Vec<u64>, in_region: usize) {
-        instances.push(self.config.own);
-        instances.sort_unstable();
-        instances.dedup();
-        self.budget.set_entries(instances.len());
-        self.shift_limiter.retain_peers(&instances);
-        self.instances = instances;
-        self.region_instances = in_region + 1;
+    /// Sets the hashes of all entries that receive requests, and the number of others in the
+    /// own region; this entry is added to both.
+    pub fn set_entries(&mut self, mut entries: Vec<u64>, in_region: usize) {
+        entries.push(self.config.own);
+        entries.sort_unstable();
+        entries.dedup();
+        self.budget.set_entries(entries.len());
+        self.shift_limiter.retain_peers(&entries);
+        self.entries = entries;
+        self.region_entries = in_region + 1;
     }
 
-    /// Applies a load update of the instance with the hash `instance`.
-    pub fn on_peer_load(&mut self, now: Instant, instance: u64, update: LoadUpdate) {
-        self.shift_limiter.on_peer_sent(now, instance, &update.sent);
-        self.warmth.on_peer_pairs(now, &update.handled);
-        self.loads.apply_list(now, instance, update.load);
+    /// Applies a load report of the entry with the hash `entry`.
+    pub fn on_peer_load(&mut self, now: Instant, entry: u64, report: LoadReport) {
+        self.shift_limiter.on_peer_sent(now, entry, &report.sent);
+        self.handled_objects.on_peer_pairs(now, &report.handled);
+        self.loads.apply_list(now, entry, report.load);
     }
 
-    /// Returns this instance's load update for the others. Call it several times a second.
-    pub fn own_load(&mut self, now: Instant) -> LoadUpdate {
+    /// Returns this entry's load report for the others. Call it several times a second.
+    pub fn own_load(&mut self, now: Instant) -> LoadReport {
         self.loads.apply(now, &mut self.catalog);
-        LoadUpdate {
+        LoadReport {
             load: own_load(&self.catalog),
             sent: self.shift_limiter.sent(),
-            handled: self.warmth.take_unsent(),
+            handled: self.handled_objects.take_unsent(),
         }
     }
 
@@ -180,8 +180,8 @@
         if let Some(object) = object {
             work.on_request(now, object);
         }
-        let returning = deadline.is_some_and(|deadline| work.is_resubmitted(deadline));
-        (part, returning)
+        let resubmitted = deadline.is_some_and(|deadline| work.is_resubmitted(deadline));
+        (part, resubmitted)
     }
 
     /// Takes one retry from the service's budget; `false` if none is left.
@@ -229,7 +229,7 @@
     }
 
     /// The only servers that can get the request, if the service has many servers and these can
-    /// be determined without evaluating all. If none of them has capacity, the caller is told
+    /// be determined without evaluating all. If none of them has capacity, the refusal says
     /// when they will have it, since no other server would take the request then either.
     fn top_ranked(
         &mut self,
@@ -244,7 +244,7 @@
         let work = self.work.get(request.route)?;
         let slots = self.catalog.min_slots(service);
         let max_preferred_count =
-            max_preferred_count(now, request, work, self.region_instances, slots)?;
+            max_preferred_count(now, request, work, self.region_entries, slots)?;
         let preferred_ranks = max_preferred_count.max(DISTINCT_RANKS);
         // If any server is likely to have any object cached, none can be ruled out.
         if preferred_ranks >= TOP_SERVERS || work.rates.unseen_likelihood() >= MIN_HOLDER_LIKELIHOOD
@@ -258,10 +258,10 @@
             object,
             scope,
             preferred_ranks,
-            holders: self.warmth.holders(object),
+            holders: self.handled_objects.holders(object),
         };
         let ranked = top_candidates(now, &mut self.catalog, &query)?;
-        // An empty result falls back to all servers: these few don't tell whether any server
+        // An empty result falls back to all servers: these few don't show whether any server
         // exists.
         (!ranked.candidates.is_empty()).then_some(ranked)
     }
@@ -311,7 +311,7 @@
             domain: &self.config.domain,
             region: &self.config.region,
             is_single_locality: ranked.localities == 1,
-            instances: self.region_instances,
+            entries: self.region_entries,
             costs: self.config.costs,
             limiter,
         };
@@ -325,15 +325,17 @@
                 choice.note_blocked(RefusalReason::Cold, None);
                 continue;
             }
-            let belief = request
-                .object
-                .map(|object| self.warmth.belief(now, record.hash, object, candidate.rank));
+            let cache_evidence = request.object.map(|object| {
+                self.handled_objects
+                    .evidence(now, record.hash, object, candidate.rank)
+            });
             let reason = PlacementReason {
                 occupancy: record.occupancy(now),
-                warmth: belief.map_or(0.0, |belief| work.rates.likelihood(belief)),
+                cache_likelihood: cache_evidence
+                    .map_or(0.0, |evidence| work.rates.likelihood(evidence)),
                 rank: candidate.rank,
                 cold,
-                belief,
+                cache_evidence,
                 ..PlacementReason::default()
             };
             choice.update_preferred_count(f64::from(record.entry.slots.max(1)));
@@ -393,7 +395,7 @@
                 record.on_outcome(now, false);
                 let elapsed = millis(now.saturating_duration_since(placement.started));
                 let ratio = elapsed / placement.reason.expected.max(1.0);
-                if placement.reason.free && ratio > 1.0 {
+                if placement.reason.has_free_slot && ratio > 1.0 {
                     record.on_latency_ratio(now, ratio * record.speed(now));
                 }
             }
@@ -401,7 +403,7 @@
         }
         record.in_flight = record.in_flight.saturating_sub(1);
         if outcome == ServerOutcome::Unreachable {
-            self.warmth.forget(hash);
+            self.handled_objects.forget(hash);
         }
         if outcome == (ServerOutcome::Answered { good: true }) {
             self.learn_from_answer(now, placement, request, hash);
@@ -417,18 +419,18 @@
     ) {
         let reason = &placement.reason;
         if let Some(object) = request.object {
-            self.warmth.on_handled(now, hash, object);
+            self.handled_objects.on_handled(now, hash, object);
         }
-        if !reason.free {
+        if !reason.has_free_slot {
             return;
         }
         let elapsed = millis(now.saturating_duration_since(placement.started));
-        let trip = self.catalog.get(placement.handle);
-        let work = elapsed - trip.map_or(0.0, |record| record.trip);
+        let known = self.catalog.get(placement.handle);
+        let work = elapsed - known.map_or(0.0, |record| record.round_trip);
         if !reason.cold {
             self.work
                 .get_or_insert(request.route)
-                .on_answer(work, reason.belief);
+                .on_answer(work, reason.cache_evidence);
         }
         if let Some(record) = self.catalog.get_mut(placement.handle) {
             record.on_latency_ratio(now, work / reason.work.max(1.0) * record.speed(now));
@@ -461,7 +463,7 @@
         let known = self.services.get(service);
         let rate = known.map_or(DEFAULT_COLD_RATE, |service| service.cold_rate);
         self.cold_limiter
-            .allows(now, record.hash, self.config.own, &self.instances, rate)
+            .allows(now, record.hash, self.config.own, &self.entries, rate)
     }
 
     fn warmup(&self, request: &PlacementRequest<'_>) -> Duration {
--- a/crates/place/src/request.rs
+++ b/crates/place/src/request.rs
@@ -6,7 +6,7 @@
 
 use crate::catalog::ServerHandle;
 use crate::desired::RouteSpec;
-use crate::placing::warmth::Belief;
+use crate::placing::cache_likelihood::CacheEvidence;
 use crate::server::ServerEntry;
 
 /// A request to be placed on a server.
@@ -24,8 +24,8 @@
     pub object: Option<u64>,
     /// Remaining time in which an answer is useful.
     pub remaining: Duration,
-    /// Whether the caller returns with a request that was refused before.
-    pub returning: bool,
+    /// Whether the caller resubmits a request that was refused before.
+    pub resubmitted: bool,
     /// Size of the body, in bytes.
     pub body_bytes: usize,
     /// Servers that the request was sent to before.
@@ -45,7 +45,7 @@
             part,
             object: None,
             remaining: Duration::ZERO,
-            returning: false,
+            resubmitted: false,
             body_bytes: 0,
             tried: &[],
             versions: VersionFilter::Any,
@@ -112,7 +112,7 @@
     /// Estimated number of requests at the server.
     pub occupancy: f64,
     /// Probability that the server caches the object.
-    pub warmth: f64,
+    pub cache_likelihood: f64,
     /// Rank of the server for the object within its region; 0 is the first.
     pub rank: usize,
     /// Whether the server is cold.
@@ -120,11 +120,11 @@
     /// Whether the server is in another region.
     pub is_remote: bool,
     /// Whether a slot was free, so that no other request had to finish first.
-    pub(crate) free: bool,
+    pub(crate) has_free_slot: bool,
     /// Expected processing time of the request itself, in milliseconds.
     pub(crate) work: f64,
     /// Evidence that the server caches the object.
-    pub(crate) belief: Option<Belief>,
+    pub(crate) cache_evidence: Option<CacheEvidence>,
 }
 
 /// Why a request was refused.
@@ -163,7 +163,7 @@
 pub struct Refusal {
     /// Why the request was refused.
     pub reason: RefusalReason,
-    /// When the caller should retry.
+    /// When the caller should resubmit the request.
     pub retry_after: Duration,
 }
 
--- a/crates/place/tests/departed.rs
+++ b/crates/place/tests/departed.rs
@@ -9,7 +9,7 @@
 use place::catalog::DroppedRow;
 use place::departure::Departure;
 use place::fleet::log::{ReadScope, RegistryDelta, RegistryLog};
-use place::fleet::pace::ReadIntervals;
+use place::fleet::read_intervals::ReadIntervals;
 use place::fleet::reading::{ReadOutcome, ReadRole, ReadScheduler};
 use place::fleet::store_progress::StoreProgress;
 use place::prelude::*;
@@ -43,13 +43,13 @@
 
 /// Applies a read of `rows` at `at`.
 fn read(catalog: &mut ServerCatalog, at: Instant, rows: &[ServerEntry]) {
-    catalog.on_read(at, &reading(at, rows));
+    catalog.apply_snapshot(at, &reading(at, rows));
 }
 
 /// A registration that is no newer than the last one of a departed server must not bring it
 /// back. If the server had announced its departure, no registration of that run may.
 #[test]
-fn a_heartbeat_that_the_store_performs_late_brings_no_server_back() {
+fn late_heartbeat_does_not_restore_departed_server() {
     let cases = [
         (
             "announced, older registration",
@@ -102,7 +102,7 @@
 
 /// A later run of a departed server must be accepted, whatever its sequence number.
 #[test]
-fn a_later_run_of_a_server_that_left_is_taken_in() {
+fn later_run_of_departed_server_is_accepted() {
     let start = Instant::now();
     let mut catalog = catalog();
     read(&mut catalog, start, &[leaving("x", 11)]);
@@ -115,7 +115,7 @@
 
 /// A full copy from a lagging entry must not bring back a server that the receiver saw leave.
 #[test]
-fn a_copy_of_an_entry_that_is_behind_brings_no_server_back() {
+fn lagging_copy_does_not_restore_departed_server() {
     for last in [leaving("x", 11), ready("x", 11)] {
         let start = Instant::now();
         let other = ready("y", 3);
@@ -124,11 +124,11 @@
             whole: true,
             ..changes()
         };
-        behind.on_read(&reading(start, &[ready("x", 10), other.clone()]), scope);
+        behind.apply_snapshot(&reading(start, &[ready("x", 10), other.clone()]), scope);
         let mut catalog = catalog();
         read(&mut catalog, start + ms(1000), &[last, other.clone()]);
         read(&mut catalog, start + ms(2000), &[other]);
-        catalog.on_told(start + ms(2100), start, &behind.since(0));
+        catalog.apply_delta(start + ms(2100), start, &behind.since(0));
         assert!(!is_open(&catalog, "x"));
         assert!(is_open(&catalog, "y"));
     }
@@ -137,44 +137,44 @@
 /// A live server that is missing from a lagging entry's copy must be known again after the next
 /// read, although its registration hasn't changed.
 #[test]
-fn a_copy_that_lacks_a_live_server_keeps_it_out_no_longer_than_until_the_next_reading() {
+fn live_server_missing_from_copy_returns_with_next_read() {
     let start = Instant::now();
     let both = [ready("x", 10), ready("y", 3)];
     let mut behind = RegistryLog::default();
-    behind.on_read(&reading(start, &both[1..]), changes());
+    behind.apply_snapshot(&reading(start, &both[1..]), changes());
     let mut catalog = catalog();
     read(&mut catalog, start + ms(1000), &both);
-    catalog.on_told(start + ms(1100), start, &behind.since(0));
+    catalog.apply_delta(start + ms(1100), start, &behind.since(0));
     assert!(!is_open(&catalog, "x"));
     read(&mut catalog, start + ms(2000), &both);
     assert!(is_open(&catalog, "x"));
 }
 
-/// The log must not replace the news that a server is leaving with an older registration,
+/// The log must not replace the announcement that a server leaves with an older registration,
 /// whether that comes from the store or from another entry.
 #[test]
-fn an_older_word_is_not_told_on() {
+fn log_does_not_replace_draining_with_older_registration() {
     let start = Instant::now();
     let all = |log: &RegistryLog| -> Vec<EntryState> {
-        let told = log.since(0);
-        told.entries.iter().map(|entry| entry.state).collect()
+        let delta = log.since(0);
+        delta.entries.iter().map(|entry| entry.state).collect()
     };
     let mut log = RegistryLog::default();
-    log.on_read(&reading(start, &[ready("x", 10)]), changes());
+    log.apply_snapshot(&reading(start, &[ready("x", 10)]), changes());
     let before = log.since(0);
     let later = start + ms(1000);
-    log.on_read(&reading(later, &[leaving("x", 11)]), changes());
+    log.apply_snapshot(&reading(later, &[leaving("x", 11)]), changes());
     let late = start + ms(2000);
-    log.on_read(&reading(late, &[ready("x", 10)]), changes());
+    log.apply_snapshot(&reading(late, &[ready("x", 10)]), changes());
     assert_eq!(all(&log), [EntryState::Draining]);
-    log.on_told(&before);
+    log.apply_delta(&before);
     assert_eq!(all(&log), [EntryState::Draining]);
 }
 
-/// An entry that starts must be told which servers have left, so that an obsolete registration
+/// An entry that starts must learn which servers have left, so that an obsolete registration
 /// in its first own read doesn't bring one back.
 #[test]
-fn an_entry_that_starts_hears_which_servers_have_left() {
+fn starting_entry_receives_departures() {
     let start = Instant::now();
     let other = ready("y", 3);
     let mut lead = RegistryLog::default();
@@ -184,10 +184,10 @@
         vec![other.clone()],
     ];
     for (at, rows) in (0..).step_by(1000).zip(&rows) {
-        lead.on_read(&reading(start + ms(at), rows), changes());
+        lead.apply_snapshot(&reading(start + ms(at), rows), changes());
     }
     let mut catalog = catalog();
-    catalog.on_told(start + ms(2100), start + ms(2000), &lead.since(0));
+    catalog.apply_delta(start + ms(2100), start + ms(2000), &lead.since(0));
     let late = [ready("x", 10), ready("z", 8), other];
     read(&mut catalog, start + ms(3000), &late);
     assert!(!is_open(&catalog, "x") && !is_open(&catalog, "z"));
@@ -197,7 +197,7 @@
 /// A row that disappeared while some calls fail must not be kept for longer than a leaving
 /// server may get requests: the registry answers in between, so nothing has expired.
 #[test]
-fn calls_that_fail_now_and_then_keep_no_server_that_is_gone() {
+fn intermittent_read_failures_do_not_delay_removal() {
     for gap in [300, 700, 1100, 1500, 1900, 2300, 2700, 3100, 4100] {
         let start = Instant::now();
         let mut catalog = catalog();
@@ -225,7 +225,7 @@
 /// The same for a registry that rarely answers: each failure starts a new grace period for live
 /// servers, but must not restart it for a row that is already missing.
 #[test]
-fn a_registry_that_answers_seldom_keeps_no_server_without_end() {
+fn repeated_outages_do_not_restart_grace_period() {
     const MAX_TIME: Duration = Duration::from_millis(8000);
     let start = Instant::now();
     let mut catalog = catalog();
@@ -254,7 +254,7 @@
 /// Rows that expired during a real outage must be kept until live servers had time to register
 /// again, although another call fails in the meantime.
 #[test]
-fn a_row_that_lapsed_in_an_outage_is_kept_for_its_server() {
+fn row_expired_in_outage_is_kept_for_grace_period() {
     let start = Instant::now();
     let both = [ready("x", 1), ready("y", 1)];
     let mut catalog = catalog();
@@ -274,7 +274,7 @@
 /// lead again must read the registry once more when the grace period ends, and retry if that
 /// fails.
 #[test]
-fn a_follower_ends_the_wait_that_it_began() {
+fn follower_reads_when_its_grace_period_ends() {
     let start = Instant::now();
     let mut scheduler = ReadScheduler::new(start, ReadIntervals::new(DRAIN), 1);
     let follower = ReadRole::Follower {
@@ -287,8 +287,8 @@
     };
     assert!(scheduler.begin_read(start, alone, None, false).is_some());
     let at = start + ms(2000);
-    scheduler.set_settles(Some(at));
-    scheduler.on_read(start + ms(10), ReadOutcome::Changed);
+    scheduler.set_next_removal(Some(at));
+    scheduler.on_read_finished(start + ms(10), ReadOutcome::Changed);
     let before = at - ms(100);
     assert_eq!(
         scheduler.begin_read(before, follower, Some(before), false),
@@ -299,14 +299,14 @@
             .begin_read(at, follower, Some(at), false)
             .is_some()
     );
-    scheduler.on_read(at + ms(10), ReadOutcome::Failed);
+    scheduler.on_read_finished(at + ms(10), ReadOutcome::Failed);
     let again = at + ms(500);
     assert!(
         scheduler
             .begin_read(again, follower, Some(again), false)
             .is_some()
     );
-    scheduler.on_read(again + ms(10), ReadOutcome::Unchanged);
+    scheduler.on_read_finished(again + ms(10), ReadOutcome::Unchanged);
     let later = at + ms(1500);
     assert_eq!(
         scheduler.begin_read(later, follower, Some(later), false),
@@ -317,21 +317,21 @@
 /// A server that leaves and is listed again within a single change must keep its state: it is
 /// the same run.
 #[test]
-fn a_server_that_is_back_in_the_same_change_is_not_forgotten() {
+fn server_relisted_in_same_change_keeps_its_state() {
     let start = Instant::now();
     let mut lead = RegistryLog::default();
-    lead.on_read(&reading(start, &[ready("x", 1)]), changes());
+    lead.apply_snapshot(&reading(start, &[ready("x", 1)]), changes());
     let mut catalog = catalog();
     let first = lead.since(0);
-    catalog.on_told(start, start, &first);
+    catalog.apply_delta(start, start, &first);
     let later = start + ms(1000);
     let scope = ReadScope {
         dropped: vec![DroppedRow::new("x", reading(later, &[]).version)],
         ..changes()
     };
-    lead.on_read(&reading(later, &[ready("x", 4)]), scope);
-    let told: RegistryDelta = lead.since(first.version);
-    let changed = catalog.on_told(later, later, &told);
+    lead.apply_snapshot(&reading(later, &[ready("x", 4)]), scope);
+    let delta: RegistryDelta = lead.since(first.version);
+    let changed = catalog.apply_delta(later, later, &delta);
     assert!(is_open(&catalog, "x"));
     assert_eq!(changed, []);
 }
@@ -339,7 +339,7 @@
 /// A row that is dropped and listed again between two reads belongs to a live server only if it
 /// is newer than the dropped one, even if nobody read that one. Followers must see the same.
 #[test]
-fn a_row_that_is_listed_again_between_two_readings_needs_a_newer_word() {
+fn row_relisted_between_reads_needs_newer_registration() {
     // The sequence numbers known, dropped and listed, and whether the server is alive.
     let cases = [
         (1, None, 1, false),
@@ -350,9 +350,9 @@
         let start = Instant::now();
         let (mut lead, mut catalog, mut follower) = (RegistryLog::default(), catalog(), catalog());
         let first = reading(start, &[ready("x", known)]);
-        lead.on_read(&first, changes());
-        catalog.on_read(start, &first);
-        follower.on_told(start, start, &lead.since(0));
+        lead.apply_snapshot(&first, changes());
+        catalog.apply_snapshot(start, &first);
+        follower.apply_delta(start, start, &lead.since(0));
         let before = lead.version();
         let later = start + ms(1000);
         let second = reading(later, &[ready("x", listed)]);
@@ -364,10 +364,10 @@
             dropped: vec![row],
             ..changes()
         };
-        catalog.on_dropped(later, &scope.dropped);
-        catalog.on_read(later, &second);
-        lead.on_read(&second, scope);
-        follower.on_told(later, later, &lead.since(before));
+        catalog.note_dropped_rows(later, &scope.dropped);
+        catalog.apply_snapshot(later, &second);
+        lead.apply_snapshot(&second, scope);
+        follower.apply_delta(later, later, &lead.since(before));
         let what = format!("{known}, {dropped:?}, {listed}");
         assert_eq!(is_open(&catalog, "x"), is_live, "{what}");
         assert_eq!(is_open(&follower, "x"), is_live, "follower: {what}");
@@ -377,14 +377,14 @@
 /// A read that reports a row's drop late, after another entry sent a newer registration, must
 /// not keep the live server out.
 #[test]
-fn a_late_drop_keeps_no_live_server_out() {
+fn late_drop_does_not_remove_live_server() {
     let start = Instant::now();
     let mut catalog = catalog();
     let mut lead = RegistryLog::default();
-    lead.on_read(&reading(start, &[ready("x", 4)]), changes());
-    catalog.on_told(start, start, &lead.since(0));
+    lead.apply_snapshot(&reading(start, &[ready("x", 4)]), changes());
+    catalog.apply_delta(start, start, &lead.since(0));
     let known = reading(start, &[]).version;
-    catalog.on_dropped(start + ms(50), &[DroppedRow::new("x", known - 1)]);
+    catalog.note_dropped_rows(start + ms(50), &[DroppedRow::new("x", known - 1)]);
     read(&mut catalog, start + ms(100), &[ready("x", 4)]);
     assert!(is_open(&catalog, "x"));
 }
@@ -392,14 +392,14 @@
 /// A lead's message that waited unread while the process was suspended must age by that time. A
 /// read that never happened stays unset.
 #[test]
-fn a_word_that_waited_is_older_by_the_wait() {
+fn delayed_message_ages_by_its_delay() {
     let now = Instant::now();
     let known = StoreProgress {
         registry_at: Some(now - ms(100)),
         ..StoreProgress::default()
     };
-    let message = known.to_message(now).delayed_by(ms(2500));
-    let received = StoreProgress::from_message(now, &message);
+    let message = known.to_report(now).delayed_by(ms(2500));
+    let received = StoreProgress::from_report(now, &message);
     assert_eq!(received.registry_at, Some(now - ms(2600)));
     assert_eq!(received.operator_at, None);
 }
@@ -407,16 +407,16 @@
 /// A server that is missing from a full copy at least as new as the receiver's knowledge has
 /// left: only a newer registration may bring it back.
 #[test]
-fn a_server_that_a_newer_copy_lacks_needs_a_newer_registration() {
+fn server_missing_from_newer_copy_needs_newer_registration() {
     for (seq, is_live) in [(10, false), (11, true)] {
         let start = Instant::now();
         let both = [ready("x", 10), ready("y", 3)];
         let mut lead = RegistryLog::default();
         let later = start + ms(1000);
-        lead.on_read(&reading(later, &both[1..]), changes());
+        lead.apply_snapshot(&reading(later, &both[1..]), changes());
         let mut catalog = catalog();
         read(&mut catalog, start, &both);
-        catalog.on_told(later, later, &lead.since(0));
+        catalog.apply_delta(later, later, &lead.since(0));
         assert!(!is_open(&catalog, "x"));
         let late = [ready("x", seq), ready("y", 3)];
         read(&mut catalog, start + ms(2000), &late);
@@ -427,7 +427,7 @@
 /// The departure of a server that didn't announce it must expire, so that a corrupted message
 /// can't keep a live server out for long.
 #[test]
-fn an_unannounced_departure_expires() {
+fn unannounced_departure_expires() {
     const MAX_TIME: Duration = Duration::from_secs(30);
     let start = Instant::now();
     let both = [ready("x", 10), ready("y", 3)];
@@ -443,7 +443,7 @@
 /// Entries that saw a server announce its departure must agree on an obsolete registration of
 /// it, whether or not they saw its row dropped.
 #[test]
-fn entries_agree_on_an_obsolete_registration() {
+fn entries_agree_on_obsolete_registration() {
     let start = Instant::now();
     let other = ready("y", 3);
     let steps = [
@@ -456,7 +456,7 @@
         let mut log = RegistryLog::default();
         for step in seen {
             let at = start + ms(1000 * *step as u64);
-            log.on_read(&reading(at, &steps[*step]), changes());
+            log.apply_snapshot(&reading(at, &steps[*step]), changes());
         }
         log.content()
     };
@@ -466,28 +466,28 @@
 /// A lead that knows a server's departure must not send an obsolete registration without it,
 /// whichever of the two it learned first.
 #[test]
-fn an_older_word_is_told_with_the_servers_end() {
+fn obsolete_registration_is_sent_with_departure() {
     let start = Instant::now();
-    let told = [leaving("x", 11), ready("x", 11)];
-    for (last, knows_end_first) in told.iter().flat_map(|last| [(last, false), (last, true)]) {
+    let delta = [leaving("x", 11), ready("x", 11)];
+    for (last, knows_end_first) in delta.iter().flat_map(|last| [(last, false), (last, true)]) {
         let ends = [Departure::of(last)];
         let mut lead = RegistryLog::default();
-        lead.on_read(&reading(start, &[ready("y", 3)]), changes());
+        lead.apply_snapshot(&reading(start, &[ready("y", 3)]), changes());
         let mut follower = catalog();
-        follower.on_told(start, start, &lead.since(0));
+        follower.apply_delta(start, start, &lead.since(0));
         let mut known = lead.version();
         let late = reading(start + ms(1000), &[ready("x", 10), ready("y", 3)]);
         if knows_end_first {
-            lead.on_departures(&ends);
+            lead.apply_departures(&ends);
         } else {
-            lead.on_read(&late, changes());
-            follower.on_told(start, start, &lead.since(known));
+            lead.apply_snapshot(&late, changes());
+            follower.apply_delta(start, start, &lead.since(known));
             known = lead.version();
-            lead.on_departures(&ends);
+            lead.apply_departures(&ends);
             assert!(lead.version() > known, "the followers must be told");
         }
-        lead.on_read(&late, changes());
-        follower.on_told(start, start, &lead.since(known));
+        lead.apply_snapshot(&late, changes());
+        follower.apply_delta(start, start, &lead.since(known));
         assert!(
             !is_open(&follower, "x"),
             "knows the end first: {knows_end_first}"
@@ -499,53 +499,53 @@
 /// When another entry reports a departure with an older registration than the one known here,
 /// the log must pass on the newer one.
 #[test]
-fn an_end_that_is_told_on_has_the_last_word_that_is_known() {
+fn forwarded_departure_has_newest_known_registration() {
     let start = Instant::now();
     let other = ready("y", 3);
     let mut lead = RegistryLog::default();
-    lead.on_read(&reading(start, &[ready("x", 3), other.clone()]), changes());
-    let told = RegistryDelta {
+    lead.apply_snapshot(&reading(start, &[ready("x", 3), other.clone()]), changes());
+    let delta = RegistryDelta {
         version: lead.version() + 5000,
         departures: vec![Departure::of(&ready("x", 2))],
         ..RegistryDelta::default()
     };
-    lead.on_told(&told);
+    lead.apply_delta(&delta);
     let mut follower = catalog();
-    follower.on_told(start, start, &lead.since(0));
+    follower.apply_delta(start, start, &lead.since(0));
     read(&mut follower, start + ms(9000), &[ready("x", 3), other]);
     assert!(!is_open(&follower, "x"));
     // The same if a full copy, as new as the local knowledge, lacks the server.
     let mut lead = RegistryLog::default();
-    lead.on_read(&reading(start, &[ready("x", 3), ready("y", 3)]), changes());
+    lead.apply_snapshot(&reading(start, &[ready("x", 3), ready("y", 3)]), changes());
     let copy = RegistryDelta {
         whole: true,
         entries: vec![ready("y", 3)],
-        ..told.clone()
+        ..delta.clone()
     };
-    lead.on_told(&copy);
+    lead.apply_delta(&copy);
     let mut follower = catalog();
-    follower.on_told(start, start, &lead.since(0));
+    follower.apply_delta(start, start, &lead.since(0));
     let late = [ready("x", 3), ready("y", 3)];
     read(&mut follower, start + ms(9000), &late);
     assert!(!is_open(&follower, "x"), "a whole copy");
     // A server reported as departed and listed again is known by the registration that was
     // sent.
     let mut lead = RegistryLog::default();
-    lead.on_read(&reading(start, &[ready("x", 3)]), changes());
+    lead.apply_snapshot(&reading(start, &[ready("x", 3)]), changes());
     let back = RegistryDelta {
         entries: vec![ready("x", 3)],
-        ..told
+        ..delta
     };
-    lead.on_told(&back);
+    lead.apply_delta(&back);
     let mut follower = catalog();
-    follower.on_told(start, start, &lead.since(0));
+    follower.apply_delta(start, start, &lead.since(0));
     assert!(is_open(&follower, "x"));
 }
 
 /// The number of departures sent must be bounded however many servers leave at once, and the
 /// latest thousand must stay out.
 #[test]
-fn the_number_of_departures_sent_is_bounded() {
+fn number_of_sent_departures_is_bounded() {
     const MAX_DEPARTURES: usize = 1024;
     for count in [100, 300, 1000, 3000] {
         let start = Instant::now();
@@ -553,22 +553,22 @@
         let ids: Vec<String> = (0..count).map(|number| format!("x{number:05}")).collect();
         let all: Vec<ServerEntry> = ids.iter().map(|id| ready(id, 10)).collect();
         let mut lead = RegistryLog::default();
-        lead.on_read(
+        lead.apply_snapshot(
             &reading(start, &[all.clone(), vec![other.clone()]].concat()),
             changes(),
         );
-        lead.on_read(
+        lead.apply_snapshot(
             &reading(start + ms(1000), std::slice::from_ref(&other)),
             changes(),
         );
-        let told = lead.since(0);
+        let delta = lead.since(0);
         assert!(
-            told.departures.len() <= MAX_DEPARTURES,
+            delta.departures.len() <= MAX_DEPARTURES,
             "{count}: {}",
-            told.departures.len()
+            delta.departures.len()
         );
         let mut follower = catalog();
-        follower.on_told(start + ms(1000), start, &told);
+        follower.apply_delta(start + ms(1000), start, &delta);
         read(
             &mut follower,
             start + ms(2000),
@@ -583,7 +583,7 @@
 /// A row that disappeared during an outage and is listed again during the grace period must not
 /// count as the live server's if it is older than the last known registration.
 #[test]
-fn an_older_word_ends_no_wait() {
+fn older_registration_does_not_end_grace_period() {
     for (seq, is_live) in [(9, false), (11, true)] {
         let start = Instant::now();
         let both = [ready("x", 10), ready("y", 3)];
@@ -609,11 +609,11 @@
 /// The departure that is sent after the grace period must include the row's last registration,
 /// even if that was first seen in the read that reported the drop.
 #[test]
-fn the_end_after_a_wait_has_the_last_word() {
+fn departure_after_grace_period_has_last_registration() {
     let start = Instant::now();
     let other = ready("y", 3);
     let mut lead = RegistryLog::default();
-    lead.on_read(&reading(start, &[ready("x", 1), other.clone()]), changes());
+    lead.apply_snapshot(&reading(start, &[ready("x", 1), other.clone()]), changes());
     let at = |millis| reading(start + ms(millis), std::slice::from_ref(&other));
     let lapsed = at(1000);
     let row = DroppedRow {
@@ -625,15 +625,15 @@
         missing: vec!["x".to_owned()],
         ..changes()
     };
-    lead.on_read(&lapsed, scope);
-    lead.on_read(&at(3500), changes());
+    lead.apply_snapshot(&lapsed, scope);
+    lead.apply_snapshot(&at(3500), changes());
     let known = lead.version();
     let mut follower = catalog();
-    follower.on_told(start + ms(3500), start, &lead.since(0));
-    lead.on_read(
+    follower.apply_delta(start + ms(3500), start, &lead.since(0));
+    lead.apply_snapshot(
         &reading(start + ms(4000), &[ready("x", 2), other.clone()]),
         changes(),
     );
-    follower.on_told(start + ms(4000), start, &lead.since(known));
+    follower.apply_delta(start + ms(4000), start, &lead.since(known));
     assert!(!is_open(&follower, "x"));
 }
--- a/crates/place/tests/fleet_world/mod.rs
+++ b/crates/place/tests/fleet_world/mod.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use place::crash::print::RequestFingerprint;
-use place::crash::word::StoredQuarantine;
+use place::crash::fingerprint::RequestFingerprint;
+use place::crash::message::StoredQuarantine;
 use place::fleet::candidate::LeadCandidate;
 use place::fleet::clock::StoreTime;
 use place::fleet::content_hash::ContentHash;
@@ -48,13 +48,13 @@
     Datagram(PeerMessage),
     Timer,
     ReadFinished {
-        begun: Instant,
+        started_at: Instant,
         call: RegistryRead,
     },
     PullAnswered {
         from: usize,
         scope: PullScope,
-        begun: Instant,
+        started_at: Instant,
     },
     WatchAnswered,
     /// A watch answer that was queued while the process stood still: the version of the
@@ -121,7 +121,7 @@
     clock: Option<Instant>,
     watches: bool,
     watching: bool,
-    watch_begun: Instant,
+    watch_started_at: Instant,
     /// The process stands still until this time.
     paused_until: Option<Instant>,
     /// How far its clock is behind virtual time.
@@ -227,7 +227,7 @@
                 clock: None,
                 watches: false,
                 watching: false,
-                watch_begun: at,
+                watch_started_at: at,
                 paused_until: None,
                 behind: Duration::ZERO,
             });
@@ -329,8 +329,12 @@
                 self.entries[to].clock = None;
                 self.deliver_event(to, FleetEvent::Tick);
             }
-            Delivery::ReadFinished { begun, call } => self.end_read(to, begun, call),
-            Delivery::PullAnswered { from, scope, begun } => self.end_pull(to, from, scope, begun),
+            Delivery::ReadFinished { started_at, call } => self.end_read(to, started_at, call),
+            Delivery::PullAnswered {
+                from,
+                scope,
+                started_at,
+            } => self.end_pull(to, from, scope, started_at),
             Delivery::Resume { span, suspended } => {
                 if suspended {
                     self.entries[to].behind += span;
@@ -368,7 +372,7 @@
         for action in actions {
             self.act(entry, action);
         }
-        let known = *self.entries[entry].member.known();
+        let known = *self.entries[entry].member.store_progress();
         let own = LocalEntryState {
             ready: known.is_complete() && !self.entries[entry].own.leaving,
             proof_within: self.proof_within,
@@ -403,14 +407,18 @@
             }) => {
                 let from = entry_at(view_address);
                 let delay = 2 * self.delay(entry, from);
-                let begun = self.local_time(entry, self.now);
-                let ends = Delivery::PullAnswered { from, scope, begun };
+                let started_at = self.local_time(entry, self.now);
+                let ends = Delivery::PullAnswered {
+                    from,
+                    scope,
+                    started_at,
+                };
                 self.push(self.now + delay, entry, ends);
             }
             FleetAction::ReadRegistry(call) => {
                 self.calls += 1;
                 let wait = call.wait;
-                let begun = self.local_time(entry, self.now);
+                let started_at = self.local_time(entry, self.now);
                 let span = if self.is_served(entry) {
                     wait
                 } else if self.entries[entry].store_times_out {
@@ -421,7 +429,7 @@
                 self.push(
                     self.now + span + STORE_LATENCY,
                     entry,
-                    Delivery::ReadFinished { begun, call },
+                    Delivery::ReadFinished { started_at, call },
                 );
             }
             FleetAction::WatchOperator(watches) => {
@@ -499,12 +507,12 @@
             && !self.entries[entry].store_times_out
     }
 
-    fn end_read(&mut self, entry: usize, begun: Instant, call: RegistryRead) {
+    fn end_read(&mut self, entry: usize, started_at: Instant, call: RegistryRead) {
         if !self.is_served(entry) {
             self.deliver_event(entry, FleetEvent::RegistryRead(ReadOutcome::Failed));
             return;
         }
-        let mut known = *self.entries[entry].member.known();
+        let mut known = *self.entries[entry].member.store_progress();
         let before = known.content;
         if known.registry >= log_version(self.version + 1) {
             // No read can have returned that version, so the log is reset.
@@ -517,20 +525,20 @@
             known.registry_read + 1
         };
         // Changes since the last read.
-        let news: Vec<u64> = self.servers.range(first..).copied().collect();
+        let changes: Vec<u64> = self.servers.range(first..).copied().collect();
         let stamp = log_version(self.registry).max(known.registry + 1);
-        for change in news {
+        for change in changes {
             self.entries[entry].servers.entry(change).or_insert(stamp);
         }
         known.content = self.content(entry);
-        let is_news = known.registry_at.is_none() || known.content != before;
-        if is_news {
+        let is_changed = known.registry_at.is_none() || known.content != before;
+        if is_changed {
             known.registry = stamp;
         }
         known.registry_read = self.version;
-        known.registry_at = Some(begun + call.wait);
-        self.deliver_event(entry, FleetEvent::Known(known));
-        let outcome = if is_news {
+        known.registry_at = Some(started_at + call.wait);
+        self.deliver_event(entry, FleetEvent::StoreProgress(known));
+        let outcome = if is_changed {
             ReadOutcome::Changed
         } else {
             ReadOutcome::Unchanged
@@ -538,39 +546,41 @@
         self.deliver_event(entry, FleetEvent::RegistryRead(outcome));
     }
 
-    fn end_pull(&mut self, entry: usize, from: usize, scope: PullScope, begun: Instant) {
+    fn end_pull(&mut self, entry: usize, from: usize, scope: PullScope, started_at: Instant) {
         if !self.reaches(entry, from) || self.entries[entry].pulls_fail {
             self.deliver_event(entry, FleetEvent::PullFinished(address(from), false));
             return;
         }
-        let told = *self.entries[from].member.known();
+        let peer_progress = *self.entries[from].member.store_progress();
         let answered = self.local_time(from, self.now) - self.delay(entry, from);
         let latest = self.entries[from].member.latest_store_time(answered);
-        self.deliver_event(entry, FleetEvent::StoreTime(begun, latest));
-        let mut known = *self.entries[entry].member.known();
+        self.deliver_event(entry, FleetEvent::StoreTime(started_at, latest));
+        let mut known = *self.entries[entry].member.store_progress();
         let whole = scope.is_whole();
-        if whole || known.is_behind_registry(&told) {
-            let teller = self.entries[from].servers.clone();
+        if whole || known.is_behind_registry(&peer_progress) {
+            let peer_servers = self.entries[from].servers.clone();
             let servers = &mut self.entries[entry].servers;
             if whole {
                 servers.clear();
             }
-            let is_news = |stamp: u64| whole || stamp > known.registry;
-            let news = teller.into_iter().filter(|(_, stamp)| is_news(*stamp));
-            servers.extend(news.map(|(change, _)| (change, told.registry)));
-            known.registry = told.registry;
+            let is_newer = |stamp: u64| whole || stamp > known.registry;
+            let changes = peer_servers
+                .into_iter()
+                .filter(|(_, stamp)| is_newer(*stamp));
+            servers.extend(changes.map(|(change, _)| (change, peer_progress.registry)));
+            known.registry = peer_progress.registry;
             known.content = self.content(entry);
-            known.registry_read = told.registry_read;
-            known.registry_at = told.registry_at;
+            known.registry_read = peer_progress.registry_read;
+            known.registry_at = peer_progress.registry_at;
         }
-        if scope == PullScope::All || known.is_behind_operator(&told) {
-            known.replace_operator(&told);
-            known.desired = told.desired;
+        if scope == PullScope::All || known.is_behind_operator(&peer_progress) {
+            known.replace_operator(&peer_progress);
+            known.desired = peer_progress.desired;
         }
-        known.confirm_operator(&told);
+        known.confirm_operator(&peer_progress);
         let versions = self.entries[entry].member.regions().versions();
         let lists = self.entries[from].member.regions().lists_since(&versions);
-        self.deliver_event(entry, FleetEvent::Known(known));
+        self.deliver_event(entry, FleetEvent::StoreProgress(known));
         self.deliver_event(entry, FleetEvent::Lists(lists));
         self.deliver_event(entry, FleetEvent::PullFinished(address(from), true));
     }
@@ -578,7 +588,7 @@
     fn begin_watch(&mut self, entry: usize, wait: Duration) {
         self.calls += 1;
         self.entries[entry].watching = true;
-        self.entries[entry].watch_begun = self.local_time(entry, self.now);
+        self.entries[entry].watch_started_at = self.local_time(entry, self.now);
         self.push(
             self.now + wait + STORE_LATENCY,
             entry,
@@ -586,29 +596,29 @@
         );
     }
 
-    fn end_watch(&mut self, entry: usize, told: Option<(u64, StoreTime)>) {
+    fn end_watch(&mut self, entry: usize, answer: Option<(u64, StoreTime)>) {
         self.entries[entry].watching = false;
-        if let Some((operator, time)) = told {
+        if let Some((operator, time)) = answer {
             self.learn_operator(entry, operator, time);
         }
-        self.deliver_event(entry, FleetEvent::WatchFinished(told.is_some()));
+        self.deliver_event(entry, FleetEvent::WatchFinished(answer.is_some()));
         if self.entries[entry].watches && !self.entries[entry].watching {
             let age = self.proof_age(entry).unwrap_or_default();
             let wait = WATCH_DURATION.saturating_sub(age);
-            self.begin_watch(entry, if told.is_some() { wait } else { ms(1200) });
+            self.begin_watch(entry, if answer.is_some() { wait } else { ms(1200) });
         }
     }
 
     fn learn_operator(&mut self, entry: usize, operator: u64, time: StoreTime) {
-        let begun = self.entries[entry].watch_begun;
-        self.deliver_event(entry, FleetEvent::StoreTime(begun, time));
-        let mut known = *self.entries[entry].member.known();
+        let started_at = self.entries[entry].watch_started_at;
+        self.deliver_event(entry, FleetEvent::StoreTime(started_at, time));
+        let mut known = *self.entries[entry].member.store_progress();
         known.operator = known.operator.max(operator);
         known.operator_read = self.version;
         known.operator_at = Some(self.local_time(entry, self.now));
         known.desired = known.desired.max(operator);
         known.proved = known.proved.max(time);
-        self.deliver_event(entry, FleetEvent::Known(known));
+        self.deliver_event(entry, FleetEvent::StoreProgress(known));
     }
 
     /// Returns the store's clock, which did not start at zero.
@@ -637,7 +647,7 @@
     /// Returns how long ago the operator made the oldest change that `entry` does not
     /// know; `None` if it knows all.
     pub fn oldest_missed_change_age(&self, entry: usize) -> Option<Duration> {
-        let known = self.entries[entry].member.known().operator;
+        let known = self.entries[entry].member.store_progress().operator;
         let missed = self.changes.iter().find(|(_, version)| *version > known);
         missed.map(|(at, _)| self.now - *at)
     }
@@ -663,11 +673,11 @@
     /// Makes `entry` believe it knows the registry as of `version`, without learning any
     /// change.
     pub fn claim_version(&mut self, entry: usize, version: u64) {
-        let mut known = *self.entries[entry].member.known();
+        let mut known = *self.entries[entry].member.store_progress();
         known.registry = log_version(version);
         known.registry_read = version;
         known.registry_at = Some(self.local_time(entry, self.now));
-        self.deliver_event(entry, FleetEvent::Known(known));
+        self.deliver_event(entry, FleetEvent::StoreProgress(known));
     }
 
     /// Returns live entries that lack registry changes, whatever version they claim.
@@ -690,8 +700,8 @@
         self.change_unseen();
         self.changes.push((self.now, self.version));
         for entry in 0..self.entries.len() {
-            let entry_is_told = self.entries[entry].alive && !self.is_paused(entry);
-            if entry_is_told && self.entries[entry].watching && self.is_served(entry) {
+            let is_answered = self.entries[entry].alive && !self.is_paused(entry);
+            if is_answered && self.entries[entry].watching && self.is_served(entry) {
                 let (operator, time) = (self.operator, self.store_time());
                 self.learn_operator(entry, operator, time);
             }
@@ -747,7 +757,7 @@
     pub fn behind(&self) -> Vec<usize> {
         let mut live = self.live();
         live.retain(|entry| {
-            let known = self.entries[*entry].member.known();
+            let known = self.entries[*entry].member.store_progress();
             !known.is_complete()
                 || known.registry < log_version(self.registry)
                 || known.operator < self.operator
@@ -757,11 +767,11 @@
 
     /// Runs until no entry is behind, for at most `most`; returns the time that took.
     pub fn until_known(&mut self, most: Duration) -> Duration {
-        let begun = self.now;
-        while !self.behind().is_empty() && self.now < begun + most {
+        let started_at = self.now;
+        while !self.behind().is_empty() && self.now < started_at + most {
             self.run(ms(10));
         }
-        self.now - begun
+        self.now - started_at
     }
 
     /// Returns the number of store calls made while running for `span`.
--- a/crates/place/tests/near.rs
+++ b/crates/place/tests/near.rs
@@ -7,12 +7,12 @@
 use std::time::Instant;
 
 use common::{desired, ms, placer_config, reading, request, route, server};
+use place::placing::cache_likelihood::HandledObjects;
 use place::placing::candidates::{
     CandidateQuery, RankScope, RankedServers, ranked_candidates, top_candidates,
 };
 use place::placing::choice::{ByteCosts, ChoiceContext, ServerChoice};
-use place::placing::load::{LoadUpdate, short_id};
-use place::placing::warmth::WarmthMap;
+use place::placing::load::{LoadReport, short_id};
 use place::placing::work::RouteWorkTable;
 use place::prelude::*;
 use place::request::PlacementReason;
@@ -50,7 +50,7 @@
 struct Fixture {
     now: Instant,
     catalog: ServerCatalog,
-    warmth: WarmthMap,
+    handled_objects: HandledObjects,
     work: RouteWorkTable,
     route: RouteSpec,
 }
@@ -70,13 +70,13 @@
             servers.push(entry);
         }
         let mut catalog = ServerCatalog::new(common::domains()).with_location("a1", "a");
-        catalog.on_read(now, &reading(now, &servers));
-        let mut warmth = WarmthMap::default();
+        catalog.apply_snapshot(now, &reading(now, &servers));
+        let mut handled_objects = HandledObjects::default();
         for (record, server_setup) in by_number(&mut catalog, setups) {
             match server_setup {
                 ServerSetup::Busy(count) => record.in_flight = count,
                 ServerSetup::Paused => record.on_unreachable(now),
-                ServerSetup::HasObject => warmth.on_handled(now, record.hash, OBJECT),
+                ServerSetup::HasObject => handled_objects.on_handled(now, record.hash, OBJECT),
                 ServerSetup::Idle | ServerSetup::Cold | ServerSetup::Leaving => {}
             }
         }
@@ -86,7 +86,7 @@
         Self {
             now,
             catalog,
-            warmth,
+            handled_objects,
             work,
             route,
         }
@@ -99,7 +99,7 @@
             domain: "a1",
             region: "a",
             is_single_locality: ranked.localities == 1,
-            instances: 3,
+            entries: 3,
             costs: ByteCosts {
                 domain: 3.0,
                 region: 6.0,
@@ -109,12 +109,12 @@
         let mut choice = ServerChoice::new(self.now, &wanted, place, work);
         for candidate in &ranked.candidates {
             let record = self.catalog.get(candidate.handle).unwrap();
-            let belief = self
-                .warmth
-                .belief(self.now, record.hash, OBJECT, candidate.rank);
+            let cache_evidence =
+                self.handled_objects
+                    .evidence(self.now, record.hash, OBJECT, candidate.rank);
             let mut reason = PlacementReason::default();
             reason.occupancy = record.occupancy(self.now);
-            reason.warmth = work.rates.likelihood(belief);
+            reason.cache_likelihood = work.rates.likelihood(cache_evidence);
             reason.rank = candidate.rank;
             reason.cold = record.is_cold(self.now);
             choice.update_preferred_count(f64::from(record.entry.slots));
@@ -138,7 +138,7 @@
 /// If the top servers of an object have capacity, the choice among them is the same as among
 /// all servers.
 #[test]
-fn the_nearest_are_as_good_as_all() {
+fn choice_among_top_servers_equals_choice_among_all() {
     let config = ProptestConfig {
         cases: 300,
         rng_seed: RngSeed::Fixed(SEED),
@@ -154,7 +154,7 @@
             let route = fixture.route.clone();
             let wanted = request(&route, Some(OBJECT));
             for scope in [RankScope::Region, RankScope::Domain] {
-                let holders = fixture.warmth.holders(OBJECT).to_vec();
+                let holders = fixture.handled_objects.holders(OBJECT).to_vec();
                 let query = CandidateQuery {
                     service: "board",
                     request: &wanted,
@@ -187,15 +187,15 @@
         .collect();
     let mut placer = RequestPlacer::new(placer_config());
     placer.set_desired(&desired(1, vec![route("browse", "/")]));
-    placer.catalog.on_read(now, &reading(now, &servers));
+    placer.catalog.apply_snapshot(now, &reading(now, &servers));
     placer
 }
 
-/// Average number of records read for a request and a load update, with ten servers per
-/// instance.
-fn records_examined(instances: usize) -> u64 {
+/// Average number of records read for a request and a load report, with ten servers per
+/// entry.
+fn records_examined(entries: usize) -> u64 {
     let now = Instant::now();
-    let mut placer = large_placer(now, instances * 10);
+    let mut placer = large_placer(now, entries * 10);
     let browse = route("browse", "/");
     let names: Vec<u32> = placer
         .catalog
@@ -206,14 +206,14 @@
     for step in 0..400_u64 {
         let at = now + ms(20 * step);
         let object = (step % 50).wrapping_mul(OBJECT);
-        let update = LoadUpdate {
+        let report = LoadReport {
             load: (0..8)
                 .map(|n| (names[(step as usize * 31 + n) % names.len()], 1))
                 .collect(),
-            ..LoadUpdate::default()
+            ..LoadReport::default()
         };
         let before = placer.catalog.records_examined();
-        placer.on_peer_load(at, step % 9, update);
+        placer.on_peer_load(at, step % 9, report);
         let wanted = request(&browse, Some(object));
         placer.on_request(at, &browse, Some(object), Some(ms(1000)));
         let placement = placer.place(at, &wanted).unwrap();
@@ -226,9 +226,9 @@
 
 /// A request reads as many records with 1,000 servers of its service as with 20,000.
 #[test]
-fn a_choice_costs_the_same_at_any_size() {
+fn records_read_per_request_are_independent_of_size() {
     let costs: HashMap<usize, u64> = [100, 300, 1000, 2000]
-        .map(|instances| (instances, records_examined(instances)))
+        .map(|entries| (entries, records_examined(entries)))
         .into();
     let least = costs.values().min().unwrap();
     let most = costs.values().max().unwrap();
@@ -239,11 +239,11 @@
 /// A refusal costs the same with any number of servers, and has a retry delay based on the
 /// preferred servers.
 #[test]
-fn a_refusal_costs_the_same_at_any_size() {
+fn records_read_per_refusal_are_independent_of_size() {
     let mut costs = Vec::new();
-    for instances in [100, 300, 1000, 2000] {
+    for entries in [100, 300, 1000, 2000] {
         let now = Instant::now();
-        let mut placer = large_placer(now, instances * 10);
+        let mut placer = large_placer(now, entries * 10);
         let browse = route("browse", "/");
         let wanted = request(&browse, Some(OBJECT));
         let mut placed = 0;
@@ -262,11 +262,11 @@
 
 /// At a cold start, when all servers are cold, a request also reads few records.
 #[test]
-fn a_cold_start_costs_the_same_at_any_size() {
+fn records_read_at_cold_start_are_independent_of_size() {
     let mut costs = Vec::new();
-    for instances in [100, 300, 1000, 2000] {
+    for entries in [100, 300, 1000, 2000] {
         let now = Instant::now();
-        let servers: Vec<ServerEntry> = (0..instances * 10)
+        let servers: Vec<ServerEntry> = (0..entries * 10)
             .map(|number| {
                 let mut entry = server(&format!("s{number}"), ["a1", "a2", "b1"][number % 3]);
                 entry.cold_remaining = ms(3000);
@@ -275,7 +275,7 @@
             .collect();
         let mut placer = RequestPlacer::new(placer_config());
         placer.set_desired(&desired(1, vec![route("browse", "/")]));
-        placer.catalog.on_read(now, &reading(now, &servers));
+        placer.catalog.apply_snapshot(now, &reading(now, &servers));
         let browse = route("browse", "/");
         let before = placer.catalog.records_examined();
         for object in 0..100_u64 {
--- a/crates/place/tests/placer.rs
+++ b/crates/place/tests/placer.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use common::{ms, placer, reading, request, route, server};
-use place::placing::load::{LoadUpdate, short_id};
+use place::placing::load::{LoadReport, short_id};
 use place::prelude::*;
 use place::rank::stable_hash;
 use place::server::ServerReport;
@@ -59,7 +59,7 @@
 
 /// An unreachable server is paused, and used again after the pause.
 #[test]
-fn an_unreachable_server_is_left_alone_and_found_again() {
+fn unreachable_server_is_paused_and_reused() {
     let now = Instant::now();
     let only = [server("p", "a1")];
     let mut placer = placer(now, &only);
@@ -93,7 +93,7 @@
 
 /// A route with home regions never leaves them, even if no server is available there.
 #[test]
-fn home_regions_bind() {
+fn requests_stay_in_home_regions() {
     let now = Instant::now();
     let mut placer = placer(now, &four_servers());
     let mut bound = route("browse", "/");
@@ -129,22 +129,22 @@
     }
     assert!(
         (5..=10).contains(&sent),
-        "{sent} requests in ten seconds from one instance"
+        "{sent} requests in ten seconds from one entry"
     );
 }
 
-/// An update of an instance of another region.
-fn update(load: Vec<(u32, u16)>) -> LoadUpdate {
-    LoadUpdate {
+/// A report of an entry of another region.
+fn load_report(load: Vec<(u32, u16)>) -> LoadReport {
+    LoadReport {
         load,
         sent: Vec::new(),
         handled: Vec::new(),
     }
 }
 
-/// Requests of other instances count towards a server's load like own ones.
+/// Requests of other entries count towards a server's load like own ones.
 #[test]
-fn other_entries_requests_count() {
+fn requests_of_other_entries_count_as_load() {
     let now = Instant::now();
     let mut placer = placer(now, &[server("p", "a1")]);
     let browse = route("browse", "/");
@@ -155,16 +155,16 @@
         placer.on_outcome(now, &placement, &wanted, GOOD, None);
         list.load[0].0
     };
-    placer.on_peer_load(now + ms(1), 5, update(vec![(name, 12)]));
+    placer.on_peer_load(now + ms(1), 5, load_report(vec![(name, 12)]));
     assert!(placer.place(now + ms(2), &wanted).is_err());
-    placer.on_peer_load(now + ms(3), 5, update(Vec::new()));
+    placer.on_peer_load(now + ms(3), 5, load_report(Vec::new()));
     assert!(placer.place(now + ms(4), &wanted).is_ok());
 }
 
-/// An instance that died with requests at a server must not block that server: its load
+/// An entry that died with requests at a server must not block that server: its load
 /// expires.
 #[test]
-fn a_dead_entrys_requests_are_forgotten() {
+fn load_of_dead_entry_expires() {
     let now = Instant::now();
     let mut placer = placer(now, &[server("p", "a1")]);
     let browse = route("browse", "/");
@@ -172,15 +172,15 @@
     let placement = placer.place(now, &wanted).unwrap();
     let name = placer.own_load(now).load[0].0;
     placer.on_outcome(now, &placement, &wanted, GOOD, None);
-    placer.on_peer_load(now, 5, update(vec![(name, 12)]));
-    placer.on_peer_load(now + ms(2000), 6, update(Vec::new()));
+    placer.on_peer_load(now, 5, load_report(vec![(name, 12)]));
+    placer.on_peer_load(now + ms(2000), 6, load_report(Vec::new()));
     assert!(placer.place(now + ms(2001), &wanted).is_ok());
 }
 
-/// The load of dead instances also expires at the last instance, which receives no updates that
+/// The load of dead entries also expires at the last entry, which receives no reports that
 /// could trigger it.
 #[test]
-fn the_last_entry_forgets_the_others_requests() {
+fn load_of_dead_entries_expires_without_reports() {
     let now = Instant::now();
     let mut placer = placer(now, &[server("p", "a1")]);
     let browse = route("browse", "/");
@@ -188,14 +188,14 @@
     let placement = placer.place(now, &wanted).unwrap();
     let name = placer.own_load(now).load[0].0;
     placer.on_outcome(now, &placement, &wanted, GOOD, None);
-    placer.on_peer_load(now, 5, update(vec![(name, 12)]));
+    placer.on_peer_load(now, 5, load_report(vec![(name, 12)]));
     assert!(placer.place(now + ms(1400), &wanted).is_err());
     assert!(placer.place(now + ms(1600), &wanted).is_ok());
 }
 
-/// An update takes effect within 60 ms among updates of 5,900 instances.
+/// A report takes effect within 60 ms among reports of 5,900 entries.
 #[test]
-fn a_word_among_many_counts_soon() {
+fn load_report_takes_effect_in_time_among_many() {
     let now = Instant::now();
     let mut placer = placer(now, &[server("p", "a1")]);
     let browse = route("browse", "/");
@@ -204,10 +204,10 @@
     let name = placer.own_load(now).load[0].0;
     placer.on_outcome(now, &placement, &wanted, GOOD, None);
     for entry in 0..5900 {
-        placer.on_peer_load(now, entry, update(Vec::new()));
+        placer.on_peer_load(now, entry, load_report(Vec::new()));
     }
     assert!(placer.place(now + ms(1), &wanted).is_ok());
-    placer.on_peer_load(now + ms(2), 5, update(vec![(name, 12)]));
+    placer.on_peer_load(now + ms(2), 5, load_report(vec![(name, 12)]));
     assert!(placer.place(now + ms(61), &wanted).is_err());
 }
 
@@ -233,7 +233,7 @@
             placer.on_outcome(at, &placement, &wanted, GOOD, None);
         }
         placer.own_load(at);
-        placer.on_peer_load(at, 5, update(busy.clone()));
+        placer.on_peer_load(at, 5, load_report(busy.clone()));
         placer.on_request(at, &browse, Some(7), Some(ms(3000)));
         if let Ok(placement) = placer.place(at, &wanted) {
             // In the first turns the load of the other servers is not known yet.
@@ -268,7 +268,9 @@
     let mut replaced = servers.clone();
     replaced[3] = server("new", "a1");
     let later = now + Duration::from_secs(60);
-    placer.catalog.on_read(later, &reading(later, &replaced));
+    placer
+        .catalog
+        .apply_snapshot(later, &reading(later, &replaced));
     let after = place_all(&mut placer, later + ms(1));
     let moved = before
         .iter()
@@ -334,7 +336,7 @@
 /// If the preferred server of a hot object is busier, the object goes to a server that is
 /// reported to have it cached.
 #[test]
-fn a_holder_takes_the_object() {
+fn hot_object_goes_to_server_that_caches_it() {
     let now = Instant::now();
     let servers = [server("p", "a1"), server("q", "a1"), server("t", "b1")];
     let mut placer = placer(now, &servers);
@@ -347,9 +349,9 @@
     let mut at = now;
     for step in 0..40 {
         at = now + ms(100 + 80 * step);
-        let mut update_of_peer = update(vec![(name(&first.id), 10), (name(other), 2)]);
-        update_of_peer.handled = vec![(name(other), short_id(7))];
-        placer.on_peer_load(at, 5, update_of_peer);
+        let mut peer_report = load_report(vec![(name(&first.id), 10), (name(other), 2)]);
+        peer_report.handled = vec![(name(other), short_id(7))];
+        placer.on_peer_load(at, 5, peer_report);
         placer.own_load(at);
     }
     assert_eq!(placer.place(at + ms(1), &wanted).unwrap().id, other);
@@ -358,7 +360,7 @@
 /// If the preferred server is full and there is no other region, a second server takes the
 /// object, although neither is known to have it cached.
 #[test]
-fn an_object_has_two_servers_where_there_is_one_region() {
+fn full_preferred_server_spills_to_second_server() {
     let now = Instant::now();
     let mut placer = placer(
         now,
@@ -368,7 +370,7 @@
     let wanted = request(&browse, Some(7));
     let first = placer.place(now, &wanted).unwrap();
     let name = short_id(stable_hash(first.id.as_bytes()));
-    placer.on_peer_load(now + ms(1), 5, update(vec![(name, 11)]));
+    placer.on_peer_load(now + ms(1), 5, load_report(vec![(name, 11)]));
     let second = placer.place(now + ms(2), &wanted).unwrap();
     assert_ne!(second.id, first.id);
 }
--- a/crates/place/tests/reading.rs
+++ b/crates/place/tests/reading.rs
@@ -2,13 +2,13 @@
 
 use std::time::{Duration, Instant};
 
-use place::fleet::pace::ReadIntervals;
+use place::fleet::read_intervals::ReadIntervals;
 use place::fleet::reading::{ReadOutcome, ReadRole, ReadScheduler, answer_as_of};
 
-/// An entry that remains in doubt about its knowledge must not repeat full reads more often
+/// An entry whose knowledge stays uncertain must not repeat full reads more often
 /// than a reader reads.
 #[test]
-fn a_reading_that_settles_nothing_is_not_repeated_at_once() {
+fn inconclusive_reads_are_rate_limited() {
     let start = Instant::now();
     let intervals = ReadIntervals::new(Duration::from_millis(2500));
     let mut scheduler = ReadScheduler::new(start, intervals, 1);
@@ -23,7 +23,7 @@
         now += Duration::from_millis(10);
         if scheduler.begin_read(now, role, Some(start), true).is_some() {
             calls += 1;
-            scheduler.on_read(now, ReadOutcome::Unchanged);
+            scheduler.on_read_finished(now, ReadOutcome::Unchanged);
         }
     }
     let max_calls = span.as_millis() / intervals.reader.as_millis() + 1;
@@ -34,12 +34,15 @@
 /// since the store may have answered immediately. An answer without a change counts as of the
 /// end of the wait.
 #[test]
-fn a_late_answer_with_news_counts_from_its_question() {
-    let begun = Instant::now();
+fn late_answer_with_changes_counts_from_call_start() {
+    let started_at = Instant::now();
     let wait = Duration::from_millis(1080);
-    let late = begun + Duration::from_millis(2500);
-    assert_eq!(answer_as_of(begun, wait, late, true), begun);
-    assert_eq!(answer_as_of(begun, wait, late, false), begun + wait);
-    let early = begun + Duration::from_millis(300);
-    assert_eq!(answer_as_of(begun, wait, early, false), begun);
+    let late = started_at + Duration::from_millis(2500);
+    assert_eq!(answer_as_of(started_at, wait, late, true), started_at);
+    assert_eq!(
+        answer_as_of(started_at, wait, late, false),
+        started_at + wait
+    );
+    let early = started_at + Duration::from_millis(300);
+    assert_eq!(answer_as_of(started_at, wait, early, false), started_at);
 }
